--- /dev/null
+++ b/crates/quillhub-lab/tests/digests.rs
@@ -0,0 +1,58 @@
+//! Three short experiments: the digest of each run and the table, as recorded, with one thread and with four.
+
+use quillhub_lab::experiment::Planned;
+use quillhub_lab::results::Kept;
+use quillhub_lab::{report, sweep};
+use quillhub_stand_ins::scratch::Folder;
+
+const RETRY_STORM: &str = include_str!("experiments/short-retry-storm.toml");
+const ZONE_CUT: &str = include_str!("experiments/short-zone-cut.toml");
+const REGISTER_LOST: &str = include_str!("experiments/short-register-lost.toml");
+
+const RETRY_STORM_RECORD: &str = include_str!("experiments/short-retry-storm.txt");
+const ZONE_CUT_RECORD: &str = include_str!("experiments/short-zone-cut.txt");
+const REGISTER_LOST_RECORD: &str = include_str!("experiments/short-register-lost.txt");
+
+/// Numbers of threads that must give the same runs.
+const THREADS: [usize; 2] = [1, 4];
+
+/// A line for each run with its digest, an empty line, and the table that is printed.
+fn record(runs: &[Kept]) -> String {
+    let line = |run: &Kept| {
+        let (variant, decider, seed) = run.key();
+        let variant = if variant.is_empty() { "-" } else { variant };
+        format!("{variant} {decider} seed {seed}: {}, breaches {}\n", run.hash, run.breaches)
+    };
+    let digests: String = runs.iter().map(line).collect();
+    format!("{digests}\n{}", report::table(runs))
+}
+
+fn played(name: &str, text: &str, threads: usize) -> String {
+    let folder = Folder::new();
+    let experiment = Planned::parse(name, text).unwrap_or_else(|e| panic!("{name}: {e:?}"));
+    let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("a pool can be made");
+    let runs = pool.install(|| sweep::run(&experiment, &folder.0, false)).expect("the runs are kept");
+    record(&runs)
+}
+
+fn assert_plays_as_recorded(name: &str, text: &str, recorded: &str) {
+    for threads in THREADS {
+        let found = played(name, text, threads);
+        assert!(found == recorded, "{name} with {threads} threads, found:\n{found}expected:\n{recorded}");
+    }
+}
+
+#[test]
+fn silent_destinations_give_the_recorded_digests_and_table() {
+    assert_plays_as_recorded("short-retry-storm", RETRY_STORM, RETRY_STORM_RECORD);
+}
+
+#[test]
+fn a_cut_between_zones_gives_the_recorded_digests_and_table() {
+    assert_plays_as_recorded("short-zone-cut", ZONE_CUT, ZONE_CUT_RECORD);
+}
+
+#[test]
+fn a_lost_register_gives_the_recorded_digests_and_table() {
+    assert_plays_as_recorded("short-register-lost", REGISTER_LOST, REGISTER_LOST_RECORD);
+}
