--- a/crates/quillhub-net/src/wal.rs
+++ b/crates/quillhub-net/src/wal.rs
@@ -308,3 +308,7 @@
 #[cfg(test)]
 #[path = "wal_tests.rs"]
 mod tests;
+
+#[cfg(test)]
+#[path = "wal_format_tests.rs"]
+mod format_tests;
