--- a/src/note.rs
+++ b/src/note.rs
@@ -15,3 +15,7 @@
     let (destination, route) = octets.strip_prefix(&[VERSION])?.split_first_chunk()?;
     Some((DestinationId::from_le_bytes(*destination), std::str::from_utf8(route).ok()?))
 }
+
+#[cfg(test)]
+#[path = "note_tests.rs"]
+mod tests;
