--- a/crates/quillhub-drill/src/main.rs
+++ b/crates/quillhub-bench-adapter/src/main.rs
@@ -10,7 +10,7 @@
     match wire::serve(stdin().lock(), BufWriter::new(stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(trouble) => {
-            eprintln!("quillhub-drill: {trouble}");
+            eprintln!("quillhub-bench-adapter: {trouble}");
             ExitCode::from(2)
         }
     }
--- a/crates/quillhub-drill/tests/session.rs
+++ b/crates/quillhub-bench-adapter/tests/session.rs
@@ -22,7 +22,7 @@
 "#;
 
 fn play(input: &[u8]) -> Output {
-    let mut program = Command::new(env!("CARGO_BIN_EXE_quillhub-drill"))
+    let mut program = Command::new(env!("CARGO_BIN_EXE_quillhub-bench-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -42,7 +42,7 @@
 fn assert_refused(input: &[u8], stdout: &str, message: &str) {
     let Output { status, stdout: out, stderr } = play(input);
     let seen = (status.code(), String::from_utf8_lossy(&out), String::from_utf8_lossy(&stderr));
-    let expected = format!("quillhub-drill: {message}\n");
+    let expected = format!("quillhub-bench-adapter: {message}\n");
     assert_eq!(seen, (Some(REFUSED), stdout.into(), expected.into()));
 }
 
--- a/crates/quillhub-lab/src/baselines.rs
+++ b/crates/quillhub-experiments/src/baselines.rs
@@ -2,7 +2,7 @@
 //! as plain as it can be, and an oracle that sees the true state of every endpoint.
 
 use quillhub::{DestinationId, Effect, Grade, Hands, Listing, NoticeId, Outcome};
-use quillhub_emulator::{Decider, Input, Start, module};
+use quillhub_simulator::{Decider, Input, Start, module};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
--- a/crates/quillhub-lab/src/capacity/evidence.rs
+++ b/crates/quillhub-experiments/src/capacity/evidence.rs
@@ -1,9 +1,9 @@
 //! Figures of the kept runs, read at any size: between two measured sizes, or beyond the largest by a fit that holds.
 
 use crate::scale::{formula, short};
-use quillhub_rig::fit::{self, Sample};
-use quillhub_rig::plan::Slope;
-use quillhub_rig::results::{self, Point};
+use quillhub_scale::fit::{self, Sample};
+use quillhub_scale::plan::Slope;
+use quillhub_scale::results::{self, Point};
 use std::collections::BTreeMap;
 use std::path::Path;
 
--- a/crates/quillhub-lab/src/capacity/mod.rs
+++ b/crates/quillhub-experiments/src/capacity/mod.rs
@@ -9,7 +9,7 @@
 pub mod target;
 
 use evidence::Evidence;
-use quillhub_rig::plan::Slope;
+use quillhub_scale::plan::Slope;
 use std::path::Path;
 
 const BEGINS: &str = "<!-- capacity:";
@@ -94,7 +94,7 @@
     let new = written(&page, &Evidence::read(results)?).map_err(|what| format!("{place}:{what}"))?;
     match difference(&page, &new) {
         Some((line, found, expected)) => Err(format!(
-            "{place}:{line}: expected '{expected}', found '{found}'; write it with quillhub-lab capacity"
+            "{place}:{line}: expected '{expected}', found '{found}'; write it with quillhub-experiment capacity"
         )),
         None => Ok(()),
     }
--- a/crates/quillhub-lab/src/capacity/needs.rs
+++ b/crates/quillhub-experiments/src/capacity/needs.rs
@@ -3,9 +3,9 @@
 use super::evidence::{Evidence, Figure};
 use super::target::{self, *};
 use crate::scale::short;
-use quillhub_net::MOST_LINE;
-use quillhub_rig::figure;
-use quillhub_rig::plan::Slope::{self, Backlog, Changes, Couriers, Destinations};
+use quillhub_server::MOST_LINE;
+use quillhub_scale::figure;
+use quillhub_scale::plan::Slope::{self, Backlog, Changes, Couriers, Destinations};
 
 /// Microseconds of a second.
 const US: f64 = 1e6;
--- a/crates/quillhub-lab/src/capacity/tables.rs
+++ b/crates/quillhub-experiments/src/capacity/tables.rs
@@ -3,8 +3,8 @@
 use super::evidence::{Evidence, experiment};
 use super::needs::{Need, Status};
 use crate::scale::{self, Row, formula, short};
-use quillhub_rig::plan::Slope;
-use quillhub_rig::results::Point;
+use quillhub_scale::plan::Slope;
+use quillhub_scale::results::Point;
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
--- a/crates/quillhub-lab/src/cost.rs
+++ b/crates/quillhub-experiments/src/cost.rs
@@ -5,7 +5,7 @@
 use crate::experiment::Planned;
 use crate::sweep::Run;
 use quillhub::{Hands, NoticeId};
-use quillhub_emulator::{Decider, Input, Report, Start, World};
+use quillhub_simulator::{Decider, Input, Report, Start, World};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/quillhub-lab/src/explain.rs
+++ b/crates/quillhub-experiments/src/explain.rs
@@ -3,7 +3,7 @@
 use crate::experiment::Planned;
 use crate::results::Kept;
 use crate::sweep::Run;
-use quillhub_emulator::{Fact, line};
+use quillhub_simulator::{Fact, line};
 use std::collections::BTreeSet;
 
 /// The lines on a notice, by its number or by its client's (`order`); faults that began or ended are among them.
--- /dev/null
+++ b/crates/quillhub-experiments/src/main.rs
@@ -0,0 +1,5 @@
+//! The program `quillhub-experiment`.
+
+fn main() -> std::process::ExitCode {
+    quillhub_experiments::command::main()
+}
--- a/crates/quillhub-lab/src/results.rs
+++ b/crates/quillhub-experiments/src/results.rs
@@ -1,7 +1,7 @@
 //! What is kept of a run: one JSON line, for people and programs. Reading them back passes over a last line that was
 //! cut off.
 
-use quillhub_emulator::{Breach, Report};
+use quillhub_simulator::{Breach, Report};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -79,7 +79,7 @@
     let seconds = &report.tally.seconds;
     let each = seconds.len().div_ceil(COURSE).max(1);
     let rows = seconds.chunks(each);
-    let sum = |of: &dyn Fn(&quillhub_emulator::Second) -> f64| {
+    let sum = |of: &dyn Fn(&quillhub_simulator::Second) -> f64| {
         rows.clone()
             .map(|row| round(row.iter().map(of).sum::<f64>() / row.len() as f64 / report.tally.row_s as f64))
             .collect()
--- a/crates/quillhub-lab/src/scale.rs
+++ b/crates/quillhub-experiments/src/scale.rs
@@ -1,13 +1,13 @@
-//! Slopes: how a courier's cost grows with one size, played on loopback by `quillhub-rig`, as table, CSV and charts.
+//! Slopes: how a courier's cost grows with one size, played on loopback by `quillhub-scale`, as table, CSV and charts.
 
 use crate::chart::{self, Line};
 use crate::results::round;
-use quillhub_rig::bounds;
-use quillhub_rig::fit::{self, Fit, HeldOut};
-use quillhub_rig::machine;
-use quillhub_rig::plan::{Plan, Slope};
-use quillhub_rig::results::{self, Point};
-use quillhub_rig::{Played, figure, play};
+use quillhub_scale::bounds;
+use quillhub_scale::fit::{self, Fit, HeldOut};
+use quillhub_scale::machine;
+use quillhub_scale::plan::{Plan, Slope};
+use quillhub_scale::results::{self, Point};
+use quillhub_scale::{Played, figure, play};
 use std::fmt::Write;
 use std::path::Path;
 
--- a/crates/quillhub-lab/tests/capacity.rs
+++ b/crates/quillhub-experiments/tests/capacity.rs
@@ -1,13 +1,13 @@
 //! The capacity page and the kept runs: neither may change without the other. And the command line of `scale` and
 //! `capacity`, where it is told what is wrong.
 
-use quillhub_lab::capacity::evidence::Evidence;
-use quillhub_lab::capacity::{self, needs};
-use quillhub_rig::figure;
-use quillhub_rig::machine::Machine;
-use quillhub_rig::plan::Slope;
-use quillhub_rig::results::Point;
-use quillhub_stand_ins::scratch::Folder;
+use quillhub_experiments::capacity::evidence::Evidence;
+use quillhub_experiments::capacity::{self, needs};
+use quillhub_scale::figure;
+use quillhub_scale::machine::Machine;
+use quillhub_scale::plan::Slope;
+use quillhub_scale::results::Point;
+use quillhub_fakes::scratch::Folder;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
@@ -137,7 +137,7 @@
 }
 
 fn lab(arguments: &[&str], folder: &Path) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_quillhub-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_quillhub-experiment"));
     command.current_dir(folder).args(arguments).output().unwrap()
 }
 
@@ -146,7 +146,7 @@
     let folder = Folder::new();
     std::fs::write(folder.0.join("scale-bad.toml"), text).unwrap();
     let arguments =
-        ["scale", "scale-bad.toml", "--out", "out", "--courier", env!("CARGO_BIN_EXE_quillhub-lab")];
+        ["scale", "scale-bad.toml", "--out", "out", "--courier", env!("CARGO_BIN_EXE_quillhub-experiment")];
     let ended = lab(&arguments, &folder.0);
     let line = String::from_utf8(ended.stderr).unwrap();
     assert_eq!(ended.status.code(), Some(2), "{line}");
@@ -170,7 +170,7 @@
 fn the_experiments_of_the_four_slopes_can_be_read_and_name_their_slope() {
     for slope in Slope::ALL {
         let path = root().join(format!("experiments/scale-{}.toml", slope.name()));
-        let plan = quillhub_rig::plan::Plan::read(&path).unwrap();
+        let plan = quillhub_scale::plan::Plan::read(&path).unwrap();
         assert_eq!(plan.slope, slope);
     }
 }
--- a/crates/quillhub-lab/tests/digests.rs
+++ b/crates/quillhub-experiments/tests/digests.rs
@@ -1,9 +1,9 @@
 //! Three short experiments: the digest of each run and the table, as recorded, with one thread and with four.
 
-use quillhub_lab::experiment::Planned;
-use quillhub_lab::results::Kept;
-use quillhub_lab::{report, sweep};
-use quillhub_stand_ins::scratch::Folder;
+use quillhub_experiments::experiment::Planned;
+use quillhub_experiments::results::Kept;
+use quillhub_experiments::{report, sweep};
+use quillhub_fakes::scratch::Folder;
 
 const RETRY_STORM: &str = include_str!("experiments/short-retry-storm.toml");
 const ZONE_CUT: &str = include_str!("experiments/short-zone-cut.toml");
--- a/crates/quillhub-lab/tests/emulator.rs
+++ b/crates/quillhub-experiments/tests/emulator.rs
@@ -1,9 +1,9 @@
 //! What the emulator must be trusted for: queues as theory has them, and the same run from the same seed.
 
-use quillhub_lab::experiment::Planned;
-use quillhub_lab::results::{Kept, mean};
-use quillhub_lab::{explain, report, sweep};
-use quillhub_stand_ins::scratch::Folder;
+use quillhub_experiments::experiment::Planned;
+use quillhub_experiments::results::{Kept, mean};
+use quillhub_experiments::{explain, report, sweep};
+use quillhub_fakes::scratch::Folder;
 
 /// A queue of `workers` with calls of 20 ms on average, `rate` of them a second.
 fn queue(workers: usize, rate: f64) -> Planned {
--- a/crates/quillhub-lab/tests/fleet.rs
+++ b/crates/quillhub-experiments/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! The fleet's days in small: thirty couriers instead of three hundred, the same faults, fixed seeds. What each
 //! courier does alone must not add up to a broken rule, nor to less than a single try earns.
 
-use quillhub_lab::experiment::Planned;
-use quillhub_lab::results::{Kept, mean};
-use quillhub_lab::sweep;
-use quillhub_stand_ins::scratch::Folder;
+use quillhub_experiments::experiment::Planned;
+use quillhub_experiments::results::{Kept, mean};
+use quillhub_experiments::sweep;
+use quillhub_fakes::scratch::Folder;
 use std::path::Path;
 
 fn small(kind: &str) -> Vec<Kept> {
--- a/crates/quillhub-stand-ins/src/clients.rs
+++ b/crates/quillhub-fakes/src/clients.rs
@@ -1,7 +1,7 @@
 //! Open-loop clients of one courier: each notice has its instant, and its waits count from then on, whether or not a
 //! connection was free. What is denied is handed in again as the day's clients do.
 
-use quillhub_emulator::{Answered, Day};
+use quillhub_simulator::{Answered, Day};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
--- a/crates/quillhub-stand-ins/src/configuration.rs
+++ b/crates/quillhub-fakes/src/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration of a courier for a day: the same figures as the emulator tells its deciders.
 
 use quillhub::Effect;
-use quillhub_emulator::{Day, RegisterForm};
+use quillhub_simulator::{Day, RegisterForm};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
     span.as_micros() as u64
 }
 
-fn class(of: &quillhub_emulator::GradeOf) -> Value {
+fn class(of: &quillhub_simulator::GradeOf) -> Value {
     let grade = of.grade();
     let (effect, memory, all) = match grade.effect {
         Effect::Retriable => ("free", Duration::ZERO, true),
--- a/crates/quillhub-stand-ins/src/endpoints.rs
+++ b/crates/quillhub-fakes/src/endpoints.rs
@@ -3,7 +3,7 @@
 
 use crate::accept::accept_each;
 use crate::http::Served;
-use quillhub_emulator::{Day, Shown, Site, Taken};
+use quillhub_simulator::{Day, Shown, Site, Taken};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
--- a/crates/quillhub-stand-ins/src/platform.rs
+++ b/crates/quillhub-fakes/src/platform.rs
@@ -4,7 +4,7 @@
 use crate::endpoints::Listed;
 use crate::http::Served;
 use crate::traffic::Traffic;
-use quillhub_emulator::{Day, Shown, Site};
+use quillhub_simulator::{Day, Shown, Site};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/quillhub-rig/examples/courier.rs
+++ b/crates/quillhub-scale/examples/courier.rs
@@ -1,5 +1,5 @@
 //! The courier's own command line, so that the tests of this package have its process beside them.
 
 fn main() -> std::process::ExitCode {
-    quillhub_net::command::run()
+    quillhub_server::command::run()
 }
--- a/crates/quillhub-rig/src/clients.rs
+++ b/crates/quillhub-scale/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::destinations::HANGING;
 use crate::plan::Load;
 use crate::settings::{CLASS, LONGEST_MS};
-use quillhub_stand_ins::clients::{ask, command, open};
+use quillhub_fakes::clients::{ask, command, open};
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/quillhub-rig/src/control.rs
+++ b/crates/quillhub-scale/src/control.rs
@@ -2,8 +2,8 @@
 //! is counted apart; both serve one endpoint list.
 
 use crate::thread::Worker;
-use quillhub_stand_ins::endpoints::Listed;
-use quillhub_stand_ins::platform::{self, Counted, Register};
+use quillhub_fakes::endpoints::Listed;
+use quillhub_fakes::platform::{self, Counted, Register};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/quillhub-rig/src/destinations.rs
+++ b/crates/quillhub-scale/src/destinations.rs
@@ -3,9 +3,9 @@
 
 use crate::settings;
 use crate::thread::Worker;
-use quillhub_stand_ins::accept::accept_each;
-use quillhub_stand_ins::endpoints::Listed;
-use quillhub_stand_ins::http::Served;
+use quillhub_fakes::accept::accept_each;
+use quillhub_fakes::endpoints::Listed;
+use quillhub_fakes::http::Served;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/quillhub-rig/src/fleet.rs
+++ b/crates/quillhub-scale/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::gossip::Relay;
 use crate::hollow::{Common, Group, Status};
 use crate::plan::Sizes;
-use quillhub_stand_ins::traffic::Counts;
+use quillhub_fakes::traffic::Counts;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
--- a/crates/quillhub-rig/src/thread.rs
+++ b/crates/quillhub-scale/src/thread.rs
@@ -1,7 +1,7 @@
 //! A thread with an event loop of its own, and its processor time.
 
-use quillhub_stand_ins::process;
-use quillhub_stand_ins::scratch::on_one_thread;
+use quillhub_fakes::process;
+use quillhub_fakes::scratch::on_one_thread;
 use std::future::Future;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/quillhub-rig/tests/points.rs
+++ b/crates/quillhub-scale/tests/points.rs
@@ -1,7 +1,7 @@
 //! Small points with a real courier's process: what is counted, not what is timed.
 
-use quillhub_rig::plan::{Load, Plan, Sizes, Slope};
-use quillhub_rig::{Played, figure, play};
+use quillhub_scale::plan::{Load, Plan, Sizes, Slope};
+use quillhub_scale::{Played, figure, play};
 use std::path::PathBuf;
 use std::time::Duration;
 
--- a/crates/quillhub-net/src/clients_tests.rs
+++ b/crates/quillhub-server/src/clients_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::stand_in::{Folder, host, on_one_thread};
-use quillhub_stand_ins::clients::command;
+use quillhub_fakes::clients::command;
 use tokio::io::AsyncReadExt;
 
 const PING: &[u8] = b"*1\r\n$4\r\nping\r\n";
--- a/crates/quillhub-net/src/discovery_return_tests.rs
+++ b/crates/quillhub-server/src/discovery_return_tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::stand_in::{Folder, answering, full, host_with, on_one_thread, plan};
-use quillhub_stand_ins::http::Served;
+use quillhub_fakes::http::Served;
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
 use std::net::TcpStream as StdStream;
--- a/crates/quillhub-net/src/http.rs
+++ b/crates/quillhub-server/src/http.rs
@@ -103,7 +103,7 @@
 /// The head at the start of `input` and how many bytes it takes; nothing if more must come.
 ///
 /// ```
-/// use quillhub_net::http::{Framing, head};
+/// use quillhub_server::http::{Framing, head};
 ///
 /// let input = b"HTTP/1.1 200 OK\r\nX-Load: x0=0.4\r\nContent-Length: 2\r\n\r\nhi";
 /// let (answer, used) = head(input).unwrap().unwrap();
--- a/crates/quillhub-net/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::stand_in::{Folder, OK, answering, on_one_thread, plan};
 use crate::wal::Owed;
-use quillhub_stand_ins::clients::command;
+use quillhub_fakes::clients::command;
 use serde_json::{Value, json};
 use std::future::pending;
 use std::time::SystemTime;
--- a/crates/quillhub-net/src/main.rs
+++ b/crates/quillhub-server/src/main.rs
@@ -1,5 +1,5 @@
 //! The program: all of it is in the library.
 
 fn main() -> std::process::ExitCode {
-    quillhub_net::command::run()
+    quillhub_server::command::run()
 }
--- a/crates/quillhub-net/src/resp.rs
+++ b/crates/quillhub-server/src/resp.rs
@@ -26,7 +26,7 @@
 /// may be longer than `most`.
 ///
 /// ```
-/// use quillhub_net::resp::command;
+/// use quillhub_server::resp::command;
 ///
 /// let input = b"*2\r\n$4\r\nECHO\r\n$2\r\nhi\r\n*1\r\n";
 /// assert_eq!(command(input, 9), Ok(Some((vec![&b"ECHO"[..], b"hi"], 22))));
--- a/crates/quillhub-net/tests/configurations.rs
+++ b/crates/quillhub-server/tests/configurations.rs
@@ -3,7 +3,7 @@
 //! `fixtures/complete.json` has every setting that is read. The other two fixtures are changes to it, each of one
 //! value by its JSON pointer; a change without a value takes the setting out.
 
-use quillhub_stand_ins::scratch::Folder;
+use quillhub_fakes::scratch::Folder;
 use serde_json::Value;
 use std::net::{TcpListener, UdpSocket};
 use std::path::{Path, PathBuf};
--- a/crates/quillhub-net/tests/crossings.rs
+++ b/crates/quillhub-server/tests/crossings.rs
@@ -1,11 +1,11 @@
 //! A real courier's process, told to stop or killed at each step of a notice's life, and started again on its folder.
 //! The signal follows an event that the endpoint, the platform or the client has seen; nothing is left to the clock.
 
-use quillhub_stand_ins::clients::{ask, command, ready};
-use quillhub_stand_ins::http::Served;
-use quillhub_stand_ins::process::Courier;
-use quillhub_stand_ins::scratch::{Folder, on_one_thread};
-use quillhub_stand_ins::scripted::full;
+use quillhub_fakes::clients::{ask, command, ready};
+use quillhub_fakes::http::Served;
+use quillhub_fakes::process::Courier;
+use quillhub_fakes::scratch::{Folder, on_one_thread};
+use quillhub_fakes::scripted::full;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
--- a/crates/quillhub-net/tests/day.rs
+++ b/crates/quillhub-server/tests/day.rs
@@ -1,10 +1,10 @@
 //! A short day on loopback with the stand-ins: whatever the timing, every notice ends once, and no mark runs twice.
 
-use quillhub_emulator::{Answered, Day, arrivals};
-use quillhub_stand_ins::clients::{self, Book, Due};
-use quillhub_stand_ins::endpoints::{self, What};
-use quillhub_stand_ins::platform::{self, Register};
-use quillhub_stand_ins::{configuration, scratch};
+use quillhub_simulator::{Answered, Day, arrivals};
+use quillhub_fakes::clients::{self, Book, Due};
+use quillhub_fakes::endpoints::{self, What};
+use quillhub_fakes::platform::{self, Register};
+use quillhub_fakes::{configuration, scratch};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::mpsc::unbounded_channel;
@@ -86,13 +86,13 @@
         let listen = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let known = register.borrow().list();
         let text = configuration::courier(day, 7, listen, at, known, 256).to_string();
-        quillhub_net::check(&text).unwrap();
+        quillhub_server::check(&text).unwrap();
         let (stop, stopped) = oneshot::channel::<()>();
         let path = folder.0.clone();
         let courier = std::thread::spawn(move || {
             scratch::on_one_thread(async {
                 let stop = async { drop(stopped.await) };
-                quillhub_net::serve(&text, &path, stop, std::future::pending).await
+                quillhub_server::serve(&text, &path, stop, std::future::pending).await
             })
         });
         assert!(clients::ready(listen, Duration::from_secs(30)).await);
--- a/crates/quillhub-net/tests/instance/mod.rs
+++ b/crates/quillhub-server/tests/instance/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)]
 
-use quillhub_stand_ins::scratch::Folder;
+use quillhub_fakes::scratch::Folder;
 use serde_json::{Value, json};
 use std::future::pending;
 use std::net::SocketAddr;
@@ -33,9 +33,9 @@
         let (stop, stopped) = oneshot::channel();
         let ended = spawn_local(async move {
             let told_to_stop = async { drop(stopped.await) };
-            quillhub_net::serve(&text, &state, told_to_stop, pending).await
+            quillhub_server::serve(&text, &state, told_to_stop, pending).await
         });
-        assert!(quillhub_stand_ins::clients::ready(listen, LONG).await);
+        assert!(quillhub_fakes::clients::ready(listen, LONG).await);
         Self { listen, stop, ended }
     }
 
--- a/crates/quillhub-net/tests/replies.rs
+++ b/crates/quillhub-server/tests/replies.rs
@@ -3,8 +3,8 @@
 mod instance;
 
 use instance::{Instance, LONG, classes, configuration, members};
-use quillhub_stand_ins::clients::command;
-use quillhub_stand_ins::scratch::{Folder, on_one_thread};
+use quillhub_fakes::clients::command;
+use quillhub_fakes::scratch::{Folder, on_one_thread};
 use std::net::SocketAddr;
 use std::path::Path;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/quillhub-net/tests/requests.rs
+++ b/crates/quillhub-server/tests/requests.rs
@@ -3,8 +3,8 @@
 mod instance;
 
 use instance::{Instance, LONG, classes, configuration, first_state_directory, members};
-use quillhub_stand_ins::clients::{ask, command};
-use quillhub_stand_ins::scratch::{Folder, on_one_thread};
+use quillhub_fakes::clients::{ask, command};
+use quillhub_fakes::scratch::{Folder, on_one_thread};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/quillhub-net/tests/restarts.rs
+++ b/crates/quillhub-server/tests/restarts.rs
@@ -1,11 +1,11 @@
 //! A real courier's process whose descriptors idle clients and calls without an answer want, and one that starts on a
 //! full state directory, each with discovery out of reach.
 
-use quillhub_stand_ins::clients::{ask, command, ready};
-use quillhub_stand_ins::http::Served;
-use quillhub_stand_ins::process::Courier;
-use quillhub_stand_ins::scratch::{Folder, on_one_thread};
-use quillhub_stand_ins::scripted::full;
+use quillhub_fakes::clients::{ask, command, ready};
+use quillhub_fakes::http::Served;
+use quillhub_fakes::process::Courier;
+use quillhub_fakes::scratch::{Folder, on_one_thread};
+use quillhub_fakes::scripted::full;
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/crates/quillhub-net/tests/state_directory.rs
+++ b/crates/quillhub-server/tests/state_directory.rs
@@ -3,8 +3,8 @@
 mod instance;
 
 use instance::{Instance, LONG, classes, configuration, first_state_directory, members};
-use quillhub_stand_ins::http::Served;
-use quillhub_stand_ins::scratch::on_one_thread;
+use quillhub_fakes::http::Served;
+use quillhub_fakes::scratch::on_one_thread;
 use serde_json::Value;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/quillhub-emulator/src/lib.rs
+++ b/crates/quillhub-simulator/src/lib.rs
@@ -7,7 +7,7 @@
 //! without knowing the module, and a [`Tally`] counts. All figures of the emulator are simulated.
 //!
 //! ```
-//! use quillhub_emulator::{Day, World, module};
+//! use quillhub_simulator::{Day, World, module};
 //!
 //! let text = r#"
 //!     length = "20 s"
--- a/crates/quillhub-emulator/tests/cold_return.rs
+++ b/crates/quillhub-simulator/tests/cold_return.rs
@@ -4,7 +4,7 @@
 //! that had seen a call fail, or be refused, there during the outage.
 
 use quillhub::{NoticeId, Outcome};
-use quillhub_emulator::{Day, Fact, Start, World, module};
+use quillhub_simulator::{Day, Fact, Start, World, module};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
--- a/crates/quillhub-emulator/tests/mutants.rs
+++ b/crates/quillhub-simulator/tests/mutants.rs
@@ -2,7 +2,7 @@
 //! caught under exactly the rule that it breaks; the module itself is clean on the same days.
 
 use quillhub::{DestinationId, Hands, Listing, NoticeId, Outcome};
-use quillhub_emulator::{Breach, Day, Decider, Input, Rule, Start, World, module};
+use quillhub_simulator::{Breach, Day, Decider, Input, Rule, Start, World, module};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,5 +1,5 @@
-//! All decisions of a courier. Its hosts call [`Courier`]: `crates/quillhub-drill` on the bench's wire,
-//! `crates/quillhub-net` on sockets. Its interface, the words and the trait [`Hands`], is in `lib.rs`.
+//! All decisions of a courier. Its hosts call [`Courier`]: `crates/quillhub-bench-adapter` on the bench's wire,
+//! `crates/quillhub-server` on sockets. Its interface, the words and the trait [`Hands`], is in `lib.rs`.
 //!
 //! A host tells one input at a time, after [`Courier::at`]; then [`Courier::settle`] goes through the rules,
 //! in order and again from the first, until none fires. docs/design.md says where each rule comes from.
