--- a/crates/quillhub-bench-adapter/src/reply.rs
+++ b/crates/quillhub-bench-adapter/src/reply.rs
@@ -1,7 +1,7 @@
 //! One courier's actions, written as lines of the reply being built.
 
 use base64::prelude::*;
-use quillhub::{Hands, NoticeId};
+use quillhub::{Driver, MessageId};
 use std::fmt::Write;
 use std::time::Duration;
 
@@ -16,37 +16,37 @@
     }
 }
 
-impl Hands for Reply<'_> {
-    fn send(&mut self, notice: NoticeId, endpoint: &str, patience: Duration) {
+impl Driver for Reply<'_> {
+    fn start_attempt(&mut self, message: MessageId, endpoint: &str, timeout: Duration) {
         // On this wire a time-out of 0 means none at all.
-        let patience = patience.as_micros().max(1);
-        self.add("ASSIGN", format_args!(" {notice} {endpoint} {patience}"));
+        let timeout = timeout.as_micros().max(1);
+        self.add("ASSIGN", format_args!(" {message} {endpoint} {timeout}"));
     }
 
-    fn deny(&mut self, notice: NoticeId, come_back: Option<Duration>) {
-        match come_back {
-            Some(wait) => self.add("SAY_NO", format_args!(" {notice} {}", wait.as_micros())),
-            None => self.add("SAY_NO", format_args!(" {notice} -")),
+    fn reject(&mut self, message: MessageId, retry_after: Option<Duration>) {
+        match retry_after {
+            Some(wait) => self.add("SAY_NO", format_args!(" {message} {}", wait.as_micros())),
+            None => self.add("SAY_NO", format_args!(" {message} -")),
         }
     }
 
-    fn write_off(&mut self, notice: NoticeId) {
-        self.add("LOSE", format_args!(" {notice}"));
+    fn abandon(&mut self, message: MessageId) {
+        self.add("LOSE", format_args!(" {message}"));
     }
 
-    fn hang_up(&mut self, endpoint: &str) {
+    fn close_idle_connections(&mut self, endpoint: &str) {
         self.add("HANG_UP", format_args!(" {endpoint}"));
     }
 
-    fn tell(&mut self, note: &[u8]) {
-        self.add("POST", format_args!(" * {}", BASE64_STANDARD.encode(note)));
+    fn broadcast(&mut self, gossip: &[u8]) {
+        self.add("POST", format_args!(" * {}", BASE64_STANDARD.encode(gossip)));
     }
 
-    fn wake(&mut self, wait: Duration) {
+    fn set_timer(&mut self, wait: Duration) {
         self.add("ARM", format_args!(" {} beat", wait.as_micros()));
     }
 
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.add("OBSERVE", format_args!(" 1"));
     }
 
--- a/crates/quillhub-bench-adapter/src/wire.rs
+++ b/crates/quillhub-bench-adapter/src/wire.rs
@@ -2,8 +2,9 @@
 
 use crate::reply::Reply;
 use base64::prelude::*;
-use quillhub::courier::Courier;
-use quillhub::{Listing, Outcome};
+use quillhub::{
+    AttemptOutcome, AttemptResult, Dispatcher, EndpointState, EndpointUpdate, LoadReport, NewMessage,
+};
 use quillhub_settings::{ReportPlaces, expected};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, Write};
@@ -60,7 +61,7 @@
 
 /// One courier, with its own start of time.
 struct Hosted {
-    courier: Courier,
+    courier: Dispatcher,
     places: ReportPlaces,
     start: u64,
 }
@@ -71,14 +72,15 @@
     }
 
     /// The share left and the limit, where the report tells both.
-    fn report(&self, text: Option<&str>) -> Result<Option<(f64, f64)>, String> {
+    fn load_report(&self, text: Option<&str>) -> Result<Option<LoadReport>, String> {
         let Some(text) = text else { return Ok(None) };
         let numbers: Result<Vec<f64>, _> = text.split(',').map(str::parse).collect();
         let Ok(numbers) = numbers else {
             return Err(expected("numbers set apart by commas as report", text));
         };
         let at = |place: Option<usize>| place.and_then(|place| numbers.get(place)).copied();
-        Ok(at(self.places.left).zip(at(self.places.limit)))
+        let values = at(self.places.left).zip(at(self.places.limit));
+        Ok(values.map(|(remaining_share, rate_limit)| LoadReport { remaining_share, rate_limit }))
     }
 }
 
@@ -92,17 +94,20 @@
     wanted: Option<(u64, usize)>,
 }
 
-fn listing(word: &str) -> Result<Listing, String> {
+fn listing(word: &str) -> Result<EndpointState, String> {
     match word {
-        "IN" => Ok(Listing::Open),
-        "LAME" => Ok(Listing::Draining),
-        "OUT" => Ok(Listing::Gone),
+        "IN" => Ok(EndpointState::Available),
+        "LAME" => Ok(EndpointState::Draining),
+        "OUT" => Ok(EndpointState::Removed),
         _ => Err(expected("IN, LAME or OUT as health", word)),
     }
 }
 
 /// Decodes one row of a list straight into `take`.
-fn row(line: &str, mut take: impl FnMut(&str, &str, &str, u64, Listing, Option<f64>)) -> Result<(), String> {
+fn row(
+    line: &str,
+    mut take: impl FnMut(&str, &str, &str, u64, EndpointState, Option<f64>),
+) -> Result<(), String> {
     let mut fields = Fields::of(line);
     let (name, zone, kind) = (fields.word("endpoint")?, fields.word("rackZone")?, fields.word("hw")?);
     let owner = fields.number("ownerNo")?;
@@ -114,16 +119,16 @@
     Ok(())
 }
 
-fn outcome(word: &str, note: u64) -> Result<Outcome, String> {
+fn outcome(word: &str, note: u64) -> Result<AttemptOutcome, String> {
     Ok(match word {
-        "ok" => Outcome::Handled,
-        "error" => Outcome::Error,
-        "full" => Outcome::Refused((note > 0).then(|| Duration::from_millis(note))),
-        "timeout" => Outcome::TimedOut,
-        "connect_failed" => Outcome::Unconnected,
-        "reset" => Outcome::Reset,
-        "cancelled" => Outcome::CalledOff,
-        "moot" => Outcome::Unsent,
+        "ok" => AttemptOutcome::Delivered,
+        "error" => AttemptOutcome::Failed,
+        "full" => AttemptOutcome::Rejected { retry_after: (note > 0).then(|| Duration::from_millis(note)) },
+        "timeout" => AttemptOutcome::TimedOut,
+        "connect_failed" => AttemptOutcome::ConnectFailed,
+        "reset" => AttemptOutcome::ConnectionReset,
+        "cancelled" => AttemptOutcome::Cancelled,
+        "moot" => AttemptOutcome::NotSent,
         _ => return Err(expected("an outcome", word)),
     })
 }
@@ -136,7 +141,7 @@
 ) -> Result<&'a mut Hosted, String> {
     let hosted = couriers.get_mut(name).ok_or_else(|| expected("a courier that was started", name))?;
     let now = hosted.since_start(clock);
-    hosted.courier.at(now);
+    hosted.courier.advance_to(now);
     Ok(hosted)
 }
 
@@ -183,7 +188,7 @@
         }
         fields.end()?;
         let hosted = courier(&mut self.couriers, name, self.clock)?;
-        hosted.courier.settle(&mut Reply { courier: name, lines: reply });
+        hosted.courier.apply_rules(&mut Reply { courier: name, lines: reply });
         Ok(())
     }
 
@@ -194,7 +199,7 @@
         let rows = list.and_then(|list| self.lists.get(&list));
         let courier = &mut courier(&mut self.couriers, name, self.clock)?.courier;
         if form == "failed" {
-            courier.list_failed();
+            courier.endpoint_list_failed();
             return Ok(());
         }
         if !["delta", "full", "cached"].contains(&form) {
@@ -210,10 +215,17 @@
         for line in rows {
             row(line, |name, zone, kind, owner, health, rate| {
                 names.insert(name.to_owned());
-                courier.listed(name, zone, kind, owner, health, rate);
+                courier.endpoint_updated(EndpointUpdate {
+                    name,
+                    zone,
+                    kind,
+                    destination: owner,
+                    state: health,
+                    listed_rate: rate,
+                });
             })?;
         }
-        courier.list_ends((form != "delta").then_some(&names), form != "cached");
+        courier.endpoint_list_ended((form != "delta").then_some(&names), form != "cached");
         Ok(())
     }
 
@@ -231,9 +243,16 @@
                 let owner = fields.number("addresseeNo")?;
                 fields.flag("update")?;
                 fields.flag("reconnect")?;
-                if !hosted.courier.notice(id, qos, key, limit, team, owner) {
-                    return Err(expected("the name of a class as qos", qos));
-                }
+                let message = NewMessage {
+                    id,
+                    service_class: qos,
+                    ordering_key: key,
+                    deadline: limit,
+                    tenant: team,
+                    destination: owner,
+                };
+                let accepted = hosted.courier.accept(message);
+                accepted.map_err(|_| expected("the name of a class as qos", qos))?;
             }
             "RESOLVED" => {
                 let (id, send) = (fields.number("ref")?, fields.number("try")?);
@@ -242,20 +261,27 @@
                 let took = Duration::from_micros(fields.number("durationUs")?);
                 let over = fields.flag("complete")?;
                 let outcome = outcome(word, fields.maybe_number("note")?.unwrap_or(0))?;
-                let report = hosted.report(fields.maybe("pressure")?)?;
-                hosted.courier.outcome(id, send, outcome, took, over, report);
+                let load_report = hosted.load_report(fields.maybe("pressure")?)?;
+                hosted.courier.attempt_ended(AttemptResult {
+                    message: id,
+                    attempt: send,
+                    outcome,
+                    duration: took,
+                    finished: over,
+                    load_report,
+                });
             }
             "TIMER" => {
                 fields.word("ctx")?;
-                hosted.courier.woken();
+                hosted.courier.timer_fired();
             }
-            "CLIENT_LEFT" => hosted.courier.over(fields.number("ref")?),
+            "CLIENT_LEFT" => hosted.courier.finish(fields.number("ref")?),
             // The result of a check, the start of a streamed answer: nothing that a courier goes by.
             "STATUS_BACK" => {
                 fields.word("endpoint")?;
                 outcome(fields.word("outcome")?, 0)?;
                 fields.maybe_number::<u64>("durationUs")?;
-                hosted.report(fields.maybe("pressure")?)?;
+                hosted.load_report(fields.maybe("pressure")?)?;
             }
             "MEMO" => {
                 fields.number::<u32>("from")?;
@@ -263,7 +289,7 @@
                 let Ok(note) = BASE64_STANDARD.decode(octets) else {
                     return Err(expected("base64 as octets", octets));
                 };
-                hosted.courier.told_by_courier(&note);
+                hosted.courier.gossip_received(&note);
             }
             _ => {
                 fields.number::<u64>("ref")?;
--- a/crates/quillhub-experiments/src/baselines.rs
+++ b/crates/quillhub-experiments/src/baselines.rs
@@ -1,7 +1,10 @@
 //! Deciders to compare the module with, and for nothing else: ways of repeating that the design's source weighs, each
 //! as plain as it can be, and an oracle that sees the true state of every endpoint.
 
-use quillhub::{DestinationId, Effect, Grade, Hands, Listing, NoticeId, Outcome};
+use quillhub::{
+    AttemptOutcome, AttemptResult, DestinationId, Driver, EndpointState, EndpointUpdate, MessageId,
+    NewMessage, RecoveredAttempts, RepeatSafety, ServiceClass,
+};
 use quillhub_simulator::{Decider, Input, Start, module};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -126,7 +129,7 @@
 struct Known {
     zone: String,
     owner: DestinationId,
-    listing: Listing,
+    listing: EndpointState,
     out: usize,
     /// As last seen by an oracle.
     room: usize,
@@ -174,32 +177,32 @@
     slots: usize,
     room: usize,
     most_sends: u32,
-    grades: Vec<(String, Grade)>,
+    grades: Vec<(String, ServiceClass)>,
     endpoints: BTreeMap<String, Known>,
     by_destination: BTreeMap<DestinationId, BTreeSet<String>>,
-    held: BTreeMap<NoticeId, Held>,
+    held: BTreeMap<MessageId, Held>,
     /// What is not out, by when it may go.
-    due: BTreeSet<(Duration, NoticeId)>,
+    due: BTreeSet<(Duration, MessageId)>,
     /// What is held, by when it must be answered.
-    ends: BTreeSet<(Duration, NoticeId)>,
+    ends: BTreeSet<(Duration, MessageId)>,
     /// Told waits; each goes when it is over.
     waits: BTreeMap<DestinationId, Duration>,
     /// First tries and repeats of the budget's span.
     sent: BTreeMap<DestinationId, Sent>,
     calls: usize,
     /// To be answered at the next settling.
-    over: Vec<NoticeId>,
+    over: Vec<MessageId>,
     beat: Option<Duration>,
 }
 
 impl Plain {
     /// Whether the grade lets `held` be sent to `zone` now.
     fn may_send(&self, held: &Held, zone: &str) -> bool {
-        match (&held.ran, self.grades[held.grade].1.effect) {
-            (None, _) | (_, Effect::Retriable) => true,
-            (Some(_), Effect::Binding) => false,
-            (Some((first, of)), Effect::Fingerprinted { memory, one_zone }) => {
-                self.now <= *first + memory && (!one_zone || of == zone)
+        match (&held.ran, self.grades[held.grade].1.repeat_safety) {
+            (None, _) | (_, RepeatSafety::Idempotent) => true,
+            (Some(_), RepeatSafety::AtMostOnce) => false,
+            (Some((first, of)), RepeatSafety::Deduplicated { window, per_zone }) => {
+                self.now <= *first + window && (!per_zone || of == zone)
             }
         }
     }
@@ -222,12 +225,14 @@
     }
 
     /// The endpoint for a notice: the one with the fewest calls out, by chance among equals; an oracle's has room.
-    fn endpoint(&mut self, id: NoticeId) -> Option<String> {
+    fn endpoint(&mut self, id: MessageId) -> Option<String> {
         let held = &self.held[&id];
         let oracle = self.named == Named::Oracle;
         let names = self.by_destination.get(&held.destination)?;
         let open = names.iter().map(|name| (name, &self.endpoints[name])).filter(|(_, known)| {
-            known.listing == Listing::Open && (!oracle || known.room > 0) && self.may_send(held, &known.zone)
+            known.listing == EndpointState::Available
+                && (!oracle || known.room > 0)
+                && self.may_send(held, &known.zone)
         });
         let load = |known: &Known| if oracle { usize::MAX - known.room } else { known.out };
         let least = open.clone().map(|(_, known)| load(known)).min()?;
@@ -236,20 +241,20 @@
         Some(best[at].clone())
     }
 
-    fn answer(&mut self, id: NoticeId, hands: &mut dyn Hands) {
+    fn answer(&mut self, id: MessageId, driver: &mut dyn Driver) {
         let Some(held) = self.held.remove(&id) else { return };
         self.due.remove(&(held.due, id));
         self.ends.remove(&(held.limit, id));
-        if held.ran.is_some() && self.grades[held.grade].1.effect == Effect::Binding {
-            hands.write_off(id);
+        if held.ran.is_some() && self.grades[held.grade].1.repeat_safety == RepeatSafety::AtMostOnce {
+            driver.abandon(id);
         } else {
-            hands.deny(id, None);
+            driver.reject(id, None);
         }
     }
 
     /// What may go now, first what came due first; an oracle takes what its contract time still covers before what
     /// it does not, and of each what is due sooner.
-    fn turns(&self) -> Vec<NoticeId> {
+    fn turns(&self) -> Vec<MessageId> {
         if self.calls >= self.slots {
             return Vec::new();
         }
@@ -259,33 +264,34 @@
             due.sort_by_key(|id| {
                 let held = &self.held[id];
                 let grade = &self.grades[held.grade].1;
-                let contract = (held.limit + grade.contract).saturating_sub(grade.limit);
+                let contract = (held.limit + grade.soft_deadline).saturating_sub(grade.deadline);
                 (self.now + USUAL > contract, contract)
             });
         }
         due
     }
 
-    fn put_off(&mut self, id: NoticeId, until: Duration) {
+    fn put_off(&mut self, id: MessageId, until: Duration) {
         let Some(held) = self.held.get_mut(&id) else { return };
         self.due.remove(&(held.due, id));
         held.due = until;
         self.due.insert((until, id));
     }
 
-    fn listed(&mut self, name: &str, zone: &str, owner: DestinationId, listing: Listing) {
+    fn endpoint_updated(&mut self, update: EndpointUpdate) {
+        let EndpointUpdate { name, zone, destination: owner, state: listing, .. } = update;
         self.by_destination.entry(owner).or_default().insert(name.into());
         let new = || Known { zone: zone.into(), owner, listing, out: 0, room: 0 };
         self.endpoints.entry(name.into()).or_insert_with(new).listing = listing;
     }
 
-    fn list_ends(&mut self, whole: Option<&BTreeSet<String>>) {
+    fn endpoint_list_ended(&mut self, whole: Option<&BTreeSet<String>>) {
         let by_destination = &mut self.by_destination;
         self.endpoints.retain(|name, known| {
             if whole.is_some_and(|names| !names.contains(name)) {
-                known.listing = Listing::Gone;
+                known.listing = EndpointState::Removed;
             }
-            let stays = known.listing != Listing::Gone || known.out > 0;
+            let stays = known.listing != EndpointState::Removed || known.out > 0;
             if !stays && let Some(names) = by_destination.get_mut(&known.owner) {
                 names.remove(name);
             }
@@ -293,9 +299,10 @@
         });
     }
 
-    fn notice(&mut self, id: NoticeId, grade: &str, limit: Duration, destination: DestinationId) {
-        let Some(grade) = self.grades.iter().position(|g| g.0 == grade) else { return };
-        let limit = limit.saturating_sub(MARGIN);
+    fn accept(&mut self, message: NewMessage) {
+        let NewMessage { id, service_class, deadline, destination, .. } = message;
+        let Some(grade) = self.grades.iter().position(|g| g.0 == service_class) else { return };
+        let limit = deadline.saturating_sub(MARGIN);
         let (now, endpoint) = (self.now, String::new());
         let held = Held { grade, destination, limit, sends: 0, due: now, started: now, endpoint, ran: None };
         self.held.insert(id, held);
@@ -306,18 +313,23 @@
         }
     }
 
-    fn sent_before(&mut self, id: NoticeId, sends: u32, ran: Option<(Duration, &str)>) {
-        let zone =
-            ran.and_then(|(_, name)| self.endpoints.get(name)).map_or(String::new(), |e| e.zone.clone());
+    fn recover(&mut self, id: MessageId, attempts: RecoveredAttempts) {
+        let ran = attempts.first_execution;
+        let endpoint = ran.and_then(|execution| self.endpoints.get(execution.endpoint));
+        let zone = endpoint.map_or(String::new(), |endpoint| endpoint.zone.clone());
         if let Some(held) = self.held.get_mut(&id) {
-            (held.sends, held.ran) = (sends, ran.map(|(at, _)| (at, zone)));
+            (held.sends, held.ran) = (attempts.count, ran.map(|execution| (execution.started, zone)));
         }
     }
 
-    fn outcome(&mut self, id: NoticeId, outcome: Outcome, over: bool) {
+    fn attempt_ended(&mut self, result: AttemptResult) {
+        let AttemptResult { message: id, outcome, finished: over, .. } = result;
         self.calls -= 1;
-        if let (Some(held), Outcome::Refused(Some(wait)) | Outcome::Unproven(Some(wait))) =
-            (self.held.get(&id), outcome)
+        if let (
+            Some(held),
+            AttemptOutcome::Rejected { retry_after: Some(wait) }
+            | AttemptOutcome::AmbiguousRejection { retry_after: Some(wait) },
+        ) = (self.held.get(&id), outcome)
         {
             let until = self.waits.entry(held.destination).or_default();
             *until = (*until).max(self.now + wait);
@@ -334,7 +346,7 @@
             self.ends.remove(&(limit, id));
             return;
         }
-        if !outcome.never_ran() && held.ran.is_none() {
+        if !outcome.never_executed() && held.ran.is_none() {
             held.ran = Some((held.started, zone));
         }
         let (sends, started) = (held.sends, held.started);
@@ -358,33 +370,29 @@
 
     fn tell(&mut self, input: Input) {
         match input {
-            Input::Listed { endpoint, zone, destination, listing, .. } => {
-                self.listed(endpoint, zone, destination, listing);
-            }
-            Input::ListEnds { snapshot, .. } => self.list_ends(snapshot),
-            Input::Message { id, grade, deadline, destination, .. } => {
-                self.notice(id, grade, deadline, destination);
-            }
-            Input::Recovered { id, attempts, may_have_run } => self.sent_before(id, attempts, may_have_run),
-            Input::Outcome { id, outcome, over, .. } => self.outcome(id, outcome, over),
-            Input::Woken => self.beat = self.beat.filter(|at| *at > self.now),
-            Input::ListFailed | Input::Gossip(_) => {}
+            Input::EndpointUpdated(update) => self.endpoint_updated(update),
+            Input::EndpointListEnded { snapshot, .. } => self.endpoint_list_ended(snapshot),
+            Input::Message(message) => self.accept(message),
+            Input::Recovered { message, attempts } => self.recover(message, attempts),
+            Input::AttemptEnded(result) => self.attempt_ended(result),
+            Input::TimerFired => self.beat = self.beat.filter(|at| *at > self.now),
+            Input::EndpointListFailed | Input::Gossip(_) => {}
         }
     }
 
-    fn may_go(&self, id: NoticeId, _: u32, now: Duration) -> bool {
+    fn may_go(&self, id: MessageId, _: u32, now: Duration) -> bool {
         let Some(held) = self.held.get(&id) else { return false };
-        let open = self.endpoints.get(&held.endpoint).is_some_and(|e| e.listing == Listing::Open);
+        let open = self.endpoints.get(&held.endpoint).is_some_and(|e| e.listing == EndpointState::Available);
         open && self.waits.get(&held.destination).is_none_or(|until| *until <= now)
     }
 
-    fn settle(&mut self, hands: &mut dyn Hands) {
+    fn settle(&mut self, driver: &mut dyn Driver) {
         for id in std::mem::take(&mut self.over) {
-            self.answer(id, hands);
+            self.answer(id, driver);
         }
         let now = self.now;
         while let Some((_, id)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
-            self.answer(id, hands);
+            self.answer(id, driver);
         }
         self.waits.retain(|_, until| *until > now);
         for id in self.turns() {
@@ -408,7 +416,7 @@
             };
             let timeout = if self.named == Named::Oracle { limit - now } else { self.of.timeout };
             let patience = timeout.min(limit - now);
-            hands.send(id, &name, patience);
+            driver.start_attempt(id, &name, patience);
             self.calls += 1;
             if self.named == Named::Budget {
                 self.sent.entry(destination).or_default().count(now, sends > 0);
@@ -425,7 +433,7 @@
         let next = next.map(|at| at.max(now + LOOK / 5));
         if let Some(at) = next.filter(|at| self.beat.is_none_or(|beat| beat > *at || beat <= now)) {
             self.beat = Some(at);
-            hands.wake(at - now);
+            driver.set_timer(at - now);
         }
     }
 
--- a/crates/quillhub-experiments/src/capacity/needs.rs
+++ b/crates/quillhub-experiments/src/capacity/needs.rs
@@ -3,9 +3,9 @@
 use super::evidence::{Evidence, Figure};
 use super::target::{self, *};
 use crate::scale::short;
-use quillhub_server::MOST_LINE;
 use quillhub_scale::figure;
 use quillhub_scale::plan::Slope::{self, Backlog, Changes, Couriers, Destinations};
+use quillhub_server::MOST_LINE;
 
 /// Microseconds of a second.
 const US: f64 = 1e6;
@@ -29,7 +29,7 @@
     Platform,
     /// The destinations.
     Endpoints,
-    /// Whoever hands in messages.
+    /// Whoever driver in messages.
     Clients,
     /// What the operators watch and measure with.
     Tools,
--- a/crates/quillhub-experiments/src/cost.rs
+++ b/crates/quillhub-experiments/src/cost.rs
@@ -4,7 +4,7 @@
 use crate::baselines;
 use crate::experiment::Planned;
 use crate::sweep::Run;
-use quillhub::{Hands, NoticeId};
+use quillhub::{Driver, MessageId};
 use quillhub_simulator::{Decider, Input, Report, Start, World};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -41,14 +41,14 @@
     fn tell(&mut self, input: Input) {
         self.time(|inner| inner.tell(input));
     }
-    fn may_go(&self, id: NoticeId, send: u32, now: Duration) -> bool {
+    fn may_go(&self, id: MessageId, send: u32, now: Duration) -> bool {
         let from = Instant::now();
         let goes = self.inner.may_go(id, send, now);
         self.spent.set(self.spent.get() + from.elapsed());
         goes
     }
-    fn settle(&mut self, hands: &mut dyn Hands) {
-        self.time(|inner| inner.settle(hands));
+    fn settle(&mut self, driver: &mut dyn Driver) {
+        self.time(|inner| inner.settle(driver));
     }
     fn wants_truth(&self) -> bool {
         self.inner.wants_truth()
--- a/crates/quillhub-experiments/src/experiment.rs
+++ b/crates/quillhub-experiments/src/experiment.rs
@@ -1,8 +1,8 @@
 //! Experiment files: reading them, and saying in one line what is wrong with one.
 
 use crate::baselines::{Baselines, Named};
-use quillhub_simulator::Day;
 use quillhub_scale::plan::position;
+use quillhub_simulator::Day;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::Path;
--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -5,12 +5,12 @@
 use crate::experiment::Planned;
 use crate::results::round;
 use hdrhistogram::Histogram;
-use quillhub_simulator::{Answered, Day, arrivals};
 use quillhub_fakes::clients::{self, Book, Due};
 use quillhub_fakes::endpoints::{self, Listed, Seen, What};
 use quillhub_fakes::platform::{self, Finally, Register};
 use quillhub_fakes::process::{Courier, Used};
 use quillhub_fakes::{configuration, scratch};
+use quillhub_simulator::{Answered, Day, arrivals};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -214,12 +214,12 @@
         let (mut handled, mut in_contract, mut earned, mut worth) = (0u64, 0u64, 0.0, 0.0);
         for order in &self.book.orders {
             let grade = self.day.grades[order.due.grade].grade();
-            worth += grade.earnings;
+            worth += grade.value;
             order.word.iter().for_each(|time| put(&mut word, time));
             if let Some((after, Answered::Handled)) = order.end {
                 handled += 1;
-                in_contract += u64::from(after <= grade.contract);
-                earned += grade.earnings * grade.left(after);
+                in_contract += u64::from(after <= grade.soft_deadline);
+                earned += grade.value * grade.value_share(after);
                 put(&mut end, &after);
             }
         }
--- a/crates/quillhub-experiments/src/sweep.rs
+++ b/crates/quillhub-experiments/src/sweep.rs
@@ -47,7 +47,8 @@
     }
 
     pub fn play(&self, run: &Run, seen: impl FnMut(Duration, &Fact)) -> Report {
-        let make = |start: &quillhub_simulator::Start| baselines::make(run.decider, &self.of.baselines, start);
+        let make =
+            |start: &quillhub_simulator::Start| baselines::make(run.decider, &self.of.baselines, start);
         World::run(&run.variant.day, run.seed, &make, seen)
     }
 
--- a/crates/quillhub-experiments/tests/article.rs
+++ b/crates/quillhub-experiments/tests/article.rs
@@ -1,9 +1,9 @@
 //! The source's worked examples, played in the emulator by the baselines. Minutes are counted as the article does: what
 //! is new in a minute is first repeated in the next, so its notices come in each minute's second half.
 
-use quillhub_simulator::{Fact, Report};
 use quillhub_experiments::baselines::{Baselines, ideal_gap};
 use quillhub_experiments::experiment::Planned;
+use quillhub_simulator::{Fact, Report};
 use std::time::Duration;
 
 /// A day with one destination, one courier without bounds and a network that takes no time.
--- a/crates/quillhub-experiments/tests/capacity.rs
+++ b/crates/quillhub-experiments/tests/capacity.rs
@@ -3,11 +3,11 @@
 
 use quillhub_experiments::capacity::evidence::Evidence;
 use quillhub_experiments::capacity::{self, needs};
+use quillhub_fakes::scratch::Folder;
 use quillhub_scale::figure;
 use quillhub_scale::machine::Machine;
 use quillhub_scale::plan::Slope;
 use quillhub_scale::results::Point;
-use quillhub_fakes::scratch::Folder;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
--- a/crates/quillhub-fakes/src/clients.rs
+++ b/crates/quillhub-fakes/src/clients.rs
@@ -55,7 +55,7 @@
     next: u64,
 }
 
-/// A run's book in its clients' hands.
+/// A run's book in its clients' driver.
 pub type Shared = Rc<RefCell<Book>>;
 
 impl Book {
@@ -81,7 +81,7 @@
     }
 }
 
-/// Hands in `dues`, each at its instant, over at most `connections` at once; ends when the last was handed in.
+/// Driver in `dues`, each at its instant, over at most `connections` at once; ends when the last was handed in.
 pub async fn play(book: Shared, courier: SocketAddr, dues: Vec<Due>, connections: usize, body: usize) {
     let pool =
         Rc::new(Pool { idle: RefCell::new(Vec::new()), places: Semaphore::new(connections.max(1)), courier });
--- a/crates/quillhub-fakes/src/configuration.rs
+++ b/crates/quillhub-fakes/src/configuration.rs
@@ -1,6 +1,6 @@
 //! The configuration of a courier for a day: the same figures as the emulator tells its deciders.
 
-use quillhub::Effect;
+use quillhub::RepeatSafety;
 use quillhub_simulator::{Day, RegisterForm};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -12,14 +12,14 @@
 
 fn class(of: &quillhub_simulator::GradeOf) -> Value {
     let grade = of.grade();
-    let (effect, memory, all) = match grade.effect {
-        Effect::Retriable => ("free", Duration::ZERO, true),
-        Effect::Fingerprinted { memory, one_zone } => ("guarded", memory, !one_zone),
-        Effect::Binding => ("single_shot", Duration::ZERO, true),
+    let (effect, memory, all) = match grade.repeat_safety {
+        RepeatSafety::Idempotent => ("free", Duration::ZERO, true),
+        RepeatSafety::Deduplicated { window, per_zone } => ("guarded", window, !per_zone),
+        RepeatSafety::AtMostOnce => ("single_shot", Duration::ZERO, true),
     };
     json!({"name": of.name, "effect": effect, "memorySpanUs": us(memory), "keyScope": if all { "all" } else { "group" },
-        "aimUs": us(grade.contract), "giveUpUs": us(grade.limit), "importance": grade.earnings,
-        "lateWorth": grade.late_share, "byArrival": grade.in_order})
+        "aimUs": us(grade.soft_deadline), "giveUpUs": us(grade.deadline), "importance": grade.value,
+        "lateWorth": grade.late_value_share, "byArrival": grade.ordered})
 }
 
 /// For one courier of `day` that listens at `listen`, with register and platform at `discovery` and the list `known`;
--- a/crates/quillhub-fakes/src/endpoints.rs
+++ b/crates/quillhub-fakes/src/endpoints.rs
@@ -168,9 +168,9 @@
             let now = place.started.elapsed();
             let (taken, _) = place.site.takes(server, now, &mut place.rng);
             place.calls += 1;
-            let report = place.site.report(server, now);
-            let report = report
-                .map_or(String::new(), |(left, limit)| format!("X-Load: x0={left:.3},x1={limit:.3}\r\n"));
+            let report = place.site.load_report(server, now).map_or(String::new(), |report| {
+                format!("X-Load: x0={:.3},x1={:.3}\r\n", report.remaining_share, report.rate_limit)
+            });
             (taken, place.calls, report)
         };
         match taken {
--- a/crates/quillhub-fakes/src/scripted.rs
+++ b/crates/quillhub-fakes/src/scripted.rs
@@ -18,7 +18,7 @@
 }
 
 /// Takes one call a connection: answers each with the next of `answers` and leaves the connection open, or
-/// closes it where that is empty. Hands out what was read.
+/// closes it where that is empty. Driver out what was read.
 pub async fn answering(answers: Vec<&'static [u8]>) -> (SocketAddr, UnboundedReceiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (at, (tell, told)) = (listener.local_addr().unwrap(), unbounded_channel());
--- a/crates/quillhub-scale/src/clients.rs
+++ b/crates/quillhub-scale/src/clients.rs
@@ -48,7 +48,7 @@
     Ok(word == "+OK")
 }
 
-/// Hands in `count` messages for destinations that hang, which follow the `healthy` ones, until `until` at the latest.
+/// Driver in `count` messages for destinations that hang, which follow the `healthy` ones, until `until` at the latest.
 pub async fn fill(
     at: SocketAddr,
     load: &Load,
@@ -86,7 +86,7 @@
     Ok(all)
 }
 
-/// Hands in one message for each of the destinations numbered from 1, as far as a courier keeps connections: what is
+/// Driver in one message for each of the destinations numbered from 1, as far as a courier keeps connections: what is
 /// measured later is not their opening. The number of messages handed in.
 pub async fn warm(
     at: SocketAddr,
--- a/crates/quillhub-scale/src/hollow.rs
+++ b/crates/quillhub-scale/src/hollow.rs
@@ -3,8 +3,9 @@
 
 use crate::settings;
 use crate::thread::Worker;
-use quillhub::courier::Courier;
-use quillhub::{Hands, Listing, NoticeId, Outcome};
+use quillhub::{
+    AttemptOutcome, AttemptResult, Dispatcher, Driver, EndpointState, EndpointUpdate, MessageId, NewMessage,
+};
 use quillhub_server::MOST_LINE;
 use quillhub_server::http::{self, Head};
 use quillhub_server::link::{Broken, Link};
@@ -78,43 +79,43 @@
 /// What the module asked for in one round.
 #[derive(Default)]
 struct Actions {
-    calls: Vec<NoticeId>,
-    ended: Vec<(NoticeId, bool)>,
+    calls: Vec<MessageId>,
+    ended: Vec<(MessageId, bool)>,
     gossip: Vec<Vec<u8>>,
     wakes: Vec<Duration>,
 }
 
-impl Hands for Actions {
-    fn send(&mut self, id: NoticeId, _endpoint: &str, _patience: Duration) {
+impl Driver for Actions {
+    fn start_attempt(&mut self, id: MessageId, _endpoint: &str, _patience: Duration) {
         self.calls.push(id);
     }
-    fn deny(&mut self, id: NoticeId, _come_back: Option<Duration>) {
+    fn reject(&mut self, id: MessageId, _come_back: Option<Duration>) {
         self.ended.push((id, true));
     }
-    fn write_off(&mut self, id: NoticeId) {
+    fn abandon(&mut self, id: MessageId) {
         self.ended.push((id, false));
     }
-    fn hang_up(&mut self, _endpoint: &str) {}
-    fn tell(&mut self, note: &[u8]) {
-        self.gossip.push(note.to_vec());
+    fn close_idle_connections(&mut self, _endpoint: &str) {}
+    fn broadcast(&mut self, gossip: &[u8]) {
+        self.gossip.push(gossip.to_vec());
     }
-    fn wake(&mut self, wait: Duration) {
+    fn set_timer(&mut self, wait: Duration) {
         self.wakes.push(wait);
     }
-    fn watch(&mut self) {}
+    fn watch_endpoints(&mut self) {}
     fn log(&mut self, _line: &str) {}
 }
 
 /// The state of one hollow courier.
 struct State {
-    courier: Courier,
+    courier: Dispatcher,
     started: Instant,
     wakes: BinaryHeap<Reverse<Instant>>,
     /// Calls of each message so far, by its id; ids count up.
-    calls: std::collections::BTreeMap<NoticeId, u32>,
-    finals: VecDeque<(NoticeId, bool)>,
+    calls: std::collections::BTreeMap<MessageId, u32>,
+    finals: VecDeque<(MessageId, bool)>,
     gossip: VecDeque<Vec<u8>>,
-    next: NoticeId,
+    next: MessageId,
 }
 
 struct Hollow {
@@ -129,7 +130,7 @@
 }
 
 impl Hollow {
-    fn event<T>(&self, event: impl FnOnce(&mut Courier) -> T) -> T {
+    fn event<T>(&self, event: impl FnOnce(&mut Dispatcher) -> T) -> T {
         let mut state = self.state.borrow_mut();
         let (told, calls) = self.round(&mut state, event);
         // Calls end at once, so what they lead to is told before anything else.
@@ -137,12 +138,19 @@
         while let Some(id) = calls.pop_front() {
             let nth = *state.calls.entry(id).and_modify(|calls| *calls += 1).or_insert(0);
             let handled = nth >= FAILED_CALLS;
-            let outcome = if handled { Outcome::Handled } else { Outcome::Unconnected };
+            let outcome = if handled { AttemptOutcome::Delivered } else { AttemptOutcome::ConnectFailed };
             if handled {
                 state.calls.remove(&id);
             }
             let more = self.round(&mut state, |courier| {
-                courier.outcome(id, nth, outcome, Duration::from_millis(1), handled, None);
+                courier.attempt_ended(AttemptResult {
+                    message: id,
+                    attempt: nth,
+                    outcome,
+                    duration: Duration::from_millis(1),
+                    finished: handled,
+                    load_report: None,
+                });
             });
             calls.extend(more.1);
         }
@@ -150,11 +158,11 @@
     }
 
     /// One event, and the calls that it leads to.
-    fn round<T>(&self, state: &mut State, event: impl FnOnce(&mut Courier) -> T) -> (T, Vec<NoticeId>) {
+    fn round<T>(&self, state: &mut State, event: impl FnOnce(&mut Dispatcher) -> T) -> (T, Vec<MessageId>) {
         let mut actions = Actions::default();
-        state.courier.at(state.started.elapsed());
+        state.courier.advance_to(state.started.elapsed());
         let told = event(&mut state.courier);
-        state.courier.settle(&mut actions);
+        state.courier.apply_rules(&mut actions);
         let now = Instant::now();
         if !actions.wakes.is_empty() {
             state.wakes.extend(actions.wakes.iter().map(|wait| Reverse(now + *wait)));
@@ -181,7 +189,16 @@
             state.next
         };
         let limit = self.state.borrow().started.elapsed() + deadline;
-        self.event(|courier| courier.notice(id, settings::CLASS, None, limit, None, destination));
+        let message = NewMessage {
+            id,
+            service_class: settings::CLASS,
+            ordering_key: None,
+            deadline: limit,
+            tenant: None,
+            destination,
+        };
+        let accepted = self.event(|courier| courier.accept(message));
+        accepted.expect("the settings have this service class");
     }
 
     /// Tells the module a list or changes of it.
@@ -195,15 +212,22 @@
         self.event(|courier| {
             for row in rows {
                 let listing = match row["phase"].as_str() {
-                    Some("up") => Listing::Open,
-                    Some("draining") => Listing::Draining,
-                    _ => Listing::Gone,
+                    Some("up") => EndpointState::Available,
+                    Some("draining") => EndpointState::Draining,
+                    _ => EndpointState::Removed,
                 };
                 let (name, zone, kind) = (word(row, "id"), word(row, "locality"), word(row, "flavor"));
                 let owner = row["cell"].as_u64().unwrap_or_default();
-                courier.listed(&name, &zone, &kind, owner, listing, row["size"].as_f64());
+                courier.endpoint_updated(EndpointUpdate {
+                    name: &name,
+                    zone: &zone,
+                    kind: &kind,
+                    destination: owner,
+                    state: listing,
+                    listed_rate: row["size"].as_f64(),
+                });
             }
-            courier.list_ends(whole.then_some(&names), true);
+            courier.endpoint_list_ended(whole.then_some(&names), true);
         });
         let since = self.common.beginning.elapsed().as_nanos() as u64;
         self.status.in_force_ns.store(since, Ordering::Release);
@@ -249,7 +273,7 @@
         let mut revision = None;
         loop {
             let _ = self.watch_once(&mut revision).await;
-            self.event(Courier::list_failed);
+            self.event(Dispatcher::endpoint_list_failed);
             sleep(PAUSE).await;
         }
     }
@@ -259,7 +283,7 @@
         loop {
             let (count, body) = {
                 let state = self.state.borrow();
-                let line = |(id, rejected): &(NoticeId, bool)| {
+                let line = |(id, rejected): &(MessageId, bool)| {
                     let result = if *rejected { "bounced" } else { "dead" };
                     format!("{{\"ref\":\"h{}-{id}\",\"result\":\"{result}\"}}\n", self.number)
                 };
@@ -300,7 +324,7 @@
             tokio::select! {
                 () = sleep_until(next.into()) => {
                     self.state.borrow_mut().wakes.pop();
-                    self.event(Courier::woken);
+                    self.event(Dispatcher::timer_fired);
                 }
                 () = self.timer.notified() => {}
             }
@@ -312,7 +336,7 @@
         loop {
             tokio::select! {
                 came = socket.recv_from(&mut octets) => if let Ok((length, _)) = came {
-                    self.event(|courier| courier.told_by_courier(&octets[..length]));
+                    self.event(|courier| courier.gossip_received(&octets[..length]));
                 },
                 () = self.gossip.notified() => {
                     let messages = std::mem::take(&mut self.state.borrow_mut().gossip);
@@ -339,7 +363,7 @@
 async fn live(common: Common, number: u64, status: Arc<Status>, socket: Rc<UdpSocket>) {
     let read = quillhub_settings::read(common.seed + number, &settings::decisions(common.couriers));
     let (mut courier, _) = read.expect("the rig's own settings can be read");
-    courier.one_a_call();
+    courier.disable_batching();
     let state = State {
         courier,
         started: Instant::now(),
--- a/crates/quillhub-scale/tests/counts.rs
+++ b/crates/quillhub-scale/tests/counts.rs
@@ -1,8 +1,8 @@
 //! Counts of a small fleet: they depend on its sizes alone, and on no clock.
 
+use quillhub_fakes::scratch::on_one_thread;
 use quillhub_scale::fleet::Fleet;
 use quillhub_scale::plan::Sizes;
-use quillhub_fakes::scratch::on_one_thread;
 use std::time::{Duration, Instant};
 
 const SIZES: Sizes = Sizes { destinations: 10, backlog: 0, couriers: 12, changes: 0 };
--- a/crates/quillhub-server/src/configuration.rs
+++ b/crates/quillhub-server/src/configuration.rs
@@ -1,6 +1,6 @@
 //! Reads the configuration, for each part its few values.
 
-use quillhub::courier::Courier;
+use quillhub::Dispatcher;
 use quillhub_settings::At;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -17,11 +17,11 @@
 }
 
 /// The courier, and whether answers hold reports that it goes by.
-pub fn courier(top: &At) -> Result<(Courier, bool), String> {
+pub fn courier(top: &At) -> Result<(Dispatcher, bool), String> {
     let seed = top.need("seed")?;
     let Ok(number) = u64::from_str_radix(seed.word()?, 16) else { return seed.wrong("a hexadecimal number") };
     let (mut courier, places) = quillhub_settings::read(number, top.need("settings")?.value)?;
-    courier.one_a_call(); // HTTP carries one notice in each
+    courier.disable_batching(); // HTTP carries one notice in each
     Ok((courier, places.left.is_some() && places.limit.is_some()))
 }
 
--- a/crates/quillhub-server/src/discovery.rs
+++ b/crates/quillhub-server/src/discovery.rs
@@ -4,7 +4,7 @@
 use crate::host::Host;
 use crate::http::{self, Framing};
 use crate::link::{Broken, Link};
-use quillhub::Listing;
+use quillhub::{EndpointState, EndpointUpdate};
 use quillhub_settings::At;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -30,17 +30,17 @@
 /// Bytes of a line that a courier takes from discovery: the whole list of a large deployment.
 pub const MOST_LINE: usize = 4 * 1024 * 1024;
 
-fn listing(phase: &At) -> Result<Listing, String> {
+fn listing(phase: &At) -> Result<EndpointState, String> {
     match phase.word()? {
-        "up" => Ok(Listing::Open),
-        "draining" => Ok(Listing::Draining),
-        "removed" => Ok(Listing::Gone),
+        "up" => Ok(EndpointState::Available),
+        "draining" => Ok(EndpointState::Draining),
+        "removed" => Ok(EndpointState::Removed),
         _ => phase.wrong("up, draining or removed"),
     }
 }
 
 /// One row, in the order in which it is told: name, address, zone and kind, owner, phase, rate.
-type Row<'a> = (&'a str, SocketAddr, [&'a str; 2], u64, Listing, Option<f64>);
+type Row<'a> = (&'a str, SocketAddr, [&'a str; 2], u64, EndpointState, Option<f64>);
 
 fn row<'a>(member: At<'a>) -> Result<Row<'a>, String> {
     let at = member.need("host_port")?.address()?;
@@ -70,7 +70,7 @@
     let (revision, whole, rows) = read(list)?;
     for (name, address, _, _, phase, _) in &rows {
         match phase {
-            Listing::Gone => host.endpoints.gone(name),
+            EndpointState::Removed => host.endpoints.gone(name),
             _ => host.endpoints.listed(name, *address),
         }
     }
@@ -80,9 +80,16 @@
     }
     host.event(|courier| {
         for (name, _, [zone, kind], owner, phase, rate) in rows {
-            courier.listed(name, zone, kind, owner, phase, rate);
+            courier.endpoint_updated(EndpointUpdate {
+                name,
+                zone,
+                kind,
+                destination: owner,
+                state: phase,
+                listed_rate: rate,
+            });
         }
-        courier.list_ends(whole.then_some(&names), asked);
+        courier.endpoint_list_ended(whole.then_some(&names), asked);
     });
     Ok(revision)
 }
@@ -252,7 +259,7 @@
         // Here, so that the courier is also told of what a panic has ended: it would never ask again.
         if progress.out.get() {
             forget(&wanted).await;
-            host.borrow_mut().event(|courier| courier.list_failed());
+            host.borrow_mut().event(|courier| courier.endpoint_list_failed());
             progress.out.set(false);
         }
         if must_be_asked && !progress.moved.get() {
--- a/crates/quillhub-server/src/endpoints.rs
+++ b/crates/quillhub-server/src/endpoints.rs
@@ -2,7 +2,7 @@
 
 use crate::http;
 use crate::link::Link;
-use quillhub::Outcome;
+use quillhub::{AttemptOutcome, LoadReport};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -48,39 +48,46 @@
     pub slots_taken: bool,
     /// Whether the connection was opened for this call.
     pub fresh: bool,
-    pub report: Option<(f64, f64)>,
+    pub load_report: Option<LoadReport>,
 }
 
 /// What a call's end means: the outcome, and whether the notice is over with it. Where answers hold `reports`,
 /// one without, to the first call of a connection, comes from the connections' table and not from the limit.
-pub fn outcome(end: &Result<Answer, Failed>, reports: bool) -> (Outcome, bool) {
+pub fn outcome(end: &Result<Answer, Failed>, reports: bool) -> (AttemptOutcome, bool) {
     match end {
-        Ok(Answer { status: 200, .. }) => (Outcome::Handled, true),
-        Ok(Answer { status: 503, slots_taken: true, whole: true, .. }) => (Outcome::Unsent, false),
-        Ok(Answer { status: 503, wait: None, whole: true, fresh: true, report: None, .. }) if reports => {
-            (Outcome::Crowded, false)
+        Ok(Answer { status: 200, .. }) => (AttemptOutcome::Delivered, true),
+        Ok(Answer { status: 503, slots_taken: true, whole: true, .. }) => (AttemptOutcome::NotSent, false),
+        Ok(Answer { status: 503, wait: None, whole: true, fresh: true, load_report: None, .. })
+            if reports =>
+        {
+            (AttemptOutcome::ConnectionLimit, false)
         }
-        Ok(Answer { status: 429 | 503, wait, whole: true, .. }) => (Outcome::Refused(*wait), false),
-        Ok(Answer { status: 429 | 503, wait, .. }) => (Outcome::Unproven(*wait), false),
-        Ok(Answer { status: 504 | 410, whole: false, .. }) => (Outcome::Reset, false),
-        Ok(Answer { status: 504, .. }) => (Outcome::Unsent, false),
-        Ok(Answer { status: 410, .. }) => (Outcome::Unsent, true),
-        Ok(_) => (Outcome::Error, false),
-        Err(Failed::Here) => (Outcome::Unsent, false),
-        Err(Failed::Unready) => (Outcome::Unconnected, false),
-        Err(Failed::Broken) => (Outcome::Reset, false),
-        Err(Failed::Silent) => (Outcome::TimedOut, false),
+        Ok(Answer { status: 429 | 503, wait, whole: true, .. }) => {
+            (AttemptOutcome::Rejected { retry_after: *wait }, false)
+        }
+        Ok(Answer { status: 429 | 503, wait, .. }) => {
+            (AttemptOutcome::AmbiguousRejection { retry_after: *wait }, false)
+        }
+        Ok(Answer { status: 504 | 410, whole: false, .. }) => (AttemptOutcome::ConnectionReset, false),
+        Ok(Answer { status: 504, .. }) => (AttemptOutcome::NotSent, false),
+        Ok(Answer { status: 410, .. }) => (AttemptOutcome::NotSent, true),
+        Ok(_) => (AttemptOutcome::Failed, false),
+        Err(Failed::Here) => (AttemptOutcome::NotSent, false),
+        Err(Failed::Unready) => (AttemptOutcome::ConnectFailed, false),
+        Err(Failed::Broken) => (AttemptOutcome::ConnectionReset, false),
+        Err(Failed::Silent) => (AttemptOutcome::TimedOut, false),
     }
 }
 
 /// The share of the limit that is left and the limit, from a report like `x0=0.4,x1=25`.
-pub fn report(text: &str) -> Option<(f64, f64)> {
+pub fn load_report(text: &str) -> Option<LoadReport> {
     let value = |name| {
         let pair = text.split(',').find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('='));
         pair?.trim().parse().ok().filter(|value: &f64| value.is_finite())
     };
     let (left, limit) = (value("x0")?, value("x1")?);
-    ((0.0..=1.0).contains(&left) && (0.0..=MOST_RATE).contains(&limit)).then_some((left, limit))
+    ((0.0..=1.0).contains(&left) && (0.0..=MOST_RATE).contains(&limit))
+        .then_some(LoadReport { remaining_share: left, rate_limit: limit })
 }
 
 fn failed_to_open(error: &io::Error) -> Failed {
@@ -161,7 +168,7 @@
         wait: None,
         slots_taken: false,
         fresh,
-        report: None,
+        load_report: None,
     };
     let kept = timeout(rest(), remainder(&mut link, &mut answer)).await.unwrap_or(false);
     (Ok(answer), kept.then_some(link))
@@ -175,7 +182,7 @@
     let wait = wait.and_then(|ms| Duration::try_from_secs_f64(ms / 1e3).ok());
     answer.wait = wait.filter(|wait| !wait.is_zero());
     answer.slots_taken = head.header("x-egress-full").is_some_and(|full| full.trim() == "1");
-    answer.report = head.header("x-load").and_then(report);
+    answer.load_report = head.header("x-load").and_then(load_report);
     let Ok(framing) = head.framing() else { return false };
     if link.body(framing, MOST_BODY).await.is_err() {
         return false;
--- a/crates/quillhub-server/src/endpoints_tests.rs
+++ b/crates/quillhub-server/src/endpoints_tests.rs
@@ -5,7 +5,7 @@
 use tokio::task::spawn_local;
 
 /// The end of one call to a stand-in that answers so, and whether its connection is kept.
-fn end(answer: &'static [u8]) -> (Outcome, bool, bool) {
+fn end(answer: &'static [u8]) -> (AttemptOutcome, bool, bool) {
     on_one_thread(async {
         let (at, _told) = answering(vec![answer]).await;
         let (end, link) = call(None, at, LONG, LONG, |_| b"x".to_vec(), || true).await;
@@ -18,25 +18,55 @@
 fn each_answer_has_its_outcome() {
     let wait = Some(Duration::from_millis(1500));
     for (answer, outcome, over, kept) in [
-        (OK, Outcome::Handled, true, true),
-        (&b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"[..], Outcome::Handled, true, false),
-        (b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", Outcome::Handled, true, false),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nstray", Outcome::Handled, true, false),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", Outcome::Handled, true, true),
-        (b"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", Outcome::Error, false, true),
+        (OK, AttemptOutcome::Delivered, true, true),
+        (
+            &b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"[..],
+            AttemptOutcome::Delivered,
+            true,
+            false,
+        ),
+        (
+            b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+            AttemptOutcome::Delivered,
+            true,
+            false,
+        ),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nstray", AttemptOutcome::Delivered, true, false),
+        (
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+            AttemptOutcome::Delivered,
+            true,
+            true,
+        ),
+        (b"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", AttemptOutcome::Failed, false, true),
         (
             b"HTTP/1.1 429 x\r\nX-Backoff-Ms: 1500\r\nContent-Length: 0\r\n\r\n",
-            Outcome::Refused(wait),
+            AttemptOutcome::Rejected { retry_after: wait },
+            false,
+            true,
+        ),
+        (
+            b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n",
+            AttemptOutcome::Rejected { retry_after: None },
             false,
             true,
         ),
-        (b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", Outcome::Refused(None), false, true),
-        (b"HTTP/1.1 503 x\r\nX-Egress-Full: 1\r\nContent-Length: 0\r\n\r\n", Outcome::Unsent, false, true),
-        (b"HTTP/1.1 504 x\r\nContent-Length: 0\r\n\r\n", Outcome::Unsent, false, true),
-        (b"HTTP/1.1 410 x\r\nContent-Length: 0\r\n\r\n", Outcome::Unsent, true, true),
-        (b"HTTP/1.1 100 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", Outcome::Handled, true, true),
-        (b"", Outcome::Reset, false, false),
-        (b"RESP", Outcome::Reset, false, false),
+        (
+            b"HTTP/1.1 503 x\r\nX-Egress-Full: 1\r\nContent-Length: 0\r\n\r\n",
+            AttemptOutcome::NotSent,
+            false,
+            true,
+        ),
+        (b"HTTP/1.1 504 x\r\nContent-Length: 0\r\n\r\n", AttemptOutcome::NotSent, false, true),
+        (b"HTTP/1.1 410 x\r\nContent-Length: 0\r\n\r\n", AttemptOutcome::NotSent, true, true),
+        (
+            b"HTTP/1.1 100 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+            AttemptOutcome::Delivered,
+            true,
+            true,
+        ),
+        (b"", AttemptOutcome::ConnectionReset, false, false),
+        (b"RESP", AttemptOutcome::ConnectionReset, false, false),
     ] {
         assert_eq!(end(answer), (outcome, over, kept), "{}", String::from_utf8_lossy(answer));
     }
@@ -49,11 +79,11 @@
     let reporting = &b"HTTP/1.1 503 x\r\nX-Load: x0=0,x1=9\r\nContent-Length: 0\r\n\r\n"[..];
     let waiting = &b"HTTP/1.1 503 x\r\nX-Backoff-Ms: 9\r\nContent-Length: 0\r\n\r\n"[..];
     for (answer, fresh, reports, meant) in [
-        (bare, true, true, Outcome::Crowded),
-        (bare, true, false, Outcome::Refused(None)),
-        (bare, false, true, Outcome::Refused(None)),
-        (reporting, true, true, Outcome::Refused(None)),
-        (waiting, true, true, Outcome::Refused(Some(Duration::from_millis(9)))),
+        (bare, true, true, AttemptOutcome::ConnectionLimit),
+        (bare, true, false, AttemptOutcome::Rejected { retry_after: None }),
+        (bare, false, true, AttemptOutcome::Rejected { retry_after: None }),
+        (reporting, true, true, AttemptOutcome::Rejected { retry_after: None }),
+        (waiting, true, true, AttemptOutcome::Rejected { retry_after: Some(Duration::from_millis(9)) }),
     ] {
         on_one_thread(async {
             let (at, _told) = answering(vec![answer]).await;
@@ -68,35 +98,47 @@
 fn a_spoilt_answer_proves_nothing_but_a_first_line_with_200_and_holds_its_call_no_longer() {
     let wait = Some(Duration::from_millis(1500));
     for (answer, outcome, over) in [
-        (&b"HTTP/1.1 200 OK\r\nCont\0ent: \xff"[..], Outcome::Handled, true),
-        (b"HTTP/1.1 200 OK\r\nA: b", Outcome::Handled, true),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", Outcome::Handled, true),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", Outcome::Handled, true),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", Outcome::Handled, true),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n", Outcome::Handled, true),
-        (b"HTTP/1.1 200", Outcome::Reset, false),
-        (b"HTTP/1.1 2000 \r\n\r\n", Outcome::Reset, false),
-        (b"\x16\x03\x01", Outcome::Reset, false),
+        (&b"HTTP/1.1 200 OK\r\nCont\0ent: \xff"[..], AttemptOutcome::Delivered, true),
+        (b"HTTP/1.1 200 OK\r\nA: b", AttemptOutcome::Delivered, true),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", AttemptOutcome::Delivered, true),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", AttemptOutcome::Delivered, true),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", AttemptOutcome::Delivered, true),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n", AttemptOutcome::Delivered, true),
+        (b"HTTP/1.1 200", AttemptOutcome::ConnectionReset, false),
+        (b"HTTP/1.1 2000 \r\n\r\n", AttemptOutcome::ConnectionReset, false),
+        (b"\x16\x03\x01", AttemptOutcome::ConnectionReset, false),
         (
             b"HTTP/1.1 429 x\r\nX-Backoff-Ms: 1500\r\nContent-Length: 9\r\n\r\n",
-            Outcome::Unproven(wait),
+            AttemptOutcome::AmbiguousRejection { retry_after: wait },
+            false,
+        ),
+        (
+            b"HTTP/1.1 429 x\r\nX-Backoff-Ms: 1500\r\n",
+            AttemptOutcome::AmbiguousRejection { retry_after: None },
             false,
         ),
-        (b"HTTP/1.1 429 x\r\nX-Backoff-Ms: 1500\r\n", Outcome::Unproven(None), false),
         (
             b"HTTP/1.1 429 x\r\nX-Backoff-Ms: 1500\r\nContent-Length: 0\r\n\r\nnoise",
-            Outcome::Unproven(wait),
+            AttemptOutcome::AmbiguousRejection { retry_after: wait },
             false,
         ),
         (
             b"HTTP/1.1 429 x\r\nX-Backoff-Ms: 1500\r\nContent-Length: 0\r\n\r\nHTTP/1.1 429 x\r\n",
-            Outcome::Refused(wait),
+            AttemptOutcome::Rejected { retry_after: wait },
+            false,
+        ),
+        (
+            b"HTTP/1.1 503 x\r\nContent-Length: 0\r\nContent-Length: 1\r\n\r\n",
+            AttemptOutcome::AmbiguousRejection { retry_after: None },
+            false,
+        ),
+        (
+            b"HTTP/1.1 503 x\r\nX-Egress-Full: 1\r\nContent-Length: x\r\n\r\n",
+            AttemptOutcome::AmbiguousRejection { retry_after: None },
             false,
         ),
-        (b"HTTP/1.1 503 x\r\nContent-Length: 0\r\nContent-Length: 1\r\n\r\n", Outcome::Unproven(None), false),
-        (b"HTTP/1.1 503 x\r\nX-Egress-Full: 1\r\nContent-Length: x\r\n\r\n", Outcome::Unproven(None), false),
-        (b"HTTP/1.1 504 x\r\nContent-Length: 7\r\n\r\n", Outcome::Reset, false),
-        (b"HTTP/1.1 410 x\r\nContent-Length: +0\r\n\r\n", Outcome::Reset, false),
+        (b"HTTP/1.1 504 x\r\nContent-Length: 7\r\n\r\n", AttemptOutcome::ConnectionReset, false),
+        (b"HTTP/1.1 410 x\r\nContent-Length: +0\r\n\r\n", AttemptOutcome::ConnectionReset, false),
     ] {
         assert_eq!(end(answer), (outcome, over, false), "{}", String::from_utf8_lossy(answer));
     }
@@ -128,19 +170,27 @@
         assert!(matches!(end, Err(Failed::Here)) && link.is_some());
         let ends = [Failed::Here, Failed::Unready, Failed::Broken, Failed::Silent]
             .map(|end| outcome(&Err(end), true).0);
-        let meant = [Outcome::Unsent, Outcome::Unconnected, Outcome::Reset, Outcome::TimedOut];
+        let meant = [
+            AttemptOutcome::NotSent,
+            AttemptOutcome::ConnectFailed,
+            AttemptOutcome::ConnectionReset,
+            AttemptOutcome::TimedOut,
+        ];
         assert_eq!(ends, meant);
     });
 }
 
 #[test]
 fn a_report_is_taken_where_both_values_are_told() {
-    assert_eq!(report("x0=0.4,x1=25"), Some((0.4, 25.0)));
-    assert_eq!(report("other=1, x1=0 ,x0=1"), Some((1.0, 0.0)));
+    assert_eq!(load_report("x0=0.4,x1=25"), Some(LoadReport { remaining_share: 0.4, rate_limit: 25.0 }));
+    assert_eq!(
+        load_report("other=1, x1=0 ,x0=1"),
+        Some(LoadReport { remaining_share: 1.0, rate_limit: 0.0 })
+    );
     let none =
         ["x0=0.4", "x0=a,x1=2", "x0=NaN,x1=2", "", "xx0=1,x1=2", "x0=1,x1=-2", "x0=7,x1=2", "x0=1,x1=1e300"];
     for text in none {
-        assert_eq!(report(text), None, "{text}");
+        assert_eq!(load_report(text), None, "{text}");
     }
 }
 
--- a/crates/quillhub-server/src/host.rs
+++ b/crates/quillhub-server/src/host.rs
@@ -4,8 +4,9 @@
 use crate::http;
 use crate::peers::Peers;
 use crate::wal::{self, Owed, Wal};
-use quillhub::courier::Courier;
-use quillhub::{Hands, NoticeId};
+use quillhub::{
+    AttemptResult, Dispatcher, Driver, MessageId, NewMessage, PossibleExecution, RecoveredAttempts,
+};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::panic::{AssertUnwindSafe, catch_unwind, resume_unwind};
@@ -36,7 +37,7 @@
 /// How taking on a notice ended.
 #[derive(Debug, PartialEq)]
 pub enum Taken {
-    On(NoticeId),
+    On(MessageId),
     Denied(Option<Duration>),
     Failed(&'static str),
     /// What was handed in cannot be a notice.
@@ -45,7 +46,7 @@
 
 /// A final answer for the platform: the notice, its own name for it, and the wait of a denial.
 pub struct Final {
-    pub id: NoticeId,
+    pub id: MessageId,
     pub reference: Box<[u8]>,
     pub denied: bool,
     pub come_back: Option<Duration>,
@@ -61,11 +62,11 @@
 pub struct Host {
     me: Weak<RefCell<Host>>,
     /// Out of its place only while it is told something.
-    courier: Option<Courier>,
+    courier: Option<Dispatcher>,
     started: Instant,
     /// What the courier's clock showed at `started`: it begins with what is owed from before.
     before: Duration,
-    notices: BTreeMap<NoticeId, Notice>,
+    notices: BTreeMap<MessageId, Notice>,
     /// The clients' names for what is held, and for what is over since a short while; these in turn, with when.
     references: BTreeSet<Box<[u8]>>,
     past: VecDeque<(Duration, Box<[u8]>)>,
@@ -99,7 +100,7 @@
 impl Host {
     /// `connecting` bounds the opening of a connection; `reports` says whether answers hold reports.
     pub fn new(
-        courier: Courier,
+        courier: Dispatcher,
         wal: Wal,
         endpoints: Endpoints,
         connecting: Duration,
@@ -136,7 +137,7 @@
     /// would take the descriptors of discovery, the platform and the state directory.
     pub fn bound_connections(&mut self, most: usize) {
         self.most_connections = most;
-        self.event(|courier| courier.most_calls(most));
+        self.event(|courier| courier.cap_concurrency(most));
     }
 
     fn now(&self) -> Duration {
@@ -144,14 +145,14 @@
     }
 
     /// Tells the courier what happened, and lets it act. A panic in there ends only the task that told it.
-    pub fn event<T>(&mut self, event: impl FnOnce(&mut Courier) -> T) -> T {
+    pub fn event<T>(&mut self, event: impl FnOnce(&mut Dispatcher) -> T) -> T {
         let mut courier = self.courier.take().expect("it is put back below, after a panic too");
         let now = self.now();
         let told = catch_unwind(AssertUnwindSafe(|| {
-            courier.at(now);
+            courier.advance_to(now);
             let told = event(&mut courier);
             if !self.closing {
-                courier.settle(self);
+                courier.apply_rules(self);
             }
             told
         }));
@@ -160,7 +161,7 @@
     }
 
     /// Takes back what was owed when the last process ended; what is answered goes to the platform first.
-    pub fn take_back(&mut self, all: BTreeMap<NoticeId, Owed>) {
+    pub fn take_back(&mut self, all: BTreeMap<MessageId, Owed>) {
         let wall = SystemTime::now();
         // Against a clock that was set back meanwhile: how long ago that was is not known, so that no memory of it
         // is counted on. May write off what a repeat would have saved.
@@ -187,15 +188,25 @@
         self.finals_wait.notify_one();
         let unknown = self.event(|courier| {
             held.retain(|(id, grade, turn, limit, destination, sends, first)| {
-                let known = courier.notice(*id, grade, *turn, *limit, None, *destination);
-                courier.sent_before(*id, *sends, first.as_ref().map(|(at, name)| (*at, name.as_str())));
-                !known
+                let accepted = courier.accept(NewMessage {
+                    id: *id,
+                    service_class: grade,
+                    ordering_key: *turn,
+                    deadline: *limit,
+                    tenant: None,
+                    destination: *destination,
+                });
+                let first_execution = first
+                    .as_ref()
+                    .map(|(started, endpoint)| PossibleExecution { started: *started, endpoint });
+                courier.recover(*id, RecoveredAttempts { count: *sends, first_execution });
+                accepted.is_err()
             });
             held
         });
         for (id, grade, ..) in unknown {
             tracing::error!(notice = id, grade, "owed, but of no known grade: written off");
-            self.write_off(id);
+            self.abandon(id);
         }
     }
 
@@ -220,7 +231,7 @@
         if self.references.contains(reference) {
             return Taken::Unusable("the id is held already");
         }
-        if !self.courier.as_ref().is_some_and(|courier| courier.knows(destination)) {
+        if !self.courier.as_ref().is_some_and(|courier| courier.knows_destination(destination)) {
             return Taken::Unusable("unknown destination");
         }
         let id = self.wal.number();
@@ -240,11 +251,18 @@
         self.notices.insert(id, notice);
         self.turned_away = None;
         let limit = self.now() + lasts;
-        let known = self.event(|courier| {
-            courier.folder_room(room);
-            courier.notice(id, grade, turn, limit, None, destination)
+        let accepted = self.event(|courier| {
+            courier.set_storage_room(room);
+            courier.accept(NewMessage {
+                id,
+                service_class: grade,
+                ordering_key: turn,
+                deadline: limit,
+                tenant: None,
+                destination,
+            })
         });
-        if !known {
+        if accepted.is_err() {
             self.notices.remove(&id);
             return Taken::Unusable("unknown grade");
         }
@@ -262,7 +280,7 @@
         Taken::On(id)
     }
 
-    fn file(&mut self, id: NoticeId) -> std::io::Result<()> {
+    fn file(&mut self, id: MessageId) -> std::io::Result<()> {
         let Some(notice) = self.notices.get_mut(&id) else { return Ok(()) };
         if let Some(record) = &notice.unfiled {
             self.wal.taken(id, record)?;
@@ -272,14 +290,14 @@
     }
 
     /// The client left before it heard that its notice is taken on, or the notice is over for other reasons.
-    pub fn gone(&mut self, id: NoticeId) {
+    pub fn gone(&mut self, id: MessageId) {
         if let Some(notice) = self.notices.remove(&id) {
             self.references.remove(&notice.reference);
             if notice.unfiled.is_none() {
                 log_failed("an end", self.wal.over(id));
             }
         }
-        self.event(|courier| courier.over(id));
+        self.event(|courier| courier.finish(id));
     }
 
     /// The platform has these final answers: nothing is owed any more.
@@ -291,7 +309,7 @@
     }
 
     /// A final answer of the courier: the client's, if it still waits for the first, or else the platform's.
-    fn answer(&mut self, id: NoticeId, denied: bool, come_back: Option<Duration>) {
+    fn answer(&mut self, id: MessageId, denied: bool, come_back: Option<Duration>) {
         let Some(notice) = self.notices.remove(&id) else { return };
         tracing::debug!(notice = id, denied, ?come_back, sends = notice.sends, "given up");
         if notice.unfiled.is_some() {
@@ -304,30 +322,39 @@
         self.finals_wait.notify_one();
     }
 
-    fn ended(&mut self, id: NoticeId, send: u32, name: &str, end: Result<Answer, Failed>, took: Duration) {
+    fn ended(&mut self, id: MessageId, send: u32, name: &str, end: Result<Answer, Failed>, took: Duration) {
         self.calls -= 1;
         let took = end.as_ref().map_or(took, |answer| answer.took);
         let (outcome, over) = endpoints::outcome(&end, self.reports);
-        let report = end.as_ref().ok().and_then(|answer| answer.report).filter(|_| self.reports);
-        tracing::debug!(notice = id, send, endpoint = name, ?outcome, ?took, ?report, "call ended");
+        let load_report = end.as_ref().ok().and_then(|answer| answer.load_report).filter(|_| self.reports);
+        tracing::debug!(notice = id, send, endpoint = name, ?outcome, ?took, ?load_report, "call ended");
         if self.notices.contains_key(&id) {
             if over {
                 log_failed("an end", self.wal.over(id));
                 let reference = self.notices.remove(&id).map(|notice| notice.reference);
                 self.past.extend(reference.map(|reference| (self.now(), reference)));
-            } else if outcome.never_ran() {
+            } else if outcome.never_executed() {
                 log_failed("an outcome", self.wal.did_not_run(id, send));
             }
         }
-        self.event(|courier| courier.outcome(id, send, outcome, took, over, report));
+        self.event(|courier| {
+            courier.attempt_ended(AttemptResult {
+                message: id,
+                attempt: send,
+                outcome,
+                duration: took,
+                finished: over,
+                load_report,
+            })
+        });
     }
 
     /// Asked before a call's first byte: whether the courier still wants it to go; if so, it is on file from now on that
     /// it may have run. None begins once the process is about to end: it would be cut off, and may have run; held
     /// back, it is tried by the next one.
-    fn begins(&mut self, id: NoticeId, send: u32, endpoint: &str) -> bool {
+    fn begins(&mut self, id: MessageId, send: u32, endpoint: &str) -> bool {
         let now = self.now();
-        if self.closing || !self.courier.as_ref().is_some_and(|courier| courier.may_go(id, send, now)) {
+        if self.closing || !self.courier.as_ref().is_some_and(|courier| courier.may_begin(id, send, now)) {
             return false;
         }
         let filed = self.wal.may_have_run(id, send, SystemTime::now(), endpoint);
@@ -347,14 +374,14 @@
     }
 }
 
-impl Hands for Host {
-    fn send(&mut self, id: NoticeId, endpoint: &str, patience: Duration) {
+impl Driver for Host {
+    fn start_attempt(&mut self, id: MessageId, endpoint: &str, timeout: Duration) {
         let started = Instant::now();
         let filed = self.file(id);
-        let Some(notice) = self.notices.get_mut(&id) else { return };
-        let send = notice.sends;
-        notice.sends += 1;
-        let (reference, mark, body) = (notice.reference.clone(), notice.mark.clone(), notice.body.clone());
+        let Some(message) = self.notices.get_mut(&id) else { return };
+        let send = message.sends;
+        message.sends += 1;
+        let (reference, mark, body) = (message.reference.clone(), message.mark.clone(), message.body.clone());
         let address = self.endpoints.address(endpoint);
         let host = address.map(|at| at.to_string()).unwrap_or_default();
         let request = move |waits: Duration| {
@@ -365,20 +392,20 @@
             http::request("POST", "/events", &host, &headers, &body)
         };
         let on_file = filed.is_ok();
-        log_failed("a notice", filed);
+        log_failed("a message", filed);
         let link = self.endpoints.take(endpoint);
         if link.is_none() {
             self.endpoints.close_oldest_beyond(self.most_connections.saturating_sub(self.calls + 1));
         }
         let (me, name, connecting) = (self.me.clone(), endpoint.to_owned(), self.connecting);
         self.calls += 1;
-        tracing::debug!(notice = id, send, endpoint, ?patience, kept = link.is_some(), "call goes");
+        tracing::debug!(message = id, send, endpoint, ?timeout, kept = link.is_some(), "call goes");
         spawn_local(async move {
             let (asked, to) = (me.clone(), name.clone());
             let goes = move || asked.upgrade().is_some_and(|host| host.borrow_mut().begins(id, send, &to));
             let call = spawn_local(async move {
                 match address.filter(|_| on_file) {
-                    Some(at) => endpoints::call(link, at, connecting, patience, request, goes).await,
+                    Some(at) => endpoints::call(link, at, connecting, timeout, request, goes).await,
                     None => (Err(Failed::Here), None),
                 }
             });
@@ -393,35 +420,35 @@
         });
     }
 
-    fn deny(&mut self, id: NoticeId, come_back: Option<Duration>) {
-        self.answer(id, true, come_back);
+    fn reject(&mut self, id: MessageId, retry_after: Option<Duration>) {
+        self.answer(id, true, retry_after);
     }
 
-    fn write_off(&mut self, id: NoticeId) {
+    fn abandon(&mut self, id: MessageId) {
         self.answer(id, false, None);
     }
 
-    fn hang_up(&mut self, endpoint: &str) {
+    fn close_idle_connections(&mut self, endpoint: &str) {
         self.endpoints.hang_up(endpoint);
     }
 
-    fn tell(&mut self, note: &[u8]) {
+    fn broadcast(&mut self, gossip: &[u8]) {
         if let Some(peers) = &self.peers {
-            peers.tell(note);
+            peers.tell(gossip);
         }
     }
 
-    fn wake(&mut self, wait: Duration) {
+    fn set_timer(&mut self, wait: Duration) {
         let me = self.me.clone();
         spawn_local(async move {
             tokio::time::sleep(wait).await;
             if let Some(host) = me.upgrade() {
-                host.borrow_mut().event(Courier::woken);
+                host.borrow_mut().event(Dispatcher::timer_fired);
             }
         });
     }
 
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.watch_wanted.notify_one();
     }
 
--- a/crates/quillhub-server/src/host_tests.rs
+++ b/crates/quillhub-server/src/host_tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::stand_in::{Folder, OK, answering, full, host, on_one_thread};
-use quillhub::{Listing, Outcome};
+use quillhub::{AttemptOutcome, EndpointState, EndpointUpdate};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
 use tokio::net::TcpListener;
 
 const LASTS: Duration = Duration::from_secs(9);
 
-/// Hands in a notice with an id of its own.
+/// Driver in a notice with an id of its own.
 fn take(host: &RefCell<Host>, grade: &str) -> Taken {
     take_with(host, grade, b"\0body")
 }
@@ -70,7 +70,7 @@
         let (at, _listener) = silent().await;
         let first = host(&folder, at);
         take(&first, "free");
-        first.borrow_mut().deny(1, Some(Duration::from_millis(500)));
+        first.borrow_mut().reject(1, Some(Duration::from_millis(500)));
         drop(first);
         let second = host(&folder, at);
         second.borrow_mut().event(|_| ());
@@ -235,17 +235,37 @@
 /// Each comes between the decision and the call's first byte, while its connection opens.
 #[test]
 fn nothing_is_sent_of_a_call_whose_client_left_or_whose_endpoint_drained_or_told_a_wait_meanwhile() {
-    let listed = |listing| move |host: &mut Host| host.event(|c| c.listed("e", "", "", 9, listing, None));
+    let listed = |listing| {
+        move |host: &mut Host| {
+            host.event(|c| {
+                c.endpoint_updated(EndpointUpdate {
+                    name: "e",
+                    zone: "",
+                    kind: "",
+                    destination: 9,
+                    state: listing,
+                    listed_rate: None,
+                })
+            })
+        }
+    };
     type Change = Box<dyn Fn(&mut Host)>;
     let meanwhile: [(&str, Change); 5] = [
         ("left", Box::new(|host| host.gone(1))),
-        ("drains", Box::new(listed(Listing::Draining))),
-        ("is gone", Box::new(listed(Listing::Gone))),
+        ("drains", Box::new(listed(EndpointState::Draining))),
+        ("is gone", Box::new(listed(EndpointState::Removed))),
         (
             "told a wait",
             Box::new(|host| {
                 host.event(|courier| {
-                    courier.outcome(2, 0, Outcome::Refused(Some(LASTS)), LASTS, false, None)
+                    courier.attempt_ended(AttemptResult {
+                        message: 2,
+                        attempt: 0,
+                        outcome: AttemptOutcome::Rejected { retry_after: Some(LASTS) },
+                        duration: LASTS,
+                        finished: false,
+                        load_report: None,
+                    })
                 });
             }),
         ),
@@ -258,7 +278,7 @@
             let host = host(&folder, at);
             assert_eq!((take(&host, "once"), take(&host, "once")), (Taken::On(1), Taken::On(2)));
             assert_eq!(host.borrow().calls, 2);
-            host.borrow_mut().event(|courier| courier.over(2));
+            host.borrow_mut().event(|courier| courier.finish(2));
             change(&mut host.borrow_mut());
             while host.borrow().calls > 0 {
                 tokio::task::yield_now().await;
@@ -306,7 +326,7 @@
         drop(first);
         let second = host(&folder, at);
         assert_eq!(take(&second, b"a", 9), held, "after a restart too");
-        second.borrow_mut().write_off(1);
+        second.borrow_mut().abandon(1);
         second.borrow_mut().confirmed(1);
         assert_eq!(take(&second, b"a", 9), held, "and for a while");
         second.borrow_mut().before += KNOWN;
--- a/crates/quillhub-server/src/lib.rs
+++ b/crates/quillhub-server/src/lib.rs
@@ -166,7 +166,7 @@
         let at = host.clone();
         lasting(move || {
             let host = at.clone();
-            peers.clone().hear(move |note| host.borrow_mut().event(|courier| courier.told_by_courier(note)))
+            peers.clone().hear(move |note| host.borrow_mut().event(|courier| courier.gossip_received(note)))
         });
     }
     let at = host.clone();
--- a/crates/quillhub-server/src/peers.rs
+++ b/crates/quillhub-server/src/peers.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Hands `take` each note that comes from others, without end.
+    /// Driver `take` each note that comes from others, without end.
     pub async fn hear(self: Rc<Self>, take: impl Fn(&[u8])) {
         let mut octets = [0; MOST + 1];
         loop {
--- a/crates/quillhub-server/src/stand_in.rs
+++ b/crates/quillhub-server/src/stand_in.rs
@@ -3,7 +3,7 @@
 use crate::endpoints::Endpoints;
 use crate::host::Host;
 use crate::wal::Wal;
-use quillhub::Listing;
+use quillhub::{EndpointState, EndpointUpdate};
 pub use quillhub_fakes::scratch::{Folder, on_one_thread};
 pub use quillhub_fakes::scripted::{OK, answering, full};
 use serde_json::{Value, json};
@@ -37,8 +37,15 @@
     let mut new = host.borrow_mut();
     new.endpoints.listed("e", at);
     new.event(|courier| {
-        courier.listed("e", "", "", 9, Listing::Open, None);
-        courier.list_ends(None, false);
+        courier.endpoint_updated(EndpointUpdate {
+            name: "e",
+            zone: "",
+            kind: "",
+            destination: 9,
+            state: EndpointState::Available,
+            listed_rate: None,
+        });
+        courier.endpoint_list_ended(None, false);
     });
     new.take_back(owed);
     drop(new);
--- a/crates/quillhub-server/src/wal.rs
+++ b/crates/quillhub-server/src/wal.rs
@@ -108,7 +108,7 @@
     octets
 }
 
-/// Hands each whole frame at the start of `octets` to `each`, with its kind, notice and payload.
+/// Driver each whole frame at the start of `octets` to `each`, with its kind, notice and payload.
 fn frames(mut octets: &[u8], mut each: impl FnMut(&[u8], u8, u64, &[u8])) {
     while let Ok((length, sum)) = (le_u32::<_, ContextError>, le_u32).parse_peek(octets).map(|(_, head)| head)
     {
--- a/crates/quillhub-server/tests/day.rs
+++ b/crates/quillhub-server/tests/day.rs
@@ -1,10 +1,10 @@
 //! A short day on loopback with the stand-ins: whatever the timing, every notice ends once, and no mark runs twice.
 
-use quillhub_simulator::{Answered, Day, arrivals};
 use quillhub_fakes::clients::{self, Book, Due};
 use quillhub_fakes::endpoints::{self, What};
 use quillhub_fakes::platform::{self, Register};
 use quillhub_fakes::{configuration, scratch};
+use quillhub_simulator::{Answered, Day, arrivals};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::mpsc::unbounded_channel;
--- a/crates/quillhub-settings/src/lib.rs
+++ b/crates/quillhub-settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads the settings of a new courier and hands each to it; shared by all hosts of couriers.
+//! Reads the settings of a new courier and driver each to it; shared by all hosts of couriers.
 
-use quillhub::courier::Courier;
-use quillhub::{Effect, Grade, ListedRate};
+use quillhub::Dispatcher;
+use quillhub::{ListedRate, RepeatSafety, ServiceClass, ValueDecay};
 use serde_json::Value;
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -87,7 +87,7 @@
 }
 
 /// A courier started with the settings in `text`, and where its load reports hold what.
-pub fn start(seed: u64, text: &str) -> Result<(Courier, ReportPlaces), String> {
+pub fn start(seed: u64, text: &str) -> Result<(Dispatcher, ReportPlaces), String> {
     match serde_json::from_str::<Value>(text) {
         Ok(value) => read(seed, &value),
         Err(_) => Err(expected("settings as a JSON object", text)),
@@ -95,7 +95,7 @@
 }
 
 /// The same with settings that are read already.
-pub fn read(seed: u64, value: &Value) -> Result<(Courier, ReportPlaces), String> {
+pub fn read(seed: u64, value: &Value) -> Result<(Dispatcher, ReportPlaces), String> {
     if !value.is_object() {
         return Err(expected("settings as a JSON object", &value.to_string()));
     }
@@ -109,67 +109,74 @@
         return top.need("nInstances")?.wrong("a smaller number");
     };
     let zone = top.get("zone").map(|v| v.word()).transpose()?.unwrap_or_default();
-    let mut courier = Courier::new(seed, couriers, zone);
+    let mut courier = Dispatcher::new(seed, couriers, zone);
 
     let whole = |from: &At, name: &str| from.get(name).map(|v| v.whole()).transpose();
     let flag = |from: &At, name: &str| from.get(name).map_or(Ok(false), |v| v.flag());
     let span = |from: &At, name: &str| from.get(name).map(|v| v.span()).transpose();
     let sends = whole(&limits, "mostTries")?.map(|most| u32::try_from(most).unwrap_or(u32::MAX));
-    courier.room(
+    courier.set_limits(
         whole(&family, "maxCalls")?.map(|most| most as usize),
         whole(&limits, "maxOpen")?.map(|most| most as usize),
         sends,
     );
-    courier.come_back(if flag(&limits, "retryAfter")? { span(&limits, "maxRetryAfterUs")? } else { None });
+    courier.set_longest_retry_after(if flag(&limits, "retryAfter")? {
+        span(&limits, "maxRetryAfterUs")?
+    } else {
+        None
+    });
     if let Some(factor) = rules.get("overloadFactor") {
         let start = rules.get("startCapacity").map_or(Ok(0.0), |v| v.number())?;
-        courier.returning(factor.number()?, start, span(&rules, "warmUpUs")?.unwrap_or_default());
+        courier.set_slow_start(factor.number()?, start, span(&rules, "warmUpUs")?.unwrap_or_default());
     }
-    courier.falls_after(span(&rules, "tipAfterUs")?.unwrap_or_default());
+    courier.set_overload_tolerance(span(&rules, "tipAfterUs")?.unwrap_or_default());
     if let Some(after) = span(&limits, "idleCloseUs")? {
-        courier.idle_close(after);
+        courier.set_idle_timeout(after);
     }
-    courier.may_tell(flag(&limits, "peerMessages")?);
-    courier.key_rest(span(&rules, "keyRestUs")?.unwrap_or_default());
+    courier.allow_gossip(flag(&limits, "peerMessages")?);
+    courier.set_ordering_pause(span(&rules, "keyRestUs")?.unwrap_or_default());
 
     let mode = top.get("membershipMode").map(|v| v.word()).transpose()?;
     let rate = match top.get("weights").map(|v| v.word()).transpose()? {
         Some("nominal") => ListedRate::Exact,
-        Some("rough") => ListedRate::Rough,
+        Some("rough") => ListedRate::Approximate,
         _ => ListedRate::Absent,
     };
-    courier.listing(mode == Some("subscribe"), rate);
-    courier.ask_every(span(&rules, "askEveryUs")?.unwrap_or_default());
+    courier.set_discovery(mode == Some("subscribe"), rate);
+    courier.set_poll_period(span(&rules, "askEveryUs")?.unwrap_or_default());
 
-    let halving = family.get("losesWorth").map(|v| v.word()).transpose()? == Some("halving");
+    let decay = match family.get("losesWorth").map(|v| v.word()).transpose()? {
+        Some("halving") => ValueDecay::Halving,
+        _ => ValueDecay::Linear,
+    };
     for class in top.get("classes").map_or(Ok(Vec::new()), |v| v.rows())? {
         let effect = class.need("effect")?;
         let effect = match effect.word()? {
-            "free" => Effect::Retriable,
-            "guarded" => Effect::Fingerprinted {
-                memory: span(&class, "memorySpanUs")?.unwrap_or_default(),
-                one_zone: class.get("keyScope").map_or(Ok("all"), |v| v.word())? != "all",
+            "free" => RepeatSafety::Idempotent,
+            "guarded" => RepeatSafety::Deduplicated {
+                window: span(&class, "memorySpanUs")?.unwrap_or_default(),
+                per_zone: class.get("keyScope").map_or(Ok("all"), |v| v.word())? != "all",
             },
-            "single_shot" => Effect::Binding,
+            "single_shot" => RepeatSafety::AtMostOnce,
             _ => return effect.wrong("free, guarded or single_shot"),
         };
-        let grade = Grade {
-            effect,
-            contract: class.need("aimUs")?.span()?,
-            limit: class.need("giveUpUs")?.span()?,
-            earnings: class.get("importance").map_or(Ok(1.0), |v| v.number())?,
-            late_share: class.get("lateWorth").map_or(Ok(0.0), |v| v.number())?,
-            halving,
-            in_order: flag(&class, "byArrival")?,
+        let grade = ServiceClass {
+            repeat_safety: effect,
+            soft_deadline: class.need("aimUs")?.span()?,
+            deadline: class.need("giveUpUs")?.span()?,
+            value: class.get("importance").map_or(Ok(1.0), |v| v.number())?,
+            late_value_share: class.get("lateWorth").map_or(Ok(0.0), |v| v.number())?,
+            decay,
+            ordered: flag(&class, "byArrival")?,
         };
-        courier.grade(class.need("name")?.word()?, grade);
+        courier.add_service_class(class.need("name")?.word()?, grade);
     }
 
     let kinds = top.get("skus").map_or(Ok(Vec::new()), |v| v.words())?;
     let apart = family.get("separateRoutes").map_or(Ok(Vec::new()), |v| v.rows())?;
     for (kind, apart) in kinds.iter().zip(apart) {
         if apart.flag()? {
-            courier.routes_apart(kind);
+            courier.separate_routes(kind);
         }
     }
     let batches = family.get("batchByKind").map_or(Ok(Vec::new()), |v| v.rows())?;
@@ -177,19 +184,19 @@
         match u32::try_from(most.whole()?) {
             Ok(0) | Err(_) => return most.wrong("a whole number from 1 on"),
             Ok(1) => {}
-            Ok(several) => courier.batch(kind, several),
+            Ok(several) => courier.set_batch_limit(kind, several),
         }
     }
     let zones = top.get("failureDomains").map_or(Ok(Vec::new()), |v| v.words())?;
     let tolls = family.get("toll").map_or(Ok(Vec::new()), |v| v.rows())?;
     for (zone, toll) in zones.iter().zip(tolls) {
-        courier.toll(zone, toll.number()?);
+        courier.set_zone_cost(zone, toll.number()?);
     }
-    courier.refusal_price(family.get("refusedPrice").map_or(Ok(0.0), |v| v.number())?);
+    courier.set_rejection_cost(family.get("refusedPrice").map_or(Ok(0.0), |v| v.number())?);
     let over_share = top.get("overShareWorth").map_or(Ok(1.0), |v| v.number())?;
     for tenant in top.get("parties").map_or(Ok(Vec::new()), |v| v.rows())? {
         if let Some(quota) = tenant.get("quotaPerS") {
-            courier.tenant(tenant.need("name")?.word()?, quota.number()?, over_share);
+            courier.add_tenant(tenant.need("name")?.word()?, quota.number()?, over_share);
         }
     }
 
--- a/crates/quillhub-simulator/src/audit.rs
+++ b/crates/quillhub-simulator/src/audit.rs
@@ -3,7 +3,7 @@
 
 use crate::day::{Day, EffectOf};
 use crate::fact::{Answered, Fact};
-use quillhub::{Listing, NoticeId, Outcome};
+use quillhub::{AttemptOutcome, EndpointState, MessageId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
     /// The rule that was broken.
     pub rule: Rule,
     /// The message that it was broken for, if it was one.
-    pub notice: Option<NoticeId>,
+    pub notice: Option<MessageId>,
     /// When what was broken began to bind, and when it was broken.
     pub since: Duration,
     /// When it was broken.
@@ -64,7 +64,7 @@
     /// Number, zone and route of its endpoint, if there is such an endpoint.
     place: Option<(usize, usize, usize)>,
     at: Duration,
-    ended: Option<Outcome>,
+    ended: Option<AttemptOutcome>,
     /// Its courier died before it learned of its end.
     unheard: bool,
 }
@@ -78,7 +78,10 @@
         self.ended.is_none_or(|outcome| {
             !matches!(
                 outcome,
-                Outcome::Refused(_) | Outcome::Unconnected | Outcome::Crowded | Outcome::Unsent
+                AttemptOutcome::Rejected { .. }
+                    | AttemptOutcome::ConnectFailed
+                    | AttemptOutcome::ConnectionLimit
+                    | AttemptOutcome::NotSent
             )
         })
     }
@@ -98,8 +101,8 @@
 #[derive(Default)]
 struct Line {
     /// In the order taken; those that are over and have nothing out leave.
-    notices: VecDeque<NoticeId>,
-    rests: Option<(Duration, NoticeId)>,
+    notices: VecDeque<MessageId>,
+    rests: Option<(Duration, MessageId)>,
 }
 
 /// What the auditor knows of a route.
@@ -136,8 +139,8 @@
     by_first_byte: bool,
     endpoints: BTreeMap<String, (usize, usize, usize)>,
     zones: BTreeMap<String, usize>,
-    notices: BTreeMap<NoticeId, Notice>,
-    past: VecDeque<(Duration, NoticeId)>,
+    notices: BTreeMap<MessageId, Notice>,
+    past: VecDeque<(Duration, MessageId)>,
     lines: BTreeMap<(usize, u64), Line>,
     couriers: BTreeMap<usize, Told>,
     routes: BTreeMap<usize, RouteState>,
@@ -172,7 +175,7 @@
     fn broken(
         &mut self,
         rule: Rule,
-        notice: Option<NoticeId>,
+        notice: Option<MessageId>,
         since: Duration,
         at: Duration,
         what: &'static str,
@@ -208,7 +211,7 @@
                 let Some((endpoint, ..)) = self.endpoints.get(endpoint).copied() else { return };
                 let drains = &mut self.couriers.entry(courier).or_default().drains;
                 match listing {
-                    Listing::Open => drains.remove(&endpoint),
+                    EndpointState::Available => drains.remove(&endpoint),
                     _ => Some(*drains.entry(endpoint).or_insert(now)),
                 };
             }
@@ -273,7 +276,7 @@
         }
     }
 
-    fn sent(&mut self, now: Duration, courier: usize, id: NoticeId, send: u32, endpoint: &str) {
+    fn sent(&mut self, now: Duration, courier: usize, id: MessageId, send: u32, endpoint: &str) {
         let place = self.endpoints.get(endpoint).copied();
         let Some(notice) = self.notices.get(&id) else {
             return self.broken(Rule::OneAnswer, Some(id), now, now, "sent, though long over or never taken");
@@ -331,12 +334,12 @@
         }
     }
 
-    fn place(&self, id: NoticeId, send: u32) -> Option<(usize, usize, usize)> {
+    fn place(&self, id: MessageId, send: u32) -> Option<(usize, usize, usize)> {
         self.notices.get(&id)?.sends.get(&send)?.place
     }
 
     /// Drains and waits.
-    fn heeds(&mut self, now: Duration, courier: usize, id: NoticeId, send: u32) {
+    fn heeds(&mut self, now: Duration, courier: usize, id: MessageId, send: u32) {
         let Some((endpoint, _, route)) = self.place(id, send) else { return };
         let Some(told) = self.couriers.get(&courier) else { return };
         let drains = told.drains.get(&endpoint).copied().filter(|since| now > *since + self.grace);
@@ -349,11 +352,11 @@
         }
     }
 
-    fn order(&mut self, now: Duration, courier: usize, id: NoticeId) {
+    fn order(&mut self, now: Duration, courier: usize, id: MessageId) {
         let Some(notice) = self.notices.get(&id) else { return };
         let Some(line) = notice.key.and_then(|key| self.lines.get_mut(&(courier, key))) else { return };
         let notices = &self.notices;
-        let over = |id: &NoticeId| {
+        let over = |id: &MessageId| {
             notices.get(id).is_none_or(|n| n.answered.is_some() && !n.sends.values().any(Send::is_out))
         };
         line.notices.retain(|other| !over(other) || *other == id);
@@ -368,7 +371,7 @@
         }
     }
 
-    fn reached(&mut self, now: Duration, courier: usize, id: NoticeId, send: u32) {
+    fn reached(&mut self, now: Duration, courier: usize, id: MessageId, send: u32) {
         let Some((_, _, route)) = self.place(id, send) else { return };
         let (factor, push, start, warm_up) = (self.factor, self.push, self.start, self.warm_up);
         let Some(route_state) = self.routes.get_mut(&route) else { return };
@@ -404,7 +407,7 @@
         }
     }
 
-    fn ran(&mut self, now: Duration, id: NoticeId, repeat: bool) {
+    fn ran(&mut self, now: Duration, id: MessageId, repeat: bool) {
         let Some(notice) = self.notices.get_mut(&id) else { return };
         // The rule on marks binds sends, and is judged there: that one sent in time took effect late is not its doing.
         if repeat || self.grades[notice.grade].1 != EffectOf::Binding {
@@ -415,7 +418,7 @@
         }
     }
 
-    fn ended(&mut self, now: Duration, courier: usize, id: NoticeId, send: u32, outcome: Outcome) {
+    fn ended(&mut self, now: Duration, courier: usize, id: MessageId, send: u32, outcome: AttemptOutcome) {
         let Some(notice) = self.notices.get_mut(&id) else { return };
         let Some(sent) = notice.sends.get_mut(&send) else { return };
         let route = sent.place.map(|place| place.2);
@@ -423,11 +426,18 @@
         let key = notice.key;
         if let Some(route_state) = route.and_then(|route| self.routes.get_mut(&route))
             && route_state.out
-            && !matches!(outcome, Outcome::Handled | Outcome::CalledOff | Outcome::Unsent)
+            && !matches!(
+                outcome,
+                AttemptOutcome::Delivered | AttemptOutcome::Cancelled | AttemptOutcome::NotSent
+            )
         {
             route_state.knew.insert(courier);
         }
-        if let (Some(route), Outcome::Refused(Some(wait)) | Outcome::Unproven(Some(wait))) = (route, outcome)
+        if let (
+            Some(route),
+            AttemptOutcome::Rejected { retry_after: Some(wait) }
+            | AttemptOutcome::AmbiguousRejection { retry_after: Some(wait) },
+        ) = (route, outcome)
         {
             let waits = &mut self.couriers.entry(courier).or_default().waits;
             let until = now + wait;
@@ -436,14 +446,19 @@
                 *known = (now, until);
             }
         }
-        let rests =
-            matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::CalledOff | Outcome::Unproven(_));
+        let rests = matches!(
+            outcome,
+            AttemptOutcome::TimedOut
+                | AttemptOutcome::ConnectionReset
+                | AttemptOutcome::Cancelled
+                | AttemptOutcome::AmbiguousRejection { .. }
+        );
         if let Some(line) = key.filter(|_| rests).and_then(|key| self.lines.get_mut(&(courier, key))) {
             line.rests = Some((now + self.key_rest, id));
         }
     }
 
-    fn answered(&mut self, now: Duration, id: NoticeId, answer: Answered) {
+    fn answered(&mut self, now: Duration, id: MessageId, answer: Answered) {
         let Some(notice) = self.notices.get_mut(&id) else {
             return self.broken(
                 Rule::OneAnswer,
--- a/crates/quillhub-simulator/src/clients.rs
+++ b/crates/quillhub-simulator/src/clients.rs
@@ -128,7 +128,7 @@
         ids[weights.pick(&mut self.rng)] as u64 + 1
     }
 
-    /// Grade and key of one that comes.
+    /// ServiceClass and key of one that comes.
     pub(crate) fn draw(&mut self, nth: usize, of: &Arrivals, day: &Day) -> (usize, Option<u64>) {
         let grade = match &of.grade {
             Some(name) => day.grades.iter().position(|g| g.name == *name).expect("checked"),
--- a/crates/quillhub-simulator/src/day.rs
+++ b/crates/quillhub-simulator/src/day.rs
@@ -2,7 +2,7 @@
 //! span is written with its unit ("250 ms"); what is left out has the value named at its field.
 
 use crate::faults::ScheduledFault;
-use quillhub::{Effect, Grade, ListedRate};
+use quillhub::{ListedRate, RepeatSafety, ServiceClass, ValueDecay};
 use rand::Rng;
 use rand_distr::{Distribution, Exp, Gamma, LogNormal, Pareto};
 use serde::{Deserialize, Serialize};
@@ -183,7 +183,7 @@
         match self {
             Self::Absent => ListedRate::Absent,
             Self::Exact => ListedRate::Exact,
-            Self::Rough => ListedRate::Rough,
+            Self::Rough => ListedRate::Approximate,
         }
     }
 }
@@ -267,20 +267,22 @@
 
 impl GradeOf {
     /// The class as couriers know it.
-    pub fn grade(&self) -> Grade {
-        let effect = match self.effect {
-            EffectOf::Retriable => Effect::Retriable,
-            EffectOf::Fingerprinted => Effect::Fingerprinted { memory: self.memory, one_zone: self.one_zone },
-            EffectOf::Binding => Effect::Binding,
+    pub fn grade(&self) -> ServiceClass {
+        let repeat_safety = match self.effect {
+            EffectOf::Retriable => RepeatSafety::Idempotent,
+            EffectOf::Fingerprinted => {
+                RepeatSafety::Deduplicated { window: self.memory, per_zone: self.one_zone }
+            }
+            EffectOf::Binding => RepeatSafety::AtMostOnce,
         };
-        Grade {
-            effect,
-            contract: self.contract,
-            limit: self.limit,
-            earnings: self.earnings,
-            late_share: self.late_share,
-            halving: self.halving,
-            in_order: self.in_order,
+        ServiceClass {
+            repeat_safety,
+            soft_deadline: self.contract,
+            deadline: self.limit,
+            value: self.earnings,
+            late_value_share: self.late_share,
+            decay: if self.halving { ValueDecay::Halving } else { ValueDecay::Linear },
+            ordered: self.in_order,
         }
     }
 }
--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -1,81 +1,39 @@
 //! What decides for a courier, as the world sees it: the module itself, or whatever is compared with it.
 
 use crate::day::Day;
-use quillhub::courier::Courier;
-use quillhub::{DestinationId, Hands, Listing, NoticeId, Outcome};
+use quillhub::{AttemptResult, Dispatcher, Driver, EndpointUpdate, MessageId, NewMessage, RecoveredAttempts};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What a decider is told at an instant; each is the method of [`Courier`] that its doc names.
+/// What a decider is told at an instant; each is the method of [`Dispatcher`] that its doc names.
 #[derive(Clone, Copy, Debug)]
 pub enum Input<'a> {
-    /// An entry of the endpoint list ([`Courier::listed`]).
-    Listed {
-        /// The endpoint's name.
-        endpoint: &'a str,
-        /// The zone that it stands in.
-        zone: &'a str,
-        /// The kind of its destination.
-        kind: &'a str,
-        /// Its destination.
-        destination: DestinationId,
-        /// Its state.
-        listing: Listing,
-        /// Calls a second that it takes, where they are listed.
-        rate: Option<f64>,
-    },
-    /// The entries that are told at once end here ([`Courier::list_ends`]).
-    ListEnds {
+    /// An entry of the endpoint list ([`Dispatcher::endpoint_updated`]).
+    EndpointUpdated(EndpointUpdate<'a>),
+    /// The entries that are told at once end here ([`Dispatcher::endpoint_list_ended`]).
+    EndpointListEnded {
         /// All names of a whole list, if it was one.
         snapshot: Option<&'a BTreeSet<String>>,
-        /// Whether the courier had asked for it.
-        asked: bool,
-    },
-    /// The call to service discovery failed ([`Courier::list_failed`]).
-    ListFailed,
-    /// A message was handed in ([`Courier::notice`]).
-    Message {
-        /// Its number.
-        id: NoticeId,
-        /// Its service class, by name.
-        grade: &'a str,
-        /// Its ordering key.
-        key: Option<u64>,
-        /// Until when it needs its final outcome.
-        deadline: Duration,
-        /// The tenant that it is of.
-        tenant: Option<&'a str>,
-        /// Where it goes.
-        destination: DestinationId,
+        /// Whether discovery sent it, and not the instance's own memory.
+        from_discovery: bool,
     },
-    /// A message just told of was recovered after a restart ([`Courier::sent_before`]).
+    /// The call to service discovery failed ([`Dispatcher::endpoint_list_failed`]).
+    EndpointListFailed,
+    /// A message was handed in ([`Dispatcher::accept`]).
+    Message(NewMessage<'a>),
+    /// A message just told of was recovered after a restart ([`Dispatcher::recover`]).
     Recovered {
-        /// Its number.
-        id: NoticeId,
-        /// Attempts made before.
-        attempts: u32,
-        /// The first of them that may have run: when, and at which endpoint.
-        may_have_run: Option<(Duration, &'a str)>,
+        /// Its identifier.
+        message: MessageId,
+        /// Its attempts before the restart.
+        attempts: RecoveredAttempts<'a>,
     },
-    /// An attempt ended ([`Courier::outcome`]).
-    Outcome {
-        /// The message.
-        id: NoticeId,
-        /// The attempt's number, from 0.
-        attempt: u32,
-        /// How it ended.
-        outcome: Outcome,
-        /// How long it took.
-        took: Duration,
-        /// Whether the message is over with it.
-        over: bool,
-        /// The endpoint's report on its limit, where it gave one.
-        report: Option<(f64, f64)>,
-    },
-    /// A gossip message came from another courier ([`Courier::told_by_courier`]).
+    /// An attempt ended ([`Dispatcher::attempt_ended`]).
+    AttemptEnded(AttemptResult),
+    /// A gossip message came from another instance ([`Dispatcher::gossip_received`]).
     Gossip(&'a [u8]),
-    /// The timer that was asked for last has run out ([`Courier::woken`]).
-    Woken,
+    /// The timer that was asked for last has run out ([`Dispatcher::timer_fired`]).
+    TimerFired,
 }
 
 /// A decider for one courier.
@@ -85,11 +43,11 @@
     /// Takes an input; what follows from it is asked for in [`Decider::settle`].
     fn tell(&mut self, input: Input);
     /// Whether an attempt whose connection has come up may still leave.
-    fn may_go(&self, _: NoticeId, _attempt: u32, _now: Duration) -> bool {
+    fn may_go(&self, _: MessageId, _attempt: u32, _now: Duration) -> bool {
         true
     }
     /// Asks for what follows from the inputs since the last call.
-    fn settle(&mut self, hands: &mut dyn Hands);
+    fn settle(&mut self, driver: &mut dyn Driver);
     /// Whether [`Decider::sees`] is to be called before each [`Decider::settle`]; only an oracle wants it.
     fn wants_truth(&self) -> bool {
         false
@@ -98,36 +56,36 @@
     fn sees(&mut self, _room: &dyn Fn(&str) -> usize) {}
 }
 
-impl Decider for Courier {
+impl Decider for Dispatcher {
     fn at(&mut self, now: Duration) {
-        self.at(now);
+        self.advance_to(now);
     }
 
     fn tell(&mut self, input: Input) {
         match input {
-            Input::Listed { endpoint, zone, kind, destination, listing, rate } => {
-                self.listed(endpoint, zone, kind, destination, listing, rate);
-            }
-            Input::ListEnds { snapshot, asked } => self.list_ends(snapshot, asked),
-            Input::ListFailed => self.list_failed(),
-            Input::Message { id, grade, key, deadline, tenant, destination } => {
-                self.notice(id, grade, key, deadline, tenant, destination);
+            Input::EndpointUpdated(update) => self.endpoint_updated(update),
+            Input::EndpointListEnded { snapshot, from_discovery } => {
+                self.endpoint_list_ended(snapshot, from_discovery);
             }
-            Input::Recovered { id, attempts, may_have_run } => self.sent_before(id, attempts, may_have_run),
-            Input::Outcome { id, attempt, outcome, took, over, report } => {
-                self.outcome(id, attempt, outcome, took, over, report);
+            Input::EndpointListFailed => self.endpoint_list_failed(),
+            Input::Message(message) => {
+                // A scenario's streams name its own service classes.
+                let accepted = self.accept(message);
+                debug_assert!(accepted.is_ok(), "unknown service class {}", message.service_class);
             }
-            Input::Gossip(octets) => self.told_by_courier(octets),
-            Input::Woken => self.woken(),
+            Input::Recovered { message, attempts } => self.recover(message, attempts),
+            Input::AttemptEnded(result) => self.attempt_ended(result),
+            Input::Gossip(octets) => self.gossip_received(octets),
+            Input::TimerFired => self.timer_fired(),
         }
     }
 
-    fn may_go(&self, id: NoticeId, attempt: u32, now: Duration) -> bool {
-        self.may_go(id, attempt, now)
+    fn may_go(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
+        self.may_begin(id, attempt, now)
     }
 
-    fn settle(&mut self, hands: &mut dyn Hands) {
-        self.settle(hands);
+    fn settle(&mut self, driver: &mut dyn Driver) {
+        self.apply_rules(driver);
     }
 }
 
@@ -144,23 +102,23 @@
 /// The real module.
 pub fn module(start: &Start) -> Box<dyn Decider> {
     let day = start.day;
-    let mut courier = Courier::new(start.seed, day.couriers.count, start.zone);
-    courier.room(Some(day.couriers.slots), Some(day.couriers.room), Some(day.couriers.most_sends));
-    courier.come_back(Some(day.couriers.longest_wait));
-    courier.returning(day.returns.factor, day.returns.start, day.returns.warm_up);
-    courier.falls_after(day.returns.push);
-    courier.idle_close(day.network.idle_close);
-    courier.may_tell(day.couriers.notes);
-    courier.key_rest(day.returns.key_rest);
-    courier.listing(day.register.form == crate::day::RegisterForm::Watch, day.register.rates.word());
+    let mut courier = Dispatcher::new(start.seed, day.couriers.count, start.zone);
+    courier.set_limits(Some(day.couriers.slots), Some(day.couriers.room), Some(day.couriers.most_sends));
+    courier.set_longest_retry_after(Some(day.couriers.longest_wait));
+    courier.set_slow_start(day.returns.factor, day.returns.start, day.returns.warm_up);
+    courier.set_overload_tolerance(day.returns.push);
+    courier.set_idle_timeout(day.network.idle_close);
+    courier.allow_gossip(day.couriers.notes);
+    courier.set_ordering_pause(day.returns.key_rest);
+    courier.set_discovery(day.register.form == crate::day::RegisterForm::Watch, day.register.rates.word());
     for grade in &day.grades {
-        courier.grade(&grade.name, grade.grade());
+        courier.add_service_class(&grade.name, grade.grade());
     }
     for kind in day.destinations.iter().filter(|kind| kind.routes_apart) {
-        courier.routes_apart(&kind.kind);
+        courier.separate_routes(&kind.kind);
     }
     for tenant in &day.tenants {
-        courier.tenant(&tenant.name, tenant.per_s, tenant.over_share);
+        courier.add_tenant(&tenant.name, tenant.per_s, tenant.over_share);
     }
     Box::new(courier)
 }
--- a/crates/quillhub-simulator/src/fact.rs
+++ b/crates/quillhub-simulator/src/fact.rs
@@ -1,6 +1,6 @@
 //! What happened in a run, one fact at a time: for the auditor, for figures, and for whoever asks after one notice.
 
-use quillhub::{DestinationId, Listing, NoticeId, Outcome};
+use quillhub::{AttemptOutcome, DestinationId, EndpointState, MessageId};
 use std::time::Duration;
 
 /// How a notice ended, as its client hears it.
@@ -22,7 +22,7 @@
         /// The courier that took it.
         courier: usize,
         /// Its number.
-        notice: NoticeId,
+        notice: MessageId,
         /// Its client's number.
         order: u64,
         /// Its service class.
@@ -39,7 +39,7 @@
         /// The courier that decided.
         courier: usize,
         /// The message.
-        notice: NoticeId,
+        notice: MessageId,
         /// The attempt's number, from 0.
         send: u32,
         /// The endpoint that it goes to.
@@ -52,7 +52,7 @@
         /// The courier that it left.
         courier: usize,
         /// The message.
-        notice: NoticeId,
+        notice: MessageId,
         /// The attempt's number.
         send: u32,
     },
@@ -61,7 +61,7 @@
         /// The courier that it comes from.
         courier: usize,
         /// The message.
-        notice: NoticeId,
+        notice: MessageId,
         /// The attempt's number.
         send: u32,
     },
@@ -69,7 +69,7 @@
     /// its effect before, and must not, but the destination had forgotten its mark.
     Ran {
         /// The message.
-        notice: NoticeId,
+        notice: MessageId,
         /// Its client's number.
         order: u64,
         /// The attempt's number.
@@ -84,18 +84,18 @@
         /// The courier that was told.
         courier: usize,
         /// The message.
-        notice: NoticeId,
+        notice: MessageId,
         /// The attempt's number.
         send: u32,
         /// How it ended.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
     },
     /// A message had its final outcome.
     Answered {
         /// The courier that held it.
         courier: usize,
         /// The message.
-        notice: NoticeId,
+        notice: MessageId,
         /// Its final outcome.
         answer: Answered,
     },
@@ -106,7 +106,7 @@
         /// The endpoint's name.
         endpoint: &'a str,
         /// What the list says of it.
-        listing: Listing,
+        listing: EndpointState,
     },
     /// A courier died; without `folder` all that it held is forgotten.
     Died {
@@ -166,7 +166,7 @@
 
 impl Fact<'_> {
     /// The notice that it is about, if it is about one.
-    pub fn notice(&self) -> Option<NoticeId> {
+    pub fn notice(&self) -> Option<MessageId> {
         match self {
             Self::Taken { notice, .. }
             | Self::Sent { notice, .. }
--- a/crates/quillhub-simulator/src/limit.rs
+++ b/crates/quillhub-simulator/src/limit.rs
@@ -1,6 +1,7 @@
 //! What a route takes from all couriers together, as the receiver counts it.
 
 use crate::day::LimitOf;
+use quillhub::LoadReport;
 use std::time::Duration;
 
 /// The count of one route; holds no more than its last span.
@@ -76,12 +77,12 @@
     }
 
     /// The share left and the limit, as they were up to `age` ago.
-    pub(crate) fn report(&mut self, now: Duration, age: Duration) -> (f64, f64) {
+    pub(crate) fn load_report(&mut self, now: Duration, age: Duration) -> LoadReport {
         if now >= self.told.0 + age {
             self.fill(now);
             self.told = (now, (self.left / self.most()).clamp(0.0, 1.0));
         }
-        (self.told.1, self.of.per_s)
+        LoadReport { remaining_share: self.told.1, rate_limit: self.of.per_s }
     }
 }
 
@@ -99,7 +100,10 @@
         let mut limit = Limit::new(of);
         assert_eq!(taken(&mut limit, 0, 1_999), 10);
         assert_eq!(limit.take(Duration::from_millis(1_900)), Err(Duration::from_millis(100)));
-        assert_eq!(limit.report(Duration::from_millis(1_900), Duration::ZERO), (0.0, 5.0));
+        assert_eq!(
+            limit.load_report(Duration::from_millis(1_900), Duration::ZERO),
+            LoadReport { remaining_share: 0.0, rate_limit: 5.0 }
+        );
         assert_eq!(limit.take(Duration::from_secs(2)), Ok(()));
     }
 
--- a/crates/quillhub-simulator/src/site.rs
+++ b/crates/quillhub-simulator/src/site.rs
@@ -6,6 +6,7 @@
 use crate::faults::{Drain, Injection, Whom, chance_of_fault};
 use crate::limit::Limit;
 use crate::server::{Route, Server, warmth};
+use quillhub::LoadReport;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeSet, VecDeque};
@@ -227,12 +228,12 @@
     }
 
     /// The report in an answer, where there are reports.
-    pub fn report(&mut self, at: usize, now: Duration) -> Option<(f64, f64)> {
+    pub fn load_report(&mut self, at: usize, now: Duration) -> Option<LoadReport> {
         let server = &self.servers[at];
         let kind = &self.day.destinations[server.kind];
         kind.reports.then(|| match &mut self.routes[server.route].limit {
-            Some(limit) => limit.report(now, kind.report_age),
-            None => (1.0, 0.0),
+            Some(limit) => limit.load_report(now, kind.report_age),
+            None => LoadReport { remaining_share: 1.0, rate_limit: 0.0 },
         })
     }
 
--- a/crates/quillhub-simulator/src/tally.rs
+++ b/crates/quillhub-simulator/src/tally.rs
@@ -32,7 +32,7 @@
 /// The figures of a run; counts are of notices as their clients see them, unless they say otherwise.
 pub struct Tally {
     worth: Vec<f64>,
-    grades: Vec<quillhub::Grade>,
+    grades: Vec<quillhub::ServiceClass>,
     /// The rows, from the start of the run on.
     pub seconds: Vec<Second>,
     /// Seconds of each row.
@@ -146,9 +146,9 @@
             return;
         }
         let age = now - born;
-        let earned = self.worth[grade] * self.grades[grade].left(age);
+        let earned = self.worth[grade] * self.grades[grade].value_share(age);
         self.handled += 1;
-        self.in_contract += u64::from(age <= self.grades[grade].contract);
+        self.in_contract += u64::from(age <= self.grades[grade].soft_deadline);
         self.earned += earned;
         self.by_grade[grade].1 += earned;
         self.latency.saturating_record((age.as_micros() as u64).max(1));
--- a/crates/quillhub-simulator/src/world/actions.rs
+++ b/crates/quillhub-simulator/src/world/actions.rs
@@ -1,13 +1,13 @@
 //! What a decider asks for, kept until the world is free to do it.
 
 use crate::fact::Answered;
-use quillhub::{Hands, NoticeId};
+use quillhub::{Driver, MessageId};
 use std::time::Duration;
 
-/// One thing that a decider asks for; the methods of [`Hands`] say what each means.
+/// One thing that a decider asks for; the methods of [`Driver`] say what each means.
 pub(super) enum Action {
-    Send { notice: NoticeId, endpoint: String, patience: Duration },
-    Answer { notice: NoticeId, answer: Answered },
+    Attempt { message: MessageId, endpoint: String, timeout: Duration },
+    Answer { message: MessageId, answer: Answered },
     CloseIdle { endpoint: String },
     Gossip { octets: Vec<u8> },
     Wake { wait: Duration },
@@ -18,26 +18,26 @@
 #[derive(Default)]
 pub(super) struct Actions(pub(super) Vec<Action>);
 
-impl Hands for Actions {
-    fn send(&mut self, notice: NoticeId, endpoint: &str, patience: Duration) {
-        self.0.push(Action::Send { notice, endpoint: endpoint.into(), patience });
+impl Driver for Actions {
+    fn start_attempt(&mut self, message: MessageId, endpoint: &str, timeout: Duration) {
+        self.0.push(Action::Attempt { message, endpoint: endpoint.into(), timeout });
     }
-    fn deny(&mut self, notice: NoticeId, come_back: Option<Duration>) {
-        self.0.push(Action::Answer { notice, answer: Answered::Denied(come_back) });
+    fn reject(&mut self, message: MessageId, retry_after: Option<Duration>) {
+        self.0.push(Action::Answer { message, answer: Answered::Denied(retry_after) });
     }
-    fn write_off(&mut self, notice: NoticeId) {
-        self.0.push(Action::Answer { notice, answer: Answered::WrittenOff });
+    fn abandon(&mut self, message: MessageId) {
+        self.0.push(Action::Answer { message, answer: Answered::WrittenOff });
     }
-    fn hang_up(&mut self, endpoint: &str) {
+    fn close_idle_connections(&mut self, endpoint: &str) {
         self.0.push(Action::CloseIdle { endpoint: endpoint.into() });
     }
-    fn tell(&mut self, note: &[u8]) {
-        self.0.push(Action::Gossip { octets: note.into() });
+    fn broadcast(&mut self, gossip: &[u8]) {
+        self.0.push(Action::Gossip { octets: gossip.into() });
     }
-    fn wake(&mut self, wait: Duration) {
+    fn set_timer(&mut self, wait: Duration) {
         self.0.push(Action::Wake { wait });
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.0.push(Action::Watch);
     }
     fn log(&mut self, _: &str) {}
--- a/crates/quillhub-simulator/src/world/calls.rs
+++ b/crates/quillhub-simulator/src/world/calls.rs
@@ -4,7 +4,7 @@
 use super::event::{CallEnd, Event};
 use crate::decider::Input;
 use crate::fact::{Answered, Fact};
-use quillhub::{Listing, NoticeId, Outcome};
+use quillhub::{AttemptOutcome, AttemptResult, EndpointState, MessageId};
 use rand::RngExt;
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     pub(super) courier: usize,
     /// The courier's life that made it.
     pub(super) life: u32,
-    pub(super) notice: NoticeId,
+    pub(super) notice: MessageId,
     pub(super) order: u64,
     pub(super) grade: usize,
     pub(super) attempt: u32,
@@ -31,7 +31,7 @@
 
 impl World<'_> {
     /// A decider asks for an attempt. What makes no sense the auditor sees, and nothing leaves.
-    pub(super) fn send(&mut self, courier: usize, notice: NoticeId, endpoint: &str, patience: Duration) {
+    pub(super) fn send(&mut self, courier: usize, notice: MessageId, endpoint: &str, patience: Duration) {
         let attempt = self.couriers[courier].held.get(&notice).map_or(0, |message| message.attempts);
         self.fact(&Fact::Sent { courier, notice, send: attempt, endpoint, patience });
         let Some(entry) = self.discovery.find(endpoint) else { return };
@@ -49,7 +49,7 @@
     }
 
     /// Keeps a call of a message that is held; its number.
-    fn new_call(&mut self, courier: usize, notice: NoticeId, attempt: u32, entry: usize) -> Option<u64> {
+    fn new_call(&mut self, courier: usize, notice: MessageId, attempt: u32, entry: usize) -> Option<u64> {
         let started = self.clock.now();
         let host = &mut self.couriers[courier];
         let message = host.held.get_mut(&notice)?;
@@ -93,7 +93,7 @@
 
     fn call_on_kept_connection(&mut self, number: u64, patience: Duration) {
         self.take_connection(number);
-        self.end_after(patience, number, Outcome::TimedOut);
+        self.end_after(patience, number, AttemptOutcome::TimedOut);
         let Call { courier, notice, attempt, server, .. } = self.calls[&number];
         if self.rng.random::<f64>() >= self.site.servers[server].stale() {
             return self.first_byte(number);
@@ -101,7 +101,7 @@
         self.fact(&Fact::Went { courier, notice, send: attempt });
         let (here, there) = self.zones_of_call(number);
         if let Some(round_trip) = self.round_trip(here, there) {
-            self.end_after(round_trip, number, Outcome::Reset);
+            self.end_after(round_trip, number, AttemptOutcome::ConnectionReset);
         }
     }
 
@@ -111,22 +111,22 @@
         let round_trip = self.round_trip(here, there);
         let network = &self.day.network;
         // Not up in time: nothing left, so nothing ran.
-        self.end_after(patience.min(network.connecting), number, Outcome::Unconnected);
+        self.end_after(patience.min(network.connecting), number, AttemptOutcome::ConnectFailed);
         let server = &self.site.servers[self.calls[&number].server];
         let Some(round_trip) = round_trip.filter(|_| !server.silent()) else { return };
         let kind = &self.day.destinations[server.kind];
         let has_place = server.has_place(kind);
         if gone || server.refuses() || !has_place && !kind.reports {
-            self.end_after(round_trip, number, Outcome::Unconnected);
+            self.end_after(round_trip, number, AttemptOutcome::ConnectFailed);
         } else if !has_place {
             // The connection comes up, and its first call is turned away without a report.
-            self.end_after(round_trip * 2 + network.handshake, number, Outcome::Crowded);
+            self.end_after(round_trip * 2 + network.handshake, number, AttemptOutcome::ConnectionLimit);
         } else {
             let up = round_trip + network.handshake + server.handshake();
             self.take_connection(number);
             self.after(up, Event::Connected { call: number });
             // The rest of its patience runs from its first byte's connection on, as for a kept one.
-            self.end_after(patience, number, Outcome::TimedOut);
+            self.end_after(patience, number, AttemptOutcome::TimedOut);
         }
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// A call ends so after a while, unless it ended before; its connection is of no use then.
-    pub(super) fn end_after(&mut self, wait: Duration, number: u64, outcome: Outcome) {
+    pub(super) fn end_after(&mut self, wait: Duration, number: u64, outcome: AttemptOutcome) {
         self.after(wait, Event::CallEnds { call: number, end: CallEnd::broken(outcome) });
     }
 
@@ -151,7 +151,7 @@
         if goes {
             self.first_byte(number);
         } else {
-            self.call_ends(number, CallEnd::answered(Outcome::Unsent));
+            self.call_ends(number, CallEnd::answered(AttemptOutcome::NotSent));
         }
     }
 
@@ -174,8 +174,8 @@
         // A connection that is not up in time ends so only if nothing has left by then; a call is not timed out
         // before its first byte, as nothing was asked then.
         let outcome = match end.outcome {
-            Outcome::Unconnected if call.begun => return,
-            Outcome::TimedOut if !call.begun => Outcome::Unconnected,
+            AttemptOutcome::ConnectFailed if call.begun => return,
+            AttemptOutcome::TimedOut if !call.begun => AttemptOutcome::ConnectFailed,
             other => other,
         };
         call.awaited = false;
@@ -187,10 +187,17 @@
         }
         self.fact(&Fact::Ended { courier, notice, send: attempt, outcome });
         self.note_outcome(courier, notice, attempt, outcome);
-        let (took, over) = (self.clock.now() - started, outcome == Outcome::Handled);
-        let (id, report) = (notice, end.report);
-        let input = Input::Outcome { id, attempt, outcome, took, over, report };
-        self.tell(courier, &[input]);
+        let (took, over) = (self.clock.now() - started, outcome == AttemptOutcome::Delivered);
+        let message = notice;
+        let result = AttemptResult {
+            message,
+            attempt,
+            outcome,
+            duration: took,
+            finished: over,
+            load_report: end.load_report,
+        };
+        self.tell(courier, &[Input::AttemptEnded(result)]);
     }
 
     /// A call gives its connection back, or closes it.
@@ -208,12 +215,12 @@
     }
 
     /// Keeps what an outcome proves: that the attempt never ran, or that the message is delivered.
-    fn note_outcome(&mut self, courier: usize, notice: NoticeId, attempt: u32, outcome: Outcome) {
+    fn note_outcome(&mut self, courier: usize, notice: MessageId, attempt: u32, outcome: AttemptOutcome) {
         let Some(message) = self.couriers[courier].held.get_mut(&notice) else { return };
-        if outcome.never_ran() {
+        if outcome.never_executed() {
             message.may_have_run.remove(&attempt);
         }
-        if outcome == Outcome::Handled {
+        if outcome == AttemptOutcome::Delivered {
             self.answer(courier, notice, Answered::Handled);
         }
     }
@@ -245,7 +252,7 @@
         let entry = &self.discovery.entries[entry];
         let (here, there) = (self.couriers[courier].zone, self.site.servers[entry.server].zone);
         let cut = self.paths.is_bad(here, there) || self.paths.is_bad(there, here);
-        if cut || entry.removed || entry.listing != Listing::Open {
+        if cut || entry.removed || entry.listing != EndpointState::Available {
             return 0;
         }
         self.site.room(entry.server, self.clock.now())
--- a/crates/quillhub-simulator/src/world/clients.rs
+++ b/crates/quillhub-simulator/src/world/clients.rs
@@ -6,7 +6,7 @@
 use crate::clients::{Order, Shares, Weights};
 use crate::decider::Input;
 use crate::fact::{Answered, Fact};
-use quillhub::NoticeId;
+use quillhub::{MessageId, NewMessage};
 use rand::RngExt;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -47,7 +47,7 @@
         self.schedule_arrival(stream);
     }
 
-    /// A client hands its message to a courier.
+    /// A client driver its message to a courier.
     pub(super) fn submit(&mut self, number: u64) {
         let Some(order) = self.orders.get(&number).cloned() else { return };
         let deadline = order.born + self.day.grades[order.grade].limit;
@@ -118,12 +118,19 @@
         });
         let tenant = self.day.arrivals[order.stream].tenant.as_deref();
         let deadline = deadline - self.couriers[courier].epoch;
-        let input = Input::Message { id: notice, grade: name, key: order.key, deadline, tenant, destination };
-        self.tell(courier, &[input]);
+        let message = NewMessage {
+            id: notice,
+            service_class: name,
+            ordering_key: order.key,
+            deadline,
+            tenant,
+            destination,
+        };
+        self.tell(courier, &[Input::Message(message)]);
     }
 
     /// A client hears the final outcome of its message.
-    pub(super) fn answer(&mut self, courier: usize, notice: NoticeId, answer: Answered) {
+    pub(super) fn answer(&mut self, courier: usize, notice: MessageId, answer: Answered) {
         self.fact(&Fact::Answered { courier, notice, answer });
         let Some(message) = self.couriers[courier].held.remove(&notice) else { return };
         match answer {
--- a/crates/quillhub-simulator/src/world/couriers.rs
+++ b/crates/quillhub-simulator/src/world/couriers.rs
@@ -6,7 +6,7 @@
 use crate::decider::{Decider, Input, Start};
 use crate::fact::Fact;
 use crate::site::chance;
-use quillhub::{DestinationId, Hands, Listing, NoticeId};
+use quillhub::{DestinationId, Driver, EndpointState, MessageId};
 use rand::RngExt;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -37,9 +37,9 @@
     pub(super) trusted_until: Duration,
     /// The instant at which the courier's own clock began.
     pub(super) epoch: Duration,
-    pub(super) held: BTreeMap<NoticeId, HeldMessage>,
+    pub(super) held: BTreeMap<MessageId, HeldMessage>,
     /// The endpoint list as last told; outlasts the process.
-    pub(super) known: BTreeMap<usize, Listing>,
+    pub(super) known: BTreeMap<usize, EndpointState>,
     /// Whether it has a watch on service discovery.
     pub(super) watches: bool,
 }
@@ -127,8 +127,8 @@
 
     fn act(&mut self, courier: usize, action: Action) {
         match action {
-            Action::Send { notice, endpoint, patience } => self.send(courier, notice, &endpoint, patience),
-            Action::Answer { notice, answer } => self.answer(courier, notice, answer),
+            Action::Attempt { message, endpoint, timeout } => self.send(courier, message, &endpoint, timeout),
+            Action::Answer { message, answer } => self.answer(courier, message, answer),
             Action::CloseIdle { endpoint } => self.close_idle(courier, &endpoint),
             Action::Gossip { octets } => self.gossip(courier, &octets),
             Action::Wake { wait } => {
@@ -164,7 +164,7 @@
     /// A timer of a courier has run out.
     pub(super) fn wake(&mut self, courier: usize, life: u32) {
         if self.lives(courier, life) {
-            self.tell(courier, &[Input::Woken]);
+            self.tell(courier, &[Input::TimerFired]);
         }
     }
 
@@ -182,5 +182,5 @@
 impl Decider for NoDecider {
     fn at(&mut self, _: Duration) {}
     fn tell(&mut self, _: Input) {}
-    fn settle(&mut self, _: &mut dyn Hands) {}
+    fn settle(&mut self, _: &mut dyn Driver) {}
 }
--- a/crates/quillhub-simulator/src/world/discovery.rs
+++ b/crates/quillhub-simulator/src/world/discovery.rs
@@ -1,12 +1,12 @@
 //! Service discovery: the endpoint list, and when couriers hear of it.
 
 use super::World;
-use super::event::{DiscoveryFault, EndpointUpdate, Entries, Event};
+use super::event::{DiscoveryFault, Entries, Event, ListChange};
 use crate::day::{Rates, RegisterForm};
 use crate::decider::Input;
 use crate::fact::Fact;
 use crate::faults::{Drain, ScheduledFault, chance_of_fault};
-use quillhub::{DestinationId, Listing};
+use quillhub::{DestinationId, EndpointState, EndpointUpdate};
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,7 +19,7 @@
     pub(super) name: String,
     pub(super) server: usize,
     destination: DestinationId,
-    pub(super) listing: Listing,
+    pub(super) listing: EndpointState,
     /// Nothing listens there any more.
     pub(super) removed: bool,
     rate: Option<f64>,
@@ -48,13 +48,14 @@
 
     /// The whole list as it is.
     fn snapshot(&self) -> Entries {
-        let listed = self.entries.iter().enumerate().filter(|(_, entry)| entry.listing != Listing::Gone);
+        let listed =
+            self.entries.iter().enumerate().filter(|(_, entry)| entry.listing != EndpointState::Removed);
         listed.map(|(number, entry)| (number, entry.listing)).collect()
     }
 
     /// Entries that calls may go to.
     pub(super) fn open(&self) -> impl Iterator<Item = (usize, &Entry)> {
-        self.entries.iter().enumerate().filter(|(_, entry)| entry.listing == Listing::Open)
+        self.entries.iter().enumerate().filter(|(_, entry)| entry.listing == EndpointState::Available)
     }
 
     fn is_out_of_reach(&self) -> bool {
@@ -71,7 +72,14 @@
         let zone = &self.day.couriers.zones[of.zone];
         let rate = self.listed_rate(server);
         self.record.placed(self.clock.now(), &Fact::Placed { endpoint: &name, zone, route });
-        self.discovery.add(Entry { name, server, destination, listing: Listing::Open, removed: false, rate })
+        self.discovery.add(Entry {
+            name,
+            server,
+            destination,
+            listing: EndpointState::Available,
+            removed: false,
+            rate,
+        })
     }
 
     /// What is listed of a server's rate.
@@ -119,7 +127,7 @@
     pub(super) fn discovery_fails(&mut self, courier: usize, life: u32) {
         if self.lives(courier, life) {
             self.couriers[courier].watches = false;
-            self.tell(courier, &[Input::ListFailed]);
+            self.tell(courier, &[Input::EndpointListFailed]);
         }
     }
 
@@ -140,17 +148,17 @@
         } else {
             known.iter().map(|(entry, listing)| (*entry, *listing)).collect()
         };
-        self.tell_endpoints(courier, EndpointUpdate::Snapshot(entries), asked);
+        self.tell_endpoints(courier, ListChange::Snapshot(entries), asked);
         if asked && !first {
             let wait = self.told_after();
             if !self.discovery.is_out_of_reach() {
-                let update = EndpointUpdate::Snapshot(self.discovery.snapshot());
+                let update = ListChange::Snapshot(self.discovery.snapshot());
                 self.send_update(courier, wait, update);
             }
         }
     }
 
-    fn send_update(&mut self, courier: usize, wait: Duration, update: EndpointUpdate) {
+    fn send_update(&mut self, courier: usize, wait: Duration, update: ListChange) {
         let life = self.couriers[courier].life;
         self.after(wait, Event::EndpointsTold { courier, life, update });
     }
@@ -163,21 +171,21 @@
         }
         self.couriers[courier].watches = true;
         let wait = self.told_after();
-        let update = EndpointUpdate::Snapshot(self.discovery.snapshot());
+        let update = ListChange::Snapshot(self.discovery.snapshot());
         self.send_update(courier, wait, update);
     }
 
     /// A courier hears of endpoints.
-    pub(super) fn endpoints_told(&mut self, courier: usize, life: u32, update: EndpointUpdate) {
+    pub(super) fn endpoints_told(&mut self, courier: usize, life: u32, update: ListChange) {
         if self.lives(courier, life) {
             self.tell_endpoints(courier, update, true);
         }
     }
 
-    fn tell_endpoints(&mut self, courier: usize, update: EndpointUpdate, asked: bool) {
+    fn tell_endpoints(&mut self, courier: usize, update: ListChange, asked: bool) {
         let (entries, whole) = match update {
-            EndpointUpdate::Changes(entries) => (entries, false),
-            EndpointUpdate::Snapshot(entries) => (entries, true),
+            ListChange::Changes(entries) => (entries, false),
+            ListChange::Snapshot(entries) => (entries, true),
         };
         self.learn(courier, &entries);
         if whole {
@@ -190,7 +198,7 @@
     fn left_out(&self, courier: usize, snapshot: &Entries) -> Entries {
         let named: BTreeSet<_> = snapshot.iter().map(|(entry, _)| *entry).collect();
         let known = self.couriers[courier].known.keys();
-        known.filter(|entry| !named.contains(entry)).map(|entry| (*entry, Listing::Gone)).collect()
+        known.filter(|entry| !named.contains(entry)).map(|entry| (*entry, EndpointState::Removed)).collect()
     }
 
     /// A courier's host keeps what it is told; a fact for each change.
@@ -198,7 +206,7 @@
         for (entry, listing) in entries.iter().copied() {
             let known = &mut self.couriers[courier].known;
             let before = match listing {
-                Listing::Gone => known.remove(&entry),
+                EndpointState::Removed => known.remove(&entry),
                 other => known.insert(entry, other),
             };
             if before != Some(listing) {
@@ -216,39 +224,39 @@
         let rows = entries.iter().zip(&names);
         let mut inputs: Vec<_> =
             rows.map(|((entry, listing), name)| self.listed(name, *entry, *listing)).collect();
-        inputs.push(Input::ListEnds { snapshot: snapshot.as_ref(), asked });
+        inputs.push(Input::EndpointListEnded { snapshot: snapshot.as_ref(), from_discovery: asked });
         self.tell(courier, &inputs);
     }
 
     /// What a courier is told of one entry.
-    fn listed<'s>(&self, endpoint: &'s str, entry: usize, listing: Listing) -> Input<'s>
+    fn listed<'s>(&self, endpoint: &'s str, entry: usize, listing: EndpointState) -> Input<'s>
     where
         'a: 's,
     {
         let entry = &self.discovery.entries[entry];
         let server = &self.site.servers[entry.server];
-        Input::Listed {
-            endpoint,
+        Input::EndpointUpdated(EndpointUpdate {
+            name: endpoint,
             zone: &self.day.couriers.zones[server.zone],
             kind: &self.day.destinations[server.kind].kind,
             destination: entry.destination,
-            listing,
-            rate: entry.rate,
-        }
+            state: listing,
+            listed_rate: entry.rate,
+        })
     }
 
     /// An entry's state changes, and couriers are told of it.
-    fn change_listing(&mut self, entry: usize, listing: Listing) {
+    fn change_listing(&mut self, entry: usize, listing: EndpointState) {
         self.discovery.entries[entry].listing = listing;
         if !self.discovery.is_out_of_reach() {
-            self.send_to_all(|| EndpointUpdate::Changes(vec![(entry, listing)]));
+            self.send_to_all(|| ListChange::Changes(vec![(entry, listing)]));
         }
     }
 
     /// Sends the true list to all who hear.
     pub(super) fn send_snapshot(&mut self) {
         let entries = self.discovery.snapshot();
-        self.send_to_all(|| EndpointUpdate::Snapshot(entries.clone()));
+        self.send_to_all(|| ListChange::Snapshot(entries.clone()));
     }
 
     /// Sends a list without a share of the endpoints that a fault strikes.
@@ -260,11 +268,11 @@
             let server = self.discovery.entries[*entry].server;
             !struck.contains(&server) || rng.random::<f64>() >= share
         });
-        self.send_to_all(|| EndpointUpdate::Snapshot(entries.clone()));
+        self.send_to_all(|| ListChange::Snapshot(entries.clone()));
     }
 
     /// Sends an update to every courier that hears of changes, to each with a delay of its own.
-    fn send_to_all(&mut self, update: impl Fn() -> EndpointUpdate) {
+    fn send_to_all(&mut self, update: impl Fn() -> ListChange) {
         for courier in 0..self.couriers.len() {
             let host = &self.couriers[courier];
             if host.alive && (self.pushes() || host.watches) {
@@ -286,7 +294,7 @@
     }
 
     pub(super) fn drain_begins(&mut self, entry: usize, drain: Drain) {
-        self.change_listing(entry, Listing::Draining);
+        self.change_listing(entry, EndpointState::Draining);
         if drain.replaced {
             self.replace(entry, drain.same_address);
         }
@@ -294,7 +302,7 @@
     }
 
     pub(super) fn drain_ends(&mut self, entry: usize, drain: &Drain) {
-        self.change_listing(entry, Listing::Gone);
+        self.change_listing(entry, EndpointState::Removed);
         // At an address that is used again, calls to the old id go on arriving.
         self.discovery.entries[entry].removed = !(drain.replaced && drain.same_address);
     }
@@ -306,6 +314,6 @@
         let server = if same_address { old_server } else { self.site.replace(old_server) };
         let new = self.list_server(server);
         self.discovery.entries[new].rate = rate;
-        self.change_listing(new, Listing::Open);
+        self.change_listing(new, EndpointState::Available);
     }
 }
--- a/crates/quillhub-simulator/src/world/effects.rs
+++ b/crates/quillhub-simulator/src/world/effects.rs
@@ -15,7 +15,7 @@
 }
 
 /// What became of a call at its destination.
-pub(super) struct Effect {
+pub(super) struct RepeatSafety {
     /// The destination knew the key and dropped the call.
     pub(super) repeat: bool,
     /// The same order had its effect before, and must not have it again.
@@ -35,11 +35,11 @@
 
 impl Effects {
     /// A call runs at its destination.
-    pub(super) fn run(&mut self, now: Duration, key: IdempotencyKey, grade: &GradeOf) -> Effect {
+    pub(super) fn run(&mut self, now: Duration, key: IdempotencyKey, grade: &GradeOf) -> RepeatSafety {
         self.forget(now);
         let repeat = grade.effect == EffectOf::Fingerprinted && self.is_repeat(now, key, grade.memory);
         let again = grade.effect != EffectOf::Retriable && !repeat && !self.done.insert(key.order);
-        Effect { repeat, again }
+        RepeatSafety { repeat, again }
     }
 
     fn forget(&mut self, now: Duration) {
--- a/crates/quillhub-simulator/src/world/event.rs
+++ b/crates/quillhub-simulator/src/world/event.rs
@@ -1,7 +1,7 @@
 //! The events of a run.
 
 use crate::faults::Drain;
-use quillhub::{Listing, Outcome};
+use quillhub::{AttemptOutcome, EndpointState, LoadReport};
 use std::time::Duration;
 
 /// What happens at an instant of a run.
@@ -11,7 +11,7 @@
         stream: usize,
         count: u64,
     },
-    /// A client hands its message to a courier, for the first time or again.
+    /// A client driver its message to a courier, for the first time or again.
     Submission {
         order: u64,
     },
@@ -24,7 +24,7 @@
         call: u64,
     },
     /// What a call asks for takes effect at its destination.
-    Effect {
+    RepeatSafety {
         call: u64,
     },
     /// A worker of a server has finished a call.
@@ -51,7 +51,7 @@
     EndpointsTold {
         courier: usize,
         life: u32,
-        update: EndpointUpdate,
+        update: ListChange,
     },
     /// A courier's call to service discovery fails.
     DiscoveryFails {
@@ -82,30 +82,30 @@
 
 /// How a call ended, as its courier hears it.
 pub(super) struct CallEnd {
-    pub(super) outcome: Outcome,
+    pub(super) outcome: AttemptOutcome,
     /// Whether its connection can be used again.
     pub(super) reusable: bool,
     /// The endpoint's report in the answer, where there is one.
-    pub(super) report: Option<(f64, f64)>,
+    pub(super) load_report: Option<LoadReport>,
 }
 
 impl CallEnd {
     /// An end after which the connection is of no use.
-    pub(super) fn broken(outcome: Outcome) -> Self {
-        Self { outcome, reusable: false, report: None }
+    pub(super) fn broken(outcome: AttemptOutcome) -> Self {
+        Self { outcome, reusable: false, load_report: None }
     }
 
     /// An answer without a report, after which the connection stays open.
-    pub(super) fn answered(outcome: Outcome) -> Self {
-        Self { outcome, reusable: true, report: None }
+    pub(super) fn answered(outcome: AttemptOutcome) -> Self {
+        Self { outcome, reusable: true, load_report: None }
     }
 }
 
 /// Entries of the endpoint list with their states.
-pub(super) type Entries = Vec<(usize, Listing)>;
+pub(super) type Entries = Vec<(usize, EndpointState)>;
 
 /// What service discovery tells at once.
-pub(super) enum EndpointUpdate {
+pub(super) enum ListChange {
     /// What changed.
     Changes(Entries),
     /// A whole list; what it leaves out is gone.
--- a/crates/quillhub-simulator/src/world/mod.rs
+++ b/crates/quillhub-simulator/src/world/mod.rs
@@ -1,6 +1,6 @@
 //! Plays a day in virtual time. Each module beside this one extends [`World`] by one job: the couriers' hosts, the
 //! clients, both sides of a call, service discovery, and the faults. This one holds the state that they share, and
-//! hands each event to the module that it concerns.
+//! driver each event to the module that it concerns.
 
 mod actions;
 mod calls;
@@ -152,7 +152,7 @@
             Event::Submission { order } => self.submit(order),
             Event::Connected { call } => self.connected(call),
             Event::CallArrives { call } => self.call_arrives(call),
-            Event::Effect { call } => self.effect(call),
+            Event::RepeatSafety { call } => self.effect(call),
             Event::Served { call, server } => self.served(call, server),
             Event::CallEnds { call, end } => self.call_ends(call, end),
             Event::Wake { courier, life } => self.wake(courier, life),
--- a/crates/quillhub-simulator/src/world/restarts.rs
+++ b/crates/quillhub-simulator/src/world/restarts.rs
@@ -6,13 +6,13 @@
 use crate::day::{EffectOf, GradeOf};
 use crate::decider::Input;
 use crate::fact::Fact;
-use quillhub::{DestinationId, NoticeId};
+use quillhub::{DestinationId, MessageId, NewMessage, PossibleExecution, RecoveredAttempts};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// A message that is read back from the state directory; instants by the courier's own clock.
 struct Recovered {
-    notice: NoticeId,
+    notice: MessageId,
     grade: usize,
     key: Option<u64>,
     deadline: Duration,
@@ -27,11 +27,14 @@
     fn inputs<'s>(&'s self, grades: &'s [GradeOf]) -> [Input<'s>; 2] {
         let Self { notice: id, key, deadline, destination, attempts, .. } = *self;
         let grade = &grades[self.grade].name;
-        let may_have_run = self.may_have_run.as_ref().map(|(at, endpoint)| (*at, endpoint.as_str()));
-        [
-            Input::Message { id, grade, key, deadline, tenant: None, destination },
-            Input::Recovered { id, attempts, may_have_run },
-        ]
+        let first_execution = self
+            .may_have_run
+            .as_ref()
+            .map(|(started, endpoint)| PossibleExecution { started: *started, endpoint });
+        let message =
+            NewMessage { id, service_class: grade, ordering_key: key, deadline, tenant: None, destination };
+        let attempts = RecoveredAttempts { count: attempts, first_execution };
+        [Input::Message(message), Input::Recovered { message: id, attempts }]
     }
 }
 
@@ -59,7 +62,7 @@
     }
 
     /// Ends the process; what was held and does not outlast it.
-    fn end_process(&mut self, courier: usize, folder: bool) -> BTreeMap<NoticeId, HeldMessage> {
+    fn end_process(&mut self, courier: usize, folder: bool) -> BTreeMap<MessageId, HeldMessage> {
         let now = self.clock.now();
         let host = &mut self.couriers[courier];
         host.alive = false;
@@ -95,7 +98,7 @@
         self.hand_back(courier);
     }
 
-    /// Hands a courier what its state directory holds.
+    /// Driver a courier what its state directory holds.
     fn hand_back(&mut self, courier: usize) {
         let recovered = self.recovered(courier);
         let inputs: Vec<_> = recovered.iter().flat_map(|message| message.inputs(&self.day.grades)).collect();
@@ -104,7 +107,7 @@
 
     fn recovered(&self, courier: usize) -> Vec<Recovered> {
         let host = &self.couriers[courier];
-        let recover = |(notice, message): (&NoticeId, &HeldMessage)| Recovered {
+        let recover = |(notice, message): (&MessageId, &HeldMessage)| Recovered {
             notice: *notice,
             grade: message.grade,
             key: message.key,
--- a/crates/quillhub-simulator/src/world/servers.rs
+++ b/crates/quillhub-simulator/src/world/servers.rs
@@ -7,7 +7,7 @@
 use crate::conditions::ServerFault;
 use crate::fact::Fact;
 use crate::site::{Site, Taken, Turn};
-use quillhub::Outcome;
+use quillhub::AttemptOutcome;
 use rand::RngExt;
 use std::time::Duration;
 
@@ -25,11 +25,11 @@
             self.route_falls(server);
         }
         match taken {
-            Taken::Breaks => self.answer_call(number, Outcome::Reset, false),
+            Taken::Breaks => self.answer_call(number, AttemptOutcome::ConnectionReset, false),
             Taken::Hangs => self.call_hangs(number),
             Taken::TurnedAway(wait) => {
                 self.record.tally.turned_away += 1;
-                self.answer_call(number, Outcome::Refused(wait), true);
+                self.answer_call(number, AttemptOutcome::Rejected { retry_after: wait }, true);
             }
             Taken::Fails(time) => self.call_fails(number, time),
             Taken::Begins => self.begin(number, server),
@@ -58,7 +58,7 @@
         let delay = self.way_back(number);
         self.leave_endpoint(number);
         if let Some(delay) = delay {
-            let end = CallEnd::answered(Outcome::Error);
+            let end = CallEnd::answered(AttemptOutcome::Failed);
             self.after(time + delay, Event::CallEnds { call: number, end });
         }
     }
@@ -70,7 +70,7 @@
             self.record.tally.waited(self.clock.now() - call.started);
         }
         let effect = time.mul_f64(self.rng.random());
-        self.after(effect, Event::Effect { call: number });
+        self.after(effect, Event::RepeatSafety { call: number });
         self.after(time, Event::Served { call: number, server });
     }
 
@@ -99,7 +99,7 @@
         if self.rng.random::<f64>() < mute {
             return self.leave_endpoint(number);
         }
-        self.answer_call(number, Outcome::Handled, true);
+        self.answer_call(number, AttemptOutcome::Delivered, true);
     }
 
     /// Nothing more happens to a call at its endpoint.
@@ -111,14 +111,14 @@
     }
 
     /// The answer goes back to the courier, if anything gets through.
-    fn answer_call(&mut self, number: u64, outcome: Outcome, reusable: bool) {
+    fn answer_call(&mut self, number: u64, outcome: AttemptOutcome, reusable: bool) {
         let Some(call) = self.calls.get(&number) else { return };
         let awaited = call.awaited;
-        let report = self.site.report(call.server, self.clock.now());
+        let load_report = self.site.load_report(call.server, self.clock.now());
         let delay = self.way_back(number);
         self.leave_endpoint(number);
         if let Some(delay) = delay.filter(|_| awaited) {
-            let end = CallEnd { outcome, reusable, report };
+            let end = CallEnd { outcome, reusable, load_report };
             self.after(delay, Event::CallEnds { call: number, end });
         }
     }
@@ -154,7 +154,7 @@
     fn reset(&mut self, number: u64) {
         if let Some(delay) = self.way_back(number) {
             let begun = self.calls[&number].begun;
-            let outcome = if begun { Outcome::Reset } else { Outcome::Unconnected };
+            let outcome = if begun { AttemptOutcome::ConnectionReset } else { AttemptOutcome::ConnectFailed };
             self.end_after(delay, number, outcome);
         }
     }
--- a/crates/quillhub-simulator/tests/cold_return.rs
+++ b/crates/quillhub-simulator/tests/cold_return.rs
@@ -3,7 +3,7 @@
 //! Beyond that a cold destination falls, and it is the couriers' doing where two thirds of the calls came from couriers
 //! that had seen a call fail, or be refused, there during the outage.
 
-use quillhub::{NoticeId, Outcome};
+use quillhub::{AttemptOutcome, MessageId};
 use quillhub_simulator::{Day, Fact, Start, World, module};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -43,7 +43,7 @@
     day: &'a Day,
     routes: BTreeMap<usize, Route>,
     placed: BTreeMap<String, usize>,
-    attempts: BTreeMap<(usize, NoticeId, u32), usize>,
+    attempts: BTreeMap<(usize, MessageId, u32), usize>,
     found: Found,
 }
 
@@ -76,7 +76,7 @@
             Fact::Ended { courier, notice, send, outcome, .. } => {
                 let Some(route) = self.attempts.get(&(*courier, *notice, *send)) else { return };
                 let route = self.routes.entry(*route).or_default();
-                if route.out && !matches!(outcome, Outcome::Handled | Outcome::Unsent) {
+                if route.out && !matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::NotSent) {
                     route.told.insert(*courier);
                 }
             }
--- a/crates/quillhub-simulator/tests/mutants.rs
+++ b/crates/quillhub-simulator/tests/mutants.rs
@@ -1,7 +1,9 @@
 //! The auditor against deliberately wrong deciders: each wraps the real module, goes wrong in one way, and must be
 //! caught under exactly the rule that it breaks; the module itself is clean on the same days.
 
-use quillhub::{DestinationId, Hands, Listing, NoticeId, Outcome};
+use quillhub::{
+    AttemptOutcome, AttemptResult, DestinationId, Driver, EndpointState, EndpointUpdate, MessageId,
+};
 use quillhub_simulator::{Breach, Day, Decider, Input, Rule, Start, World, module};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -25,35 +27,35 @@
 }
 
 enum Act {
-    Send(NoticeId, String, Duration),
-    Deny(NoticeId, Option<Duration>),
-    WriteOff(NoticeId),
+    Send(MessageId, String, Duration),
+    Deny(MessageId, Option<Duration>),
+    WriteOff(MessageId),
     Other(Vec<u8>, Option<Duration>, bool, Option<String>),
 }
 
 #[derive(Default)]
 struct Acts(Vec<Act>);
 
-impl Hands for Acts {
-    fn send(&mut self, notice: NoticeId, endpoint: &str, patience: Duration) {
-        self.0.push(Act::Send(notice, endpoint.into(), patience));
+impl Driver for Acts {
+    fn start_attempt(&mut self, message: MessageId, endpoint: &str, timeout: Duration) {
+        self.0.push(Act::Send(message, endpoint.into(), timeout));
     }
-    fn deny(&mut self, notice: NoticeId, come_back: Option<Duration>) {
-        self.0.push(Act::Deny(notice, come_back));
+    fn reject(&mut self, message: MessageId, retry_after: Option<Duration>) {
+        self.0.push(Act::Deny(message, retry_after));
     }
-    fn write_off(&mut self, notice: NoticeId) {
-        self.0.push(Act::WriteOff(notice));
+    fn abandon(&mut self, message: MessageId) {
+        self.0.push(Act::WriteOff(message));
     }
-    fn hang_up(&mut self, endpoint: &str) {
+    fn close_idle_connections(&mut self, endpoint: &str) {
         self.0.push(Act::Other(Vec::new(), None, false, Some(endpoint.into())));
     }
-    fn tell(&mut self, note: &[u8]) {
-        self.0.push(Act::Other(note.into(), None, false, None));
+    fn broadcast(&mut self, gossip: &[u8]) {
+        self.0.push(Act::Other(gossip.into(), None, false, None));
     }
-    fn wake(&mut self, wait: Duration) {
+    fn set_timer(&mut self, wait: Duration) {
         self.0.push(Act::Other(Vec::new(), Some(wait), false, None));
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.0.push(Act::Other(Vec::new(), None, true, None));
     }
     fn log(&mut self, _: &str) {}
@@ -62,20 +64,20 @@
 struct Mutant {
     inner: Box<dyn Decider>,
     flaw: Flaw,
-    binding: BTreeSet<NoticeId>,
-    limits: BTreeMap<NoticeId, Duration>,
+    binding: BTreeSet<MessageId>,
+    limits: BTreeMap<MessageId, Duration>,
     /// The inner one's number of each send that the world knows; nothing for those it did not ask for.
-    numbers: BTreeMap<(NoticeId, u32), Option<u32>>,
-    sent: BTreeMap<NoticeId, (u32, u32)>,
+    numbers: BTreeMap<(MessageId, u32), Option<u32>>,
+    sent: BTreeMap<MessageId, (u32, u32)>,
     late: Vec<(Duration, Act)>,
     /// Each notice's destination, and a millisecond before the end of the wait that it told.
-    to: BTreeMap<NoticeId, DestinationId>,
+    to: BTreeMap<MessageId, DestinationId>,
     waits: BTreeMap<DestinationId, Duration>,
     now: Duration,
 }
 
 impl Mutant {
-    fn pass(&mut self, act: Act, hands: &mut dyn Hands) {
+    fn pass(&mut self, act: Act, driver: &mut dyn Driver) {
         match act {
             Act::Send(id, endpoint, patience) => {
                 let copies = if self.flaw == Flaw::SendsTwoAtOnce { 2 } else { 1 };
@@ -84,28 +86,28 @@
                     self.numbers.insert((id, *world), (copy == 0).then_some(*inner));
                     *world += 1;
                     *inner += u32::from(copy == 0);
-                    hands.send(id, &endpoint, patience);
+                    driver.start_attempt(id, &endpoint, patience);
                 }
             }
             Act::Deny(id, come_back) => {
-                hands.deny(id, come_back);
+                driver.reject(id, come_back);
                 if self.flaw == Flaw::AnswersTwice {
-                    hands.deny(id, come_back);
+                    driver.reject(id, come_back);
                 }
                 if self.flaw == Flaw::SendsAfterTheEnd {
-                    hands.send(id, "e1", Duration::from_secs(1));
+                    driver.start_attempt(id, "e1", Duration::from_secs(1));
                 }
             }
-            Act::WriteOff(id) if self.flaw == Flaw::DeniesBinding => hands.deny(id, None),
-            Act::WriteOff(id) => hands.write_off(id),
-            Act::Other(_, _, true, _) => hands.watch(),
-            Act::Other(_, Some(wait), ..) => hands.wake(wait),
-            Act::Other(_, _, _, Some(endpoint)) => hands.hang_up(&endpoint),
-            Act::Other(note, ..) => hands.tell(&note),
+            Act::WriteOff(id) if self.flaw == Flaw::DeniesBinding => driver.reject(id, None),
+            Act::WriteOff(id) => driver.abandon(id),
+            Act::Other(_, _, true, _) => driver.watch_endpoints(),
+            Act::Other(_, Some(wait), ..) => driver.set_timer(wait),
+            Act::Other(_, _, _, Some(endpoint)) => driver.close_idle_connections(&endpoint),
+            Act::Other(note, ..) => driver.broadcast(&note),
         }
     }
 
-    fn recovered(&mut self, id: NoticeId, attempts: u32, input: Input) {
+    fn recovered(&mut self, id: MessageId, attempts: u32, input: Input) {
         self.sent.insert(id, (attempts, attempts));
         match self.flaw {
             Flaw::ForgetsAtRestart => {
@@ -120,7 +122,7 @@
 
     /// The inner one's number of an attempt that ended. A copy that is handled ends the notice: then the one that was
     /// asked for has its end too.
-    fn inner_number(&mut self, id: NoticeId, attempt: u32, over: bool) -> Option<u32> {
+    fn inner_number(&mut self, id: MessageId, attempt: u32, over: bool) -> Option<u32> {
         let mine = self.numbers.remove(&(id, attempt)).flatten();
         let of_copy =
             || self.numbers.iter().find(|((of, _), n)| *of == id && n.is_some()).and_then(|(_, n)| *n);
@@ -128,21 +130,24 @@
     }
 
     /// The outcome that the inner one is told.
-    fn falsified(&mut self, id: NoticeId, outcome: Outcome) -> Outcome {
+    fn falsified(&mut self, id: MessageId, outcome: AttemptOutcome) -> AttemptOutcome {
         match (self.flaw, outcome) {
-            (Flaw::SendsBindingAgain, Outcome::TimedOut | Outcome::Reset) if self.binding.contains(&id) => {
-                Outcome::Unconnected
+            (Flaw::SendsBindingAgain, AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset)
+                if self.binding.contains(&id) =>
+            {
+                AttemptOutcome::ConnectFailed
             }
             // What it then sends at the module's own time is held until just before the wait's end.
-            (Flaw::CutsWaitsShort, Outcome::Refused(Some(wait))) => {
+            (Flaw::CutsWaitsShort, AttemptOutcome::Rejected { retry_after: Some(wait) }) => {
                 let end = self.now + wait.saturating_sub(Duration::from_millis(1));
                 let until = self.waits.entry(self.to[&id]).or_default();
                 *until = end.max(*until);
-                Outcome::Refused(None)
-            }
-            (Flaw::SeesNoOutage, Outcome::TimedOut | Outcome::Reset | Outcome::Unconnected) => {
-                Outcome::Unsent
+                AttemptOutcome::Rejected { retry_after: None }
             }
+            (
+                Flaw::SeesNoOutage,
+                AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::ConnectFailed,
+            ) => AttemptOutcome::NotSent,
             _ => outcome,
         }
     }
@@ -151,10 +156,12 @@
 /// The list as a decider sees it that takes every endpoint for open, and none for gone.
 fn hide_drains(input: Input) -> Input {
     match input {
-        Input::Listed { endpoint, zone, kind, destination, rate, .. } => {
-            Input::Listed { endpoint, zone, kind, destination, listing: Listing::Open, rate }
+        Input::EndpointUpdated(update) => {
+            Input::EndpointUpdated(EndpointUpdate { state: EndpointState::Available, ..update })
+        }
+        Input::EndpointListEnded { from_discovery, .. } => {
+            Input::EndpointListEnded { snapshot: None, from_discovery }
         }
-        Input::ListEnds { asked, .. } => Input::ListEnds { snapshot: None, asked },
         other => other,
     }
 }
@@ -166,52 +173,54 @@
     }
     fn tell(&mut self, input: Input) {
         match input {
-            Input::Listed { .. } | Input::ListEnds { .. } if self.flaw == Flaw::SendsToDraining => {
+            Input::EndpointUpdated(_) | Input::EndpointListEnded { .. }
+                if self.flaw == Flaw::SendsToDraining =>
+            {
                 self.inner.tell(hide_drains(input));
             }
-            Input::Message { id, grade, deadline, destination, .. } => {
-                if grade == "pay" {
-                    self.binding.insert(id);
+            Input::Message(message) => {
+                if message.service_class == "pay" {
+                    self.binding.insert(message.id);
                 }
-                self.limits.insert(id, deadline);
-                self.to.insert(id, destination);
+                self.limits.insert(message.id, message.deadline);
+                self.to.insert(message.id, message.destination);
                 self.inner.tell(input);
             }
-            Input::Recovered { id, attempts, .. } => self.recovered(id, attempts, input),
-            Input::Outcome { id, attempt, outcome, took, over, report } => {
+            Input::Recovered { message, attempts } => self.recovered(message, attempts.count, input),
+            Input::AttemptEnded(result) => {
                 // What nobody asked for has no outcome.
-                if let Some(attempt) = self.inner_number(id, attempt, over) {
-                    let outcome = self.falsified(id, outcome);
-                    self.inner.tell(Input::Outcome { id, attempt, outcome, took, over, report });
+                if let Some(attempt) = self.inner_number(result.message, result.attempt, result.finished) {
+                    let outcome = self.falsified(result.message, result.outcome);
+                    self.inner.tell(Input::AttemptEnded(AttemptResult { attempt, outcome, ..result }));
                 }
             }
             other => self.inner.tell(other),
         }
     }
-    fn may_go(&self, id: NoticeId, send: u32, now: Duration) -> bool {
+    fn may_go(&self, id: MessageId, send: u32, now: Duration) -> bool {
         // What it did not ask for goes no further than that: its asking is the breach.
         let inner = self.numbers.get(&(id, send)).copied().flatten();
         inner.is_some_and(|send| self.inner.may_go(id, send, now))
     }
-    fn settle(&mut self, hands: &mut dyn Hands) {
+    fn settle(&mut self, driver: &mut dyn Driver) {
         let mut acts = Acts::default();
         self.inner.settle(&mut acts);
         let (due, late) = std::mem::take(&mut self.late).into_iter().partition(|(at, _)| *at <= self.now);
         self.late = late;
         let due: Vec<(Duration, Act)> = due;
-        due.into_iter().for_each(|(_, act)| self.pass(act, hands));
+        due.into_iter().for_each(|(_, act)| self.pass(act, driver));
         for act in acts.0 {
             if let Act::Send(id, endpoint, patience) = &act
                 && let Some(end) = self.waits.get(&self.to[id]).filter(|end| **end > self.now)
                 && *patience > *end - self.now
             {
                 let act = Act::Send(*id, endpoint.clone(), *patience - (*end - self.now));
-                hands.wake(*end - self.now);
+                driver.set_timer(*end - self.now);
                 self.late.push((*end, act));
                 continue;
             }
             let (Act::Deny(id, _) | Act::WriteOff(id)) = act else {
-                self.pass(act, hands);
+                self.pass(act, driver);
                 continue;
             };
             // What was forgotten at a restart is not known, so nobody answers for it.
@@ -222,9 +231,9 @@
                 Flaw::AnswersLate => {
                     let wait = Duration::from_secs(20);
                     self.late.push((self.now + wait, act));
-                    hands.wake(wait);
+                    driver.set_timer(wait);
                 }
-                _ => self.pass(act, hands),
+                _ => self.pass(act, driver),
             }
         }
     }
--- a/src/courier.rs
+++ b/src/dispatcher.rs
@@ -2,7 +2,7 @@
 //! parts that decide are in `policy.rs`.
 
 use crate::policy::{Credits, FORGET, Latency};
-use crate::{DestinationId, Grade, ListedRate, Listing, NoticeId};
+use crate::{DestinationId, EndpointState, ListedRate, MessageId, ServiceClass};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -41,14 +41,14 @@
 /// Who has the turn among the notices with one key; gone when none is held, out or resting.
 #[derive(Default)]
 pub(crate) struct Turn {
-    pub(crate) line: VecDeque<NoticeId>,
-    pub(crate) out: Vec<NoticeId>,
+    pub(crate) line: VecDeque<MessageId>,
+    pub(crate) out: Vec<MessageId>,
     pub(crate) rest: Duration,
-    pub(crate) rests_for: Option<NoticeId>,
+    pub(crate) rests_for: Option<MessageId>,
 }
 
 impl Turn {
-    pub(crate) fn has(&self, id: NoticeId, now: Duration) -> bool {
+    pub(crate) fn has(&self, id: MessageId, now: Duration) -> bool {
         self.line.front() == Some(&id)
             && self.out.iter().all(|other| *other == id)
             && (self.rest <= now || self.rests_for == Some(id))
@@ -162,7 +162,7 @@
 
 impl Destination {
     fn is_named(&self) -> bool {
-        self.endpoints.values().any(|endpoint| endpoint.listing != Listing::Gone)
+        self.endpoints.values().any(|endpoint| endpoint.listing != EndpointState::Removed)
     }
 }
 
@@ -171,7 +171,7 @@
     pub(crate) kind: String,
     pub(crate) place: u32,
     pub(crate) route: String,
-    pub(crate) listing: Listing,
+    pub(crate) listing: EndpointState,
     pub(crate) credits: Credits,
     pub(crate) outage: Outage,
     pub(crate) used: Option<Duration>,
@@ -270,7 +270,7 @@
     pub(crate) joined: bool,
 }
 
-pub struct Courier {
+pub struct Dispatcher {
     pub(crate) now: Duration,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) couriers: u32,
@@ -279,7 +279,7 @@
     pub(crate) room: usize,
     pub(crate) folder_room: u64,
     /// The notice handed in last, until the rules have been gone through.
-    pub(crate) fresh: Option<NoticeId>,
+    pub(crate) fresh: Option<MessageId>,
     pub(crate) most_sends: u32,
     pub(crate) longest_wait: Duration,
     pub(crate) ramp: Return,
@@ -287,7 +287,7 @@
     pub(crate) key_rest: Duration,
     pub(crate) listed: ListedRate,
     pub(crate) register: Register,
-    pub(crate) grades: Vec<(String, Grade)>,
+    pub(crate) grades: Vec<(String, ServiceClass)>,
     /// Recent times of each grade over all destinations; as many as there are grades.
     pub(crate) latencies: BTreeMap<usize, Latency>,
     pub(crate) apart: BTreeSet<String>,
@@ -306,8 +306,8 @@
     /// How long idle connections are kept, by kind; as many as the list has kinds.
     pub(crate) keeps: BTreeMap<String, Keep>,
     pub(crate) turns: BTreeMap<u64, Turn>,
-    pub(crate) held: BTreeMap<NoticeId, Held>,
-    pub(crate) calls: BTreeMap<(NoticeId, u32), Call>,
+    pub(crate) held: BTreeMap<MessageId, Held>,
+    pub(crate) calls: BTreeMap<(MessageId, u32), Call>,
     /// About the share of calls that got no answer while others at their endpoint did.
     pub(crate) strays: f64,
     /// Repeats after refusals that may be sent, over all destinations.
@@ -322,7 +322,7 @@
     pub(crate) news: Vec<(DestinationId, String)>,
 }
 
-impl Courier {
+impl Dispatcher {
     pub fn new(seed: u64, couriers: u32, zone: &str) -> Self {
         Self {
             now: Duration::ZERO,
@@ -376,86 +376,86 @@
     }
 
     /// Calls out at once, notices held at once, and sends for one notice, where limited.
-    pub fn room(&mut self, slots: Option<usize>, held: Option<usize>, sends: Option<u32>) {
+    pub fn set_limits(&mut self, slots: Option<usize>, held: Option<usize>, sends: Option<u32>) {
         self.slots.most = slots.unwrap_or(1);
         self.room = held.unwrap_or(usize::MAX);
         self.most_sends = sends.unwrap_or(u32::MAX);
     }
 
     /// For hosts that have room for so many calls out at once only, whatever the settings allow.
-    pub fn most_calls(&mut self, most: usize) {
+    pub fn cap_concurrency(&mut self, most: usize) {
         self.slots.most = self.slots.most.min(most.max(1));
     }
 
     /// The longest wait that may be told with a denial; none if none may be told.
-    pub fn come_back(&mut self, longest: Option<Duration>) {
+    pub fn set_longest_retry_after(&mut self, longest: Option<Duration>) {
         self.longest_wait = longest.unwrap_or_default();
     }
 
-    pub fn returning(&mut self, factor: f64, start: f64, warm_up: Duration) {
+    pub fn set_slow_start(&mut self, factor: f64, start: f64, warm_up: Duration) {
         self.ramp = Return { factor, start, warm_up };
     }
 
     /// For how long one that returns bears too much before it falls; zero, as at first, if that is not known.
-    pub fn falls_after(&mut self, span: Duration) {
+    pub fn set_overload_tolerance(&mut self, span: Duration) {
         self.falls_after = span;
     }
 
     /// How long a connection may idle before it closes by itself; zero, as at first, if that is not known.
-    pub fn idle_close(&mut self, after: Duration) {
+    pub fn set_idle_timeout(&mut self, after: Duration) {
         self.idle_close = after;
     }
 
     /// Whether notes may be sent to other couriers.
-    pub fn may_tell(&mut self, allowed: bool) {
+    pub fn allow_gossip(&mut self, allowed: bool) {
         self.may_tell = allowed;
     }
 
-    pub fn key_rest(&mut self, rest: Duration) {
+    pub fn set_ordering_pause(&mut self, rest: Duration) {
         self.key_rest = rest;
     }
 
-    pub fn listing(&mut self, must_ask: bool, rate: ListedRate) {
+    pub fn set_discovery(&mut self, must_ask: bool, rate: ListedRate) {
         self.register.must_ask = must_ask;
         self.listed = rate;
     }
 
     /// The period in which a register that must be asked wants each courier to ask once.
-    pub fn ask_every(&mut self, period: Duration) {
+    pub fn set_poll_period(&mut self, period: Duration) {
         self.register.every = period;
     }
 
-    pub fn grade(&mut self, name: &str, grade: Grade) {
+    pub fn add_service_class(&mut self, name: &str, grade: ServiceClass) {
         self.grades.push((name.into(), grade));
     }
 
     /// A kind of destination whose endpoints are routes apart.
-    pub fn routes_apart(&mut self, kind: &str) {
+    pub fn separate_routes(&mut self, kind: &str) {
         self.apart.insert(kind.into());
     }
 
     /// A kind of destination that takes up to so many notices in one call; only from hosts that send those that
     /// are asked for at one instant, to one endpoint, in one call.
-    pub fn batch(&mut self, kind: &str, most: u32) {
+    pub fn set_batch_limit(&mut self, kind: &str, most: u32) {
         self.batches.insert(kind.into(), most);
     }
 
     /// For hosts that send each notice in a call of its own, whatever the settings allow.
-    pub fn one_a_call(&mut self) {
+    pub fn disable_batching(&mut self) {
         self.batches.clear();
     }
 
     /// What refused calls cost, in points of the result if there were one for each first try; 0 if nothing.
-    pub fn refusal_price(&mut self, points: f64) {
+    pub fn set_rejection_cost(&mut self, points: f64) {
         self.refusal_price = points;
     }
 
-    pub fn toll(&mut self, zone: &str, points: f64) {
+    pub fn set_zone_cost(&mut self, zone: &str, points: f64) {
         self.tolls.insert(zone.into(), points);
     }
 
     /// A tenant's rate for the whole pool; what comes over it earns only `over_share`.
-    pub fn tenant(&mut self, name: &str, rate: f64, over_share: f64) {
+    pub fn add_tenant(&mut self, name: &str, rate: f64, over_share: f64) {
         let rate = rate / f64::from(self.couriers);
         self.quotas
             .insert(name.into(), Quota { rate, by_time: rate, by_notice: 0.0, filled: Duration::ZERO });
@@ -463,12 +463,12 @@
     }
 
     /// The time of what is told next.
-    pub fn at(&mut self, now: Duration) {
+    pub fn advance_to(&mut self, now: Duration) {
         self.now = self.now.max(now);
     }
 
     /// The end of a list or of changes; what a whole list leaves out is gone.
-    pub fn list_ends(&mut self, whole: Option<&BTreeSet<String>>, asked: bool) {
+    pub fn endpoint_list_ended(&mut self, whole: Option<&BTreeSet<String>>, asked: bool) {
         let now = self.now;
         self.named.extend(self.destinations.iter().filter(|(_, d)| d.is_named()).map(|(id, _)| (*id, now)));
         self.named.retain(|_, at| now < *at + FORGET);
@@ -478,9 +478,9 @@
             self.destinations.retain(|_, destination| {
                 destination.endpoints.retain(|name, endpoint| {
                     if whole.is_some_and(|names| !names.contains(name)) {
-                        endpoint.listing = Listing::Gone;
+                        endpoint.listing = EndpointState::Removed;
                     }
-                    let gone = endpoint.listing == Listing::Gone;
+                    let gone = endpoint.listing == EndpointState::Removed;
                     self.left |= gone && busy.contains(name);
                     !gone || busy.contains(name)
                 });
@@ -498,12 +498,12 @@
 
     /// Whether there is such a destination, as far as the list tells; one without endpoints now may have some
     /// soon. With no list at all there may be any.
-    pub fn knows(&self, destination: DestinationId) -> bool {
+    pub fn knows_destination(&self, destination: DestinationId) -> bool {
         self.named.is_empty() || self.named.contains_key(&destination)
     }
 
     /// The client left, or the notice is over: nothing more is owed for it.
-    pub fn over(&mut self, id: NoticeId) {
+    pub fn finish(&mut self, id: MessageId) {
         if let Some(key) = self.held.remove(&id).and_then(|held| held.key)
             && let Some(turn) = self.turns.get_mut(&key)
         {
@@ -514,7 +514,7 @@
     }
 
     /// Bytes that the host can still keep on file; told before each notice, without that notice's own.
-    pub fn folder_room(&mut self, bytes: u64) {
+    pub fn set_storage_room(&mut self, bytes: u64) {
         self.folder_room = bytes;
     }
 
--- /dev/null
+++ b/src/driver.rs
@@ -0,0 +1,24 @@
+//! What a host does for a dispatcher.
+
+use crate::MessageId;
+use std::time::Duration;
+
+/// Carries out what a dispatcher decides. Each call takes effect at the time of the event being handled.
+pub trait Driver {
+    /// Calls `endpoint` for `message`; without a response after `timeout` the attempt ends as timed out.
+    fn start_attempt(&mut self, message: MessageId, endpoint: &str, timeout: Duration);
+    /// Final outcome: not delivered, and harmless to hand in again, best after `retry_after`.
+    fn reject(&mut self, message: MessageId, retry_after: Option<Duration>);
+    /// Final outcome: not delivered as far as is known; it may have been executed.
+    fn abandon(&mut self, message: MessageId);
+    /// Closes this instance's idle connections to `endpoint`.
+    fn close_idle_connections(&mut self, endpoint: &str);
+    /// Sends a gossip message to every other instance; it may be lost.
+    fn broadcast(&mut self, gossip: &[u8]);
+    /// Asks for [`Dispatcher::timer_fired`](crate::Dispatcher::timer_fired) after `wait`.
+    fn set_timer(&mut self, wait: Duration);
+    /// Asks discovery for the endpoint list's changes from now on.
+    fn watch_endpoints(&mut self);
+    /// Writes one line to the log.
+    fn log(&mut self, line: &str);
+}
