--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,13 +1,16 @@
-//! All decisions of a courier. Its hosts call [`Courier`]: `crates/quillhub-bench-adapter` on the bench's wire,
-//! `crates/quillhub-server` on sockets. Its interface, the words and the trait [`Hands`], is in `lib.rs`.
+//! All decisions of a courier. Its hosts call [`Dispatcher`]: `crates/quillhub-bench-adapter` on the bench's wire,
+//! `crates/quillhub-server` on sockets. Its interface, the words and the trait [`Driver`], is in `lib.rs`.
 //!
-//! A host tells one input at a time, after [`Courier::at`]; then [`Courier::settle`] goes through the rules,
+//! A host tells one input at a time, after [`Dispatcher::at`]; then [`Dispatcher::settle`] goes through the rules,
 //! in order and again from the first, until none fires. docs/design.md says where each rule comes from.
 
-use crate::courier::{
-    Call, Courier, Destination, Endpoint, Health, Held, Keep, Outage, Pace, Ration, Repeats, Return, Route,
+use crate::dispatcher::{
+    Call, Destination, Dispatcher, Endpoint, Health, Held, Keep, Outage, Pace, Ration, Repeats, Return, Route,
+};
+use crate::{
+    AttemptOutcome, AttemptResult, DestinationId, Driver, EndpointState, EndpointUpdate, ListedRate,
+    MessageId, NewMessage, RecoveredAttempts, RepeatSafety, UnknownServiceClass, gossip, ms,
 };
-use crate::{DestinationId, Effect, Hands, ListedRate, Listing, NoticeId, Outcome, ms, note};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -325,7 +328,7 @@
 impl Destination {
     /// All that may be sent to is out.
     fn out(&self) -> bool {
-        let mut open = self.endpoints.values().filter(|e| e.listing == Listing::Open).peekable();
+        let mut open = self.endpoints.values().filter(|e| e.listing == EndpointState::Available).peekable();
         open.peek().is_some() && open.all(|e| e.outage.health == Health::Out)
     }
 }
@@ -340,20 +343,16 @@
     rank: (bool, i64, i64, Duration, u32), // first, whether it is a trial
 }
 
-impl Courier {
-    pub fn listed(
-        &mut self,
-        name: &str,
-        zone: &str,
-        kind: &str,
-        owner: DestinationId,
-        listing: Listing,
-        rate: Option<f64>,
-    ) {
+impl Dispatcher {
+    /// An entry of the endpoint list, or a change of it.
+    pub fn endpoint_updated(&mut self, update: EndpointUpdate) {
+        let EndpointUpdate { name, zone, kind, destination: owner, state: listing, listed_rate: rate } =
+            update;
         let route = if self.apart.contains(kind) { name } else { "" };
         let rate = rate.filter(|rate| *rate > 0.0 && self.listed != ListedRate::Absent);
         let known = rate.map(|rate| rate * LISTED_SLACK);
-        let sure = rate.map(|rate| if self.listed == ListedRate::Rough { rate / LISTED_SLACK } else { rate });
+        let sure =
+            rate.map(|rate| if self.listed == ListedRate::Approximate { rate / LISTED_SLACK } else { rate });
         let now = self.now;
         let destination = self.destinations.entry(owner).or_default();
         let fresh = || Route::new(Pace { known, sure, own: None, saved: 1.0, filled: now });
@@ -377,10 +376,10 @@
             mates: (now, 0),
         });
         endpoint.listing = listing;
-        self.left |= listing == Listing::Gone;
+        self.left |= listing == EndpointState::Removed;
     }
 
-    pub fn list_failed(&mut self) {
+    pub fn endpoint_list_failed(&mut self) {
         let register = &mut self.register;
         (register.asked, register.failures) = (false, register.failures + 1);
         let soon = self.now + ASK_BASE.mul_f64(self.rng.random());
@@ -391,43 +390,43 @@
         register.next = if register.failures > 1 { later.min(last).max(soon) } else { soon };
     }
 
-    /// A notice was handed in. False if its grade is unknown: then nothing was taken.
-    pub fn notice(
-        &mut self,
-        id: NoticeId,
-        grade: &str,
-        key: Option<u64>,
-        limit: Duration,
-        tenant: Option<&str>,
-        destination: DestinationId,
-    ) -> bool {
-        let Some(grade) = self.grades.iter().position(|g| g.0 == grade) else { return false };
-        let mut worth = self.grades[grade].1.earnings;
+    /// A message was handed in.
+    ///
+    /// # Errors
+    ///
+    /// If its service class is unknown: then nothing was accepted.
+    pub fn accept(&mut self, message: NewMessage) -> Result<(), UnknownServiceClass> {
+        let NewMessage { id, service_class, ordering_key: key, deadline: limit, tenant, destination } =
+            message;
+        let grade = self.grades.iter().position(|g| g.0 == service_class).ok_or(UnknownServiceClass)?;
+        let mut worth = self.grades[grade].1.value;
         let all: f64 = self.quotas.values().map(|quota| quota.rate).sum();
         self.quotas.values_mut().for_each(|quota| quota.handed_in(self.now, quota.rate / all));
         if let Some(quota) = tenant.and_then(|name| self.quotas.get_mut(name)) {
             worth *= if quota.covers() { 1.0 } else { self.over_share };
         }
-        let key = key.filter(|_| self.grades[grade].1.in_order);
+        let key = key.filter(|_| self.grades[grade].1.ordered);
         if let Some(key) = key {
             self.turns.entry(key).or_default().line.push_back(id);
         }
         if let Some(to) = self.destinations.get_mut(&destination) {
-            let open = to.endpoints.values().filter(|e| e.listing == Listing::Open).count().max(1);
+            let open = to.endpoints.values().filter(|e| e.listing == EndpointState::Available).count().max(1);
             let (now, routes) = (self.now, &to.routes);
             let waits = |e: &Endpoint| routes.get(&e.route).is_some_and(|r| r.told > now);
             for e in to.endpoints.values_mut().filter(|e| !waits(e)) {
                 e.outage.handed_in(now, self.ramp, 1.0 / open as f64);
             }
         }
-        let limit = limit.min(self.now + self.grades[grade].1.limit); // against limits that none may ask for
+        let limit = limit.min(self.now + self.grades[grade].1.deadline); // against limits that none may ask for
         self.held.insert(id, Held::new(grade, destination, key, limit, worth));
         self.fresh = Some(id);
-        true
+        Ok(())
     }
 
     /// Against effects that happen twice across a restart: what was sent of a notice told just now.
-    pub fn sent_before(&mut self, id: NoticeId, sends: u32, ran: Option<(Duration, &str)>) {
+    pub fn recover(&mut self, id: MessageId, attempts: RecoveredAttempts) {
+        let sends = attempts.count;
+        let ran = attempts.first_execution.map(|execution| (execution.started, execution.endpoint));
         let Some(destination) = self.held.get(&id).map(|held| held.destination) else { return };
         let ran = ran.map(|(at, name)| (at, self.zone_of(destination, name)));
         let Some(held) = self.held.get_mut(&id) else { return };
@@ -440,53 +439,58 @@
 
     /// Asked before a call's first byte. Against waits and drains told while its connection was opened, which
     /// may also last until the notice is over or its mark forgotten. May hold back one that would be in time.
-    pub fn may_go(&self, id: NoticeId, send: u32, now: Duration) -> bool {
+    pub fn may_begin(&self, id: MessageId, send: u32, now: Duration) -> bool {
         let Some(call) = self.calls.get(&(id, send)) else { return false };
         if self.held.get(&id).is_none_or(|held| now > self.last_start(held)) {
             return false;
         }
         let Some(endpoint) = self.endpoint(call.destination, &call.endpoint) else { return false };
         let told = self.destinations[&call.destination].routes[&endpoint.route].told;
-        endpoint.listing == Listing::Open && told <= now
+        endpoint.listing == EndpointState::Available && told <= now
     }
 
     /// How a send ended; a report is the share of the limit that is left, and the limit in calls a second.
-    pub fn outcome(
-        &mut self,
-        id: NoticeId,
-        send: u32,
-        outcome: Outcome,
-        took: Duration,
-        over: bool,
-        report: Option<(f64, f64)>,
-    ) {
+    pub fn attempt_ended(&mut self, result: AttemptResult) {
+        let AttemptResult {
+            message: id,
+            attempt: send,
+            outcome,
+            duration: took,
+            finished: over,
+            load_report,
+        } = result;
+        let report = load_report.map(|report| (report.remaining_share, report.rate_limit));
         let Some(call) = self.calls.remove(&(id, send)) else { return };
         if !call.joined {
             self.judge(&call, outcome, took, report);
         }
         if let Some(turn) = call.key.and_then(|key| self.turns.get_mut(&key)) {
             turn.out.retain(|other| *other != id);
-            if !outcome.never_ran() && !matches!(outcome, Outcome::Handled | Outcome::Error) {
+            if !outcome.never_executed()
+                && !matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::Failed)
+            {
                 (turn.rest, turn.rests_for) = (self.now + self.key_rest, Some(id));
             }
         }
         if over {
-            self.over(id);
+            self.finish(id);
         }
         let zone = self.zone_of(call.destination, &call.endpoint);
         let Some(held) = self.held.get_mut(&id) else { return };
         held.out -= 1;
-        held.failures += u32::from(outcome != Outcome::Unsent);
-        held.crowded = outcome == Outcome::Crowded;
-        held.refused = matches!(outcome, Outcome::Refused(_) | Outcome::Unproven(_));
+        held.failures += u32::from(outcome != AttemptOutcome::NotSent);
+        held.crowded = outcome == AttemptOutcome::ConnectionLimit;
+        held.refused =
+            matches!(outcome, AttemptOutcome::Rejected { .. } | AttemptOutcome::AmbiguousRejection { .. });
         held.not_before = self.now + gap(&mut self.rng, held.failures, BASE, CAP);
-        if !outcome.never_ran() && held.may_have_run.as_ref().is_none_or(|first| first.0 > call.started) {
+        if !outcome.never_executed() && held.may_have_run.as_ref().is_none_or(|first| first.0 > call.started)
+        {
             held.may_have_run = Some((call.started, zone));
         }
     }
 
     /// What one outcome says of its endpoint, its route and its destination.
-    fn judge(&mut self, call: &Call, outcome: Outcome, took: Duration, report: Option<(f64, f64)>) {
+    fn judge(&mut self, call: &Call, outcome: AttemptOutcome, took: Duration, report: Option<(f64, f64)>) {
         let Some(destination) = self.destinations.get_mut(&call.destination) else { return };
         let Some(endpoint) = destination.endpoints.get_mut(&call.endpoint) else { return };
         let Some(route) = destination.routes.get_mut(&endpoint.route) else { return };
@@ -501,7 +505,7 @@
         let keep = || Keep::new(self.idle_close, self.couriers);
         let keep = self.keeps.entry(endpoint.kind.clone()).or_insert_with(keep);
         match outcome {
-            Outcome::Handled => {
+            AttemptOutcome::Delivered => {
                 keep.handled(self.idle_close);
                 latency.handled(self.now, took);
                 self.latencies.entry(call.grade).or_default().handled(self.now, took);
@@ -519,7 +523,8 @@
                 back = route.repeats.failures >= SUSPECT && route.repeats.long(self.now);
                 route.repeats.handled();
             }
-            Outcome::Refused(wait) | Outcome::Unproven(wait) => {
+            AttemptOutcome::Rejected { retry_after: wait }
+            | AttemptOutcome::AmbiguousRejection { retry_after: wait } => {
                 // Against a herd of all that were refused or told to wait together, where no answer tells of
                 // the sum: a wait ends by chance up to as long again, the pace's next call is due within
                 // twice its gap. May leave room unused after a wait.
@@ -554,39 +559,46 @@
                 route.repeats.failures += u32::from(no_limit || route.refusals >= STREAK);
                 route.repeats.failures += if shut { SUSPECT } else { 0 };
             }
-            Outcome::Error => {
+            AttemptOutcome::Failed => {
                 weight = FAIL_WEIGHT;
                 route.repeats.failures += 1;
             }
-            Outcome::TimedOut | Outcome::Unconnected | Outcome::Reset => {
-                if outcome == Outcome::Unconnected {
+            AttemptOutcome::TimedOut | AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset => {
+                if outcome == AttemptOutcome::ConnectFailed {
                     keep.failed();
                 }
                 // Against taking calls that get lost one by one, as on a bad network, for an outage: where
                 // others are just answered, or the connection stood, it says little. May delay a verdict.
-                let refused = outcome == Outcome::Unconnected && endpoint.outage.answered <= call.started;
-                lost =
-                    refused || outcome == Outcome::TimedOut && endpoint.outage.quiet(self.now, call.started);
+                let refused =
+                    outcome == AttemptOutcome::ConnectFailed && endpoint.outage.answered <= call.started;
+                lost = refused
+                    || outcome == AttemptOutcome::TimedOut && endpoint.outage.quiet(self.now, call.started);
                 weight = if lost { SILENT_WEIGHT } else { LOST_WEIGHT };
-                latency.timed_out += u32::from(lost && outcome == Outcome::TimedOut);
-                let stray = !lost && outcome == Outcome::TimedOut;
+                latency.timed_out += u32::from(lost && outcome == AttemptOutcome::TimedOut);
+                let stray = !lost && outcome == AttemptOutcome::TimedOut;
                 self.strays += if stray { STRAYS } else { 0.0 };
                 route.repeats.failures += 1;
             }
             // Against many couriers' connections that fill an endpoint's table: it lives, and no limit is
             // reached. Another endpoint, or a table that others left, may take the next one.
-            Outcome::Crowded => {
+            AttemptOutcome::ConnectionLimit => {
                 keep.failed();
                 endpoint.used = None;
             }
-            Outcome::CalledOff | Outcome::Unsent => {}
-        }
-        if !matches!(outcome, Outcome::Handled | Outcome::Crowded | Outcome::CalledOff | Outcome::Unsent) {
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
+        }
+        if !matches!(
+            outcome,
+            AttemptOutcome::Delivered
+                | AttemptOutcome::ConnectionLimit
+                | AttemptOutcome::Cancelled
+                | AttemptOutcome::NotSent
+        ) {
             route.repeats.failing = route.repeats.failing.or(Some(self.now));
         }
         endpoint.credits.earned(lost);
         if endpoint.credits.spent == 0
-            && !matches!(outcome, Outcome::Unconnected | Outcome::Crowded)
+            && !matches!(outcome, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLimit)
             && !self.idle_close.is_zero()
         {
             self.idle.insert((call.destination, call.endpoint.clone()), self.now);
@@ -595,9 +607,9 @@
             endpoint.outage.failed(self.now, weight);
         }
         let after = endpoint.outage.health;
-        if after == Health::Out && outcome != Outcome::Handled {
+        if after == Health::Out && outcome != AttemptOutcome::Delivered {
             route.trials += 1;
-            let cap = if outcome.never_ran() { TRIAL_GAP } else { DEAR_TRIAL_GAP };
+            let cap = if outcome.never_executed() { TRIAL_GAP } else { DEAR_TRIAL_GAP };
             route.trial = route.trial.max(self.now + trial_gap(&mut self.rng, route.trials, cap));
         }
         if std::mem::discriminant(&before) != std::mem::discriminant(&after) {
@@ -624,8 +636,8 @@
     }
 
     /// A route answered another courier. Against learning of a return courier by courier.
-    pub fn told_by_courier(&mut self, octets: &[u8]) {
-        let Some((destination, route)) = note::read(octets) else { return };
+    pub fn gossip_received(&mut self, octets: &[u8]) {
+        let Some((destination, route)) = gossip::read(octets) else { return };
         let Some(destination) = self.destinations.get_mut(&destination) else { return };
         let Some(repeats) = destination.routes.get_mut(route).map(|r| &mut r.repeats) else { return };
         for e in destination.endpoints.values_mut().filter(|e| e.route == route) {
@@ -639,30 +651,30 @@
         repeats.handled();
     }
 
-    pub fn settle(&mut self, hands: &mut dyn Hands) {
-        self.lines.drain(..).for_each(|line| hands.log(&line));
-        self.news.drain(..).for_each(|(to, route)| hands.tell(&note::of_return(to, &route)));
+    pub fn apply_rules(&mut self, driver: &mut dyn Driver) {
+        self.lines.drain(..).for_each(|line| driver.log(&line));
+        self.news.drain(..).for_each(|(to, route)| driver.broadcast(&gossip::of_return(to, &route)));
         while {
             self.due = Duration::MAX;
-            self.ask_register(hands)
-                || self.keep_folder(hands)
-                || self.end_what_cannot_be_delivered(hands)
-                || self.send_what_earns_most(hands)
-                || self.keep_room(hands)
-                || self.close_idle(hands)
+            self.ask_register(driver)
+                || self.keep_folder(driver)
+                || self.end_what_cannot_be_delivered(driver)
+                || self.send_what_earns_most(driver)
+                || self.keep_room(driver)
+                || self.close_idle(driver)
         } {}
-        self.keep_beat(hands);
+        self.keep_beat(driver);
     }
 
-    pub fn woken(&mut self) {
+    pub fn timer_fired(&mut self) {
         self.beat = self.beat.filter(|at| *at > self.now);
     }
 
-    fn ask_register(&mut self, hands: &mut dyn Hands) -> bool {
+    fn ask_register(&mut self, driver: &mut dyn Driver) -> bool {
         let due = self.register.must_ask && !self.register.asked && self.register.next <= self.now;
         if due {
             (self.register.asked, self.register.began) = (true, self.now);
-            hands.watch();
+            driver.watch_endpoints();
         }
         due
     }
@@ -674,45 +686,45 @@
     /// What `held` earns when handled at `at`.
     fn earns(&self, held: &Held, at: Duration) -> f64 {
         let grade = &self.grades[held.grade].1;
-        held.worth * grade.left((at + grade.limit).saturating_sub(held.limit))
+        held.worth * grade.value_share((at + grade.deadline).saturating_sub(held.limit))
     }
 
     /// The last moment at which another send of `held` may start, by its limit and its destination's memory.
     fn last_start(&self, held: &Held) -> Duration {
         let usual = self.usual(held.destination, held.grade);
         let by_limit = held.limit.saturating_sub(usual);
-        match (&held.may_have_run, self.grades[held.grade].1.effect) {
-            (None, _) | (_, Effect::Retriable) => by_limit,
+        match (&held.may_have_run, self.grades[held.grade].1.repeat_safety) {
+            (None, _) | (_, RepeatSafety::Idempotent) => by_limit,
             // Against a repeat that arrives, or runs, once its mark is forgotten: as design.md has it for the
             // limit, the window must hold a usual call. May give up one that would have been in time.
-            (Some(first), Effect::Fingerprinted { memory, .. }) => {
-                by_limit.min((first.0 + memory).saturating_sub(usual))
+            (Some(first), RepeatSafety::Deduplicated { window, .. }) => {
+                by_limit.min((first.0 + window).saturating_sub(usual))
             }
-            (Some(_), Effect::Binding) => Duration::ZERO,
+            (Some(_), RepeatSafety::AtMostOnce) => Duration::ZERO,
         }
     }
 
     fn may_deny(&self, held: &Held) -> bool {
-        match self.grades[held.grade].1.effect {
-            Effect::Retriable => true,
-            Effect::Fingerprinted { one_zone, .. } => held.may_have_run.is_none() || !one_zone,
-            Effect::Binding => held.may_have_run.is_none(),
+        match self.grades[held.grade].1.repeat_safety {
+            RepeatSafety::Idempotent => true,
+            RepeatSafety::Deduplicated { per_zone, .. } => held.may_have_run.is_none() || !per_zone,
+            RepeatSafety::AtMostOnce => held.may_have_run.is_none(),
         }
     }
 
-    fn answer(&mut self, id: NoticeId, hands: &mut dyn Hands) {
+    fn answer(&mut self, id: MessageId, driver: &mut dyn Driver) {
         let Some(held) = self.held.get(&id) else { return };
         if self.may_deny(held) {
             let open = self.routes_of(held.destination).map(|r| r.told.max(r.trial)).min();
             let wait = open.unwrap_or_default().saturating_sub(self.now).min(self.longest_wait);
-            hands.deny(id, (!wait.is_zero()).then_some(wait));
+            driver.reject(id, (!wait.is_zero()).then_some(wait));
         } else {
-            hands.write_off(id);
+            driver.abandon(id);
         }
-        self.over(id);
+        self.finish(id);
     }
 
-    fn end_what_cannot_be_delivered(&mut self, hands: &mut dyn Hands) -> bool {
+    fn end_what_cannot_be_delivered(&mut self, driver: &mut dyn Driver) -> bool {
         let lost = self.held.iter().find(|(_, held)| {
             held.out == 0
                 && (held.sends >= self.most_sends
@@ -724,7 +736,7 @@
             self.due = self.due.min(ends.unwrap_or(Duration::MAX));
             return false;
         };
-        self.answer(id, hands);
+        self.answer(id, driver);
         true
     }
 
@@ -774,9 +786,11 @@
         let sick = slow || destination.out();
         let share_out = calls >= self.slots.part(SHARE) || sick && sick_calls >= self.slots.part(SICK_SHARE);
         let full = slots_out || share_out;
-        let open = destination.endpoints.values().filter(|e| e.listing == Listing::Open).count();
+        let open = destination.endpoints.values().filter(|e| e.listing == EndpointState::Available).count();
         let mut ways = Vec::new();
-        for (name, e) in destination.endpoints.iter_mut().filter(|(_, e)| e.listing == Listing::Open) {
+        for (name, e) in
+            destination.endpoints.iter_mut().filter(|(_, e)| e.listing == EndpointState::Available)
+        {
             let Some(route) = destination.routes.get_mut(&e.route) else { continue };
             route.pace.fill(self.now);
             let part = route.pace.sure.unwrap_or(FIRST_COLD_RATE) / f64::from(self.couriers);
@@ -811,15 +825,17 @@
         ways
     }
 
-    fn way<'a>(&self, id: NoticeId, held: &Held, ways: &'a [Way]) -> Option<&'a Way> {
+    fn way<'a>(&self, id: MessageId, held: &Held, ways: &'a [Way]) -> Option<&'a Way> {
         let has_turn = |key| self.turns.get(&key).is_some_and(|turn| turn.has(id, self.now));
         let due = held.not_before <= self.now;
         let ready = held.out == 0 && (due || held.crowded) && held.sends < self.most_sends;
         if !ready || !held.key.is_none_or(has_turn) || self.last_start(held) < self.now {
             return None;
         }
-        let one_zone =
-            matches!(self.grades[held.grade].1.effect, Effect::Fingerprinted { one_zone: true, .. });
+        let one_zone = matches!(
+            self.grades[held.grade].1.repeat_safety,
+            RepeatSafety::Deduplicated { per_zone: true, .. }
+        );
         let zone = held.may_have_run.as_ref().filter(|_| one_zone).map(|first| &first.1);
         // Against limits that refused calls use up, where each is priced: the sum of all couriers' repeats
         // takes the room of first tries. May end a notice that a repeat would have saved.
@@ -830,7 +846,7 @@
         })
     }
 
-    fn send_what_earns_most(&mut self, hands: &mut dyn Hands) -> bool {
+    fn send_what_earns_most(&mut self, driver: &mut dyn Driver) -> bool {
         let slots_out = self.busy() >= self.slots.most;
         if slots_out && self.batches.is_empty() || self.held.is_empty() {
             return false;
@@ -842,16 +858,16 @@
         let out = self.calls_out();
         let doors = waiting.into_iter().map(|id| (id, self.doors(id, &out, slots_out)));
         let doors: BTreeMap<_, _> = doors.collect();
-        let mut best: Option<(_, NoticeId, &Way)> = None;
+        let mut best: Option<(_, MessageId, &Way)> = None;
         for (id, held) in &self.held {
             let Some(ways) = doors.get(&held.destination) else { continue };
             let Some(way) = self.way(*id, held, ways) else { continue };
             let usual = self.usual(held.destination, held.grade);
             let earns = self.earns(held, self.now + usual);
             let grade = &self.grades[held.grade].1;
-            let again = u8::from(grade.effect == Effect::Retriable);
+            let again = u8::from(grade.repeat_safety == RepeatSafety::Idempotent);
             let safe = if !way.rank.0 { 3 } else { held.may_have_run.as_ref().map_or(again, |_| 2) };
-            let due = (held.limit + grade.contract).saturating_sub(grade.limit);
+            let due = (held.limit + grade.soft_deadline).saturating_sub(grade.deadline);
             // Against what a restart left over, late by then and of little earnings, waiting untried behind
             // all that is new until its time is over. May delay what earns more, by one call each.
             let earns = (earns * 1e6 / usual.as_secs_f64().max(LEAST_CALL)) as i64;
@@ -866,11 +882,11 @@
             self.due = later.chain(rests).min().map_or(self.due, |at| at.min(self.due));
             return false;
         };
-        self.send(id, &way.endpoint.clone(), way.rank.0, hands);
+        self.send(id, &way.endpoint.clone(), way.rank.0, driver);
         true
     }
 
-    fn send(&mut self, id: NoticeId, name: &str, trial: bool, hands: &mut dyn Hands) {
+    fn send(&mut self, id: MessageId, name: &str, trial: bool, driver: &mut dyn Driver) {
         let now = self.now;
         let Some(held) = self.held.get_mut(&id) else { return };
         let Some(destination) = self.destinations.get_mut(&held.destination) else { return };
@@ -881,13 +897,13 @@
         let busy = self.calls.values().filter(|call| !call.joined).count().min(self.slots.most);
         let free = (1.0 - busy as f64 / self.slots.most as f64).max(1.0 - self.strays / STRAYS);
         let left = held.limit.saturating_sub(now);
-        let binding = self.grades[held.grade].1.effect == Effect::Binding;
+        let binding = self.grades[held.grade].1.repeat_safety == RepeatSafety::AtMostOnce;
         let joined = endpoint.mates.0 == now && endpoint.mates.1 > 0;
         let others = self.latencies.get(&held.grade).map_or(Duration::ZERO, Latency::calm);
         // A binding notice that is given up is lost: it waits for its answer while slots are free.
         let least = if binding { others.max(left) } else { others };
         let patience = latency.patience(least, free).min(left);
-        hands.send(id, name, patience);
+        driver.start_attempt(id, name, patience);
         if joined {
             endpoint.mates.1 -= 1;
         } else {
@@ -918,14 +934,14 @@
     }
 
     /// The lasting folder is short: what was handed in just now is not taken on.
-    fn keep_folder(&mut self, hands: &mut dyn Hands) -> bool {
+    fn keep_folder(&mut self, driver: &mut dyn Driver) -> bool {
         let Some(id) = self.fresh.take().filter(|_| self.folder_room == 0) else { return false };
-        self.answer(id, hands);
+        self.answer(id, driver);
         true
     }
 
     /// Room short: the one that earns least goes, so that it is not chance that turns the next one away.
-    fn keep_room(&mut self, hands: &mut dyn Hands) -> bool {
+    fn keep_room(&mut self, driver: &mut dyn Driver) -> bool {
         let spare = ((self.room as f64 * SPARE_ROOM) as usize).max(1);
         if self.held.len().saturating_add(spare) <= self.room {
             return false;
@@ -937,10 +953,10 @@
             order.then(earns(a.1).total_cmp(&earns(b.1))).then(b.0.cmp(a.0))
         });
         let Some(id) = least.map(|(id, _)| *id) else { return false };
-        self.answer(id, hands);
+        self.answer(id, driver);
         if self.logged.is_none_or(|at| at + LOG_GAP <= self.now) {
             self.logged = Some(self.now);
-            hands.log(&format!("room short: {} held, {} out", self.held.len(), self.calls.len()));
+            driver.log(&format!("room short: {} held, {} out", self.held.len(), self.calls.len()));
         }
         true
     }
@@ -950,7 +966,7 @@
         since.saturating_add(keep.map_or(Duration::ZERO, |keep| keep.time)).saturating_sub(self.now)
     }
 
-    fn close_idle(&mut self, hands: &mut dyn Hands) -> bool {
+    fn close_idle(&mut self, driver: &mut dyn Driver) -> bool {
         let Some(least) = self.keeps.values().map(|keep| keep.time).min() else { return false };
         let over = |(at, since): &(&(DestinationId, String), &Duration)| {
             **since + least <= self.now && self.kept(at.0, &at.1, **since).is_zero()
@@ -959,12 +975,12 @@
         self.idle.remove(&at);
         if let Some(endpoint) = self.destinations.get_mut(&at.0).and_then(|d| d.endpoints.get_mut(&at.1)) {
             endpoint.used = None;
-            hands.hang_up(&at.1);
+            driver.close_idle_connections(&at.1);
         }
         true
     }
 
-    fn keep_beat(&mut self, hands: &mut dyn Hands) {
+    fn keep_beat(&mut self, driver: &mut dyn Driver) {
         let waits = self.held.values().any(|held| held.out == 0);
         let waits = waits.then(|| self.due.saturating_sub(self.now).min(LOOK));
         let asks = self.register.must_ask && !self.register.asked;
@@ -976,7 +992,7 @@
         let wait = ms(wait.max(BEAT).as_millis() as u64 + 1);
         if self.beat.is_none_or(|at| at <= self.now || at > self.now + wait) {
             self.beat = Some(self.now + wait);
-            hands.wake(wait);
+            driver.set_timer(wait);
         }
     }
 }
--- a/src/policy_fleet_tests.rs
+++ b/src/policy_fleet_tests.rs
@@ -37,15 +37,15 @@
 
 /// When a courier asks, if each ask fails after `fails_after` and its register wants one in `every`, for 60 s.
 fn asks_that_fail(seed: u64, every: Duration, fails_after: Duration) -> Vec<Duration> {
-    let mut courier = Courier::new(seed, 300, "x");
-    courier.listing(true, ListedRate::Absent);
-    courier.ask_every(every);
+    let mut courier = Dispatcher::new(seed, 300, "x");
+    courier.set_discovery(true, ListedRate::Absent);
+    courier.set_poll_period(every);
     let (mut asks, mut fails) = (Vec::new(), None);
     for now in (0..60_000).step_by(5).map(ms) {
-        courier.at(now);
+        courier.advance_to(now);
         if fails.is_some_and(|at| at <= now) {
             fails = None;
-            courier.list_failed();
+            courier.endpoint_list_failed();
         }
         if !settled(&mut courier).is_empty() {
             asks.push(now);
@@ -94,9 +94,9 @@
 /// in 8 s, answers in order, and works on what has waited for its 2 s in vain all the same, up to 3 s of work.
 fn listed_to(couriers: u32) -> usize {
     let start = |seed| {
-        let mut courier = Courier::new(seed, couriers, "x");
-        courier.listing(true, ListedRate::Absent);
-        courier.ask_every(ms(10_000));
+        let mut courier = Dispatcher::new(seed, couriers, "x");
+        courier.set_discovery(true, ListedRate::Absent);
+        courier.set_poll_period(ms(10_000));
         courier
     };
     let mut all: Vec<_> = (0..u64::from(couriers)).map(start).collect();
@@ -106,18 +106,18 @@
         while line.front().is_some_and(|(answered, ..)| *answered <= now) {
             let (_, at, in_time) = line.pop_front().unwrap();
             if in_time {
-                all[at].list_ends(None, true)
+                all[at].endpoint_list_ended(None, true)
             } else {
-                all[at].list_failed()
+                all[at].endpoint_list_failed()
             }
             told.extend(in_time.then_some(at));
         }
         for (at, courier) in all.iter_mut().enumerate() {
-            courier.at(now);
+            courier.advance_to(now);
             if !settled(courier).is_empty() {
                 free = free.max(now);
                 if free > now + ms(3_000) {
-                    courier.list_failed();
+                    courier.endpoint_list_failed();
                     continue;
                 }
                 free += each;
@@ -138,14 +138,28 @@
 fn what_many_were_refused_together_does_not_come_back_together() {
     for told in [Some(ms(2_000)), None] {
         let goes = |seed| {
-            let mut courier = courier(Effect::Retriable);
+            let mut courier = courier(RepeatSafety::Idempotent);
             courier.rng = Pcg64Mcg::seed_from_u64(seed);
-            courier.falls_after(ms(2_000));
-            courier.listed("b", "y", "k", 9, Listing::Draining, None);
+            courier.set_overload_tolerance(ms(2_000));
+            courier.endpoint_updated(EndpointUpdate {
+                name: "b",
+                zone: "y",
+                kind: "k",
+                destination: 9,
+                state: EndpointState::Draining,
+                listed_rate: None,
+            });
             take(&mut courier, 1, None);
-            courier.outcome(1, 0, Outcome::Refused(told), ms(1), false, None);
+            courier.attempt_ended(AttemptResult {
+                message: 1,
+                attempt: 0,
+                outcome: AttemptOutcome::Rejected { retry_after: told },
+                duration: ms(1),
+                finished: false,
+                load_report: None,
+            });
             (0..800).map(|at| ms(at * 10)).find(|at| {
-                courier.at(*at);
+                courier.advance_to(*at);
                 !settled(&mut courier).is_empty()
             })
         };
@@ -163,7 +177,7 @@
 #[test]
 fn couriers_that_are_told_of_a_return_together_do_not_call_together() {
     let waiting = |seed| {
-        let mut courier = courier(Effect::Retriable);
+        let mut courier = courier(RepeatSafety::Idempotent);
         (courier.couriers, courier.rng) = (100, Pcg64Mcg::seed_from_u64(seed));
         let destination = courier.destinations.get_mut(&9).unwrap();
         destination
@@ -174,14 +188,14 @@
         let route = destination.routes.get_mut("").unwrap();
         (route.pace.sure, route.trial) = (Some(100.0), ms(60_000));
         (0..5).for_each(|id| assert!(take(&mut courier, id, None).is_empty()));
-        courier.told_by_courier(&note::of_return(9, ""));
+        courier.gossip_received(&gossip::of_return(9, ""));
         courier
     };
     let mut all: Vec<_> = (0..100).map(waiting).collect();
     let calls: Vec<_> = (0..30)
         .map(|tenth| {
-            let called = |courier: &mut Courier| {
-                courier.at(ms(100 * tenth + 1));
+            let called = |courier: &mut Dispatcher| {
+                courier.advance_to(ms(100 * tenth + 1));
                 settled(courier).len()
             };
             all.iter_mut().map(called).sum::<usize>()
@@ -221,29 +235,36 @@
 }
 
 /// Destination 9's endpoints as `name`d, with a listed rate of `rate` calls a second, at one courier of `couriers`.
-fn one_of_many(couriers: u32, seed: u64, rate: f64, names: &[&str]) -> Courier {
-    let mut courier = courier(Effect::Retriable);
+fn one_of_many(couriers: u32, seed: u64, rate: f64, names: &[&str]) -> Dispatcher {
+    let mut courier = courier(RepeatSafety::Idempotent);
     (courier.couriers, courier.rng) = (couriers, Pcg64Mcg::seed_from_u64(seed));
     courier.destinations.clear();
-    courier.listing(false, ListedRate::Exact);
+    courier.set_discovery(false, ListedRate::Exact);
     for name in names {
-        courier.listed(name, "x", "", 9, Listing::Open, Some(rate));
+        courier.endpoint_updated(EndpointUpdate {
+            name,
+            zone: "x",
+            kind: "",
+            destination: 9,
+            state: EndpointState::Available,
+            listed_rate: Some(rate),
+        });
     }
-    courier.list_ends(None, false);
+    courier.endpoint_list_ended(None, false);
     courier
 }
 
 /// How many calls a courier asks for now.
-fn sends(courier: &mut Courier) -> usize {
+fn sends(courier: &mut Dispatcher) -> usize {
     settled(courier).iter().filter(|act| act.starts_with("send")).count()
 }
 
 /// How many of `couriers` call anything in the two seconds from `from` on, each looked at every 20 ms.
-fn calls_of(couriers: &mut [Courier], from: Duration) -> usize {
+fn calls_of(couriers: &mut [Dispatcher], from: Duration) -> usize {
     let mut calls = 0;
     for step in 0..100 {
         for courier in couriers.iter_mut() {
-            courier.at(from + ms(20 * step));
+            courier.advance_to(from + ms(20 * step));
             calls += sends(courier);
         }
     }
@@ -259,10 +280,17 @@
 fn a_route_stays_suspect_while_its_last_endpoint_is_replaced() {
     let mut courier = one_of_many(2, 1, 10.0, &["a"]);
     let call = call_to("a", ms(1));
-    (0..SUSPECT).for_each(|_| courier.judge(&call, Outcome::Error, ms(9), None));
-    courier.list_ends(Some(&BTreeSet::new()), false);
+    (0..SUSPECT).for_each(|_| courier.judge(&call, AttemptOutcome::Failed, ms(9), None));
+    courier.endpoint_list_ended(Some(&BTreeSet::new()), false);
     assert!(courier.destinations[&9].endpoints.is_empty());
-    courier.listed("b", "x", "", 9, Listing::Open, Some(10.0));
+    courier.endpoint_updated(EndpointUpdate {
+        name: "b",
+        zone: "x",
+        kind: "",
+        destination: 9,
+        state: EndpointState::Available,
+        listed_rate: Some(10.0),
+    });
     assert!(courier.destinations[&9].routes[""].repeats.suspect(courier.now));
 }
 
@@ -271,9 +299,9 @@
 fn many_couriers_that_fail_together_have_no_budgets_saved_up_from_before() {
     let failed = |seed| {
         let mut courier = one_of_many(200, seed, 20.0, &["a"]);
-        courier.at(ms(60_000));
+        courier.advance_to(ms(60_000));
         let call = call_to("a", ms(59_900));
-        (0..SUSPECT).for_each(|_| courier.judge(&call, Outcome::Error, ms(9), None));
+        (0..SUSPECT).for_each(|_| courier.judge(&call, AttemptOutcome::Failed, ms(9), None));
         courier
     };
     let mut couriers: Vec<_> = (0..200).map(failed).collect();
@@ -282,9 +310,18 @@
     for step in 0..500 {
         let now = ms(60_000 + 20 * step);
         for (nth, courier) in couriers.iter_mut().enumerate() {
-            courier.at(now);
+            courier.advance_to(now);
             if now == ms(60_000 + 40 * (nth as u64 * 5 / 4)) {
-                courier.notice(1, "g", None, now + ms(10_000), None, 9);
+                courier
+                    .accept(NewMessage {
+                        id: 1,
+                        service_class: "g",
+                        ordering_key: None,
+                        deadline: now + ms(10_000),
+                        tenant: None,
+                        destination: 9,
+                    })
+                    .unwrap();
             }
             calls.extend(std::iter::repeat_n(now, sends(courier)));
         }
@@ -303,13 +340,27 @@
     let refused = |report: Option<(f64, f64)>| {
         move |seed| {
             let mut courier = one_of_many(188, seed, 0.66, &["a"]);
-            courier.falls_after(ms(2_000));
-            courier.at(ms(20_000));
+            courier.set_overload_tolerance(ms(2_000));
+            courier.advance_to(ms(20_000));
             let route = courier.destinations.get_mut(&9).unwrap().routes.get_mut("").unwrap();
             route.repeats.count(ms(19_900), false);
-            courier.judge(&call_to("a", ms(19_900)), Outcome::Refused(None), ms(9), report);
-            courier.at(ms(27_000));
-            courier.notice(1, "g", None, ms(37_000), None, 9);
+            courier.judge(
+                &call_to("a", ms(19_900)),
+                AttemptOutcome::Rejected { retry_after: None },
+                ms(9),
+                report,
+            );
+            courier.advance_to(ms(27_000));
+            courier
+                .accept(NewMessage {
+                    id: 1,
+                    service_class: "g",
+                    ordering_key: None,
+                    deadline: ms(37_000),
+                    tenant: None,
+                    destination: 9,
+                })
+                .unwrap();
             courier
         }
     };
