--- a/crates/quillhub-experiments/src/capacity/needs.rs
+++ b/crates/quillhub-experiments/src/capacity/needs.rs
@@ -29,7 +29,7 @@
     Platform,
     /// The destinations.
     Endpoints,
-    /// Whoever driver in messages.
+    /// Whoever hands in messages.
     Clients,
     /// What the operators watch and measure with.
     Tools,
--- a/crates/quillhub-fakes/src/clients.rs
+++ b/crates/quillhub-fakes/src/clients.rs
@@ -55,7 +55,7 @@
     next: u64,
 }
 
-/// A run's book in its clients' driver.
+/// A run's book in its clients' hands.
 pub type Shared = Rc<RefCell<Book>>;
 
 impl Book {
--- a/crates/quillhub-server/src/clients.rs
+++ b/crates/quillhub-server/src/clients.rs
@@ -224,7 +224,7 @@
 }
 
 /// Closes our side, then reads away what still comes until the client closes its own. None of that is obeyed: the
-/// client driver it in again. Against a close over unread bytes, which resets the connection and may take an answer
+/// client hands it in again. Against a close over unread bytes, which resets the connection and may take an answer
 /// with it that the client has not read. A client that never closes keeps its place a while.
 async fn half_close(stream: &mut TcpStream, ended: Ended, evicted: &Notify) -> std::io::Result<()> {
     if ended == Ended::ByClient {
@@ -266,7 +266,7 @@
     loop {
         let next = match resp::command(&buffer, MOST_PART) {
             Ok(Some((parts, used))) => {
-                // A client that closed its side has stopped waiting, and driver its notice in elsewhere.
+                // A client that closed its side has stopped waiting, and hands its notice in elsewhere.
                 if hung_up(stream) {
                     return Ok(Ended::ByClient);
                 }
@@ -346,7 +346,7 @@
             (connection.since, connection.proven, connection.begun, connection.large) =
                 (Instant::now(), proven, begun, large);
         });
-        // One that driver in many commands at once takes turns with the others.
+        // One that hands in many commands at once takes turns with the others.
         if begun {
             tokio::task::yield_now().await;
         }
--- a/crates/quillhub-server/src/clients_tests.rs
+++ b/crates/quillhub-server/src/clients_tests.rs
@@ -223,7 +223,7 @@
 }
 
 /// Whatever ends a connection: an answer that was written is read, no reset destroys it, and what comes after the
-/// half-close is not obeyed, as its client driver it in again.
+/// half-close is not obeyed, as its client hands it in again.
 #[test]
 fn what_comes_after_a_half_close_is_read_away_and_not_obeyed() {
     let late = submit("c=free,d=8000,dest=9", 9);
--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -99,7 +99,7 @@
     });
 }
 
-/// A command that has begun when the process is told to stop is owed its answer, and what it driver in its end.
+/// A command that has begun when the process is told to stop is owed its answer, and what it hands in its end.
 #[test]
 fn a_command_that_ends_late_in_the_stop_is_answered_and_left_to_the_next_process() {
     let folder = Folder::new();
--- a/crates/quillhub-settings/src/lib.rs
+++ b/crates/quillhub-settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Reads the settings of a new courier and driver each to it; shared by all hosts of couriers.
+//! Reads the settings of a new courier and hands each to it; shared by all hosts of couriers.
 
 use quillhub::Dispatcher;
 use quillhub::{ListedRate, RepeatSafety, ServiceClass, ValueDecay};
--- a/crates/quillhub-simulator/src/world/clients.rs
+++ b/crates/quillhub-simulator/src/world/clients.rs
@@ -47,7 +47,7 @@
         self.schedule_arrival(stream);
     }
 
-    /// A client driver its message to a courier.
+    /// A client hands its message to a courier.
     pub(super) fn submit(&mut self, number: u64) {
         let Some(order) = self.orders.get(&number).cloned() else { return };
         let deadline = order.born + self.day.grades[order.grade].limit;
--- a/crates/quillhub-simulator/src/world/event.rs
+++ b/crates/quillhub-simulator/src/world/event.rs
@@ -11,7 +11,7 @@
         stream: usize,
         count: u64,
     },
-    /// A client driver its message to a courier, for the first time or again.
+    /// A client hands its message to a courier, for the first time or again.
     Submission {
         order: u64,
     },
--- a/crates/quillhub-simulator/src/world/mod.rs
+++ b/crates/quillhub-simulator/src/world/mod.rs
@@ -1,6 +1,6 @@
 //! Plays a day in virtual time. Each module beside this one extends [`World`] by one job: the couriers' hosts, the
 //! clients, both sides of a call, service discovery, and the faults. This one holds the state that they share, and
-//! driver each event to the module that it concerns.
+//! hands each event to the module that it concerns.
 
 mod actions;
 mod calls;
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -17,5 +17,5 @@
 }
 
 #[cfg(test)]
-#[path = "note_tests.rs"]
+#[path = "gossip_tests.rs"]
 mod tests;
