--- /dev/null
+++ b/crates/quillhub-server/src/clients/admission_tests.rs
@@ -0,0 +1,47 @@
+use super::*;
+
+fn admission() -> Rc<Admission> {
+    Admission::new(watch::channel(Phase::Serving).1, Arc::new(Semaphore::new(9)))
+}
+
+fn numbers(admission: &Admission) -> Vec<u64> {
+    admission.entries.borrow().keys().copied().collect()
+}
+
+#[test]
+fn the_oldest_connection_without_a_command_is_evicted_first_and_then_the_one_longest_idle() {
+    let admission = admission();
+    let now = Instant::now();
+    for (seconds, activity, large) in [
+        (9, Activity::Idle, false),
+        (3, Activity::Idle, false),
+        (8, Activity::Receiving, true),
+        (2, Activity::Unproven, true),
+        (1, Activity::Unproven, false),
+        (0, Activity::Unproven, false),
+    ] {
+        let since = now - Duration::from_secs(seconds);
+        admission.register().update(|entry| {
+            (entry.since, entry.activity, entry.large) = (since, activity, large);
+        });
+    }
+    let mut gone = Vec::new();
+    for resource in [[Resource::LargeCommand; 3].as_slice(), &[Resource::Connection; 4]].concat() {
+        let before = numbers(&admission);
+        admission.evict_one(resource);
+        gone.extend(before.into_iter().find(|number| !admission.entries.borrow().contains_key(number)));
+    }
+    assert_eq!(gone, [3, 2, 4, 0, 1, 5]);
+}
+
+#[test]
+fn a_half_closed_connection_is_evicted_before_all_others() {
+    let admission = admission();
+    let (idle, half_closed) = (admission.register(), admission.register());
+    idle.update(|entry| {
+        (entry.since, entry.activity) = (entry.since - 5 * FIRST_COMMAND_GRACE, Activity::Idle);
+    });
+    half_closed.update(|entry| entry.activity = Activity::HalfClosed);
+    admission.evict_one(Resource::Connection);
+    assert_eq!(numbers(&admission), [idle.number]);
+}
--- /dev/null
+++ b/crates/quillhub-server/src/clients/mod.rs
@@ -0,0 +1,82 @@
+//! The clients' side: accepts connections and serves each in a task of its own.
+//!
+//! Invariant: every open connection holds one permit of [`Admission`], so that there are never more than the
+//! instance has descriptors for.
+
+mod admission;
+mod commands;
+mod connection;
+mod socket;
+
+pub use admission::{Admission, Phase};
+
+use crate::host::Host as Instance;
+use connection::Connection;
+use std::cell::RefCell;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::OwnedSemaphorePermit;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+/// Pause after a failure to accept, such as having no descriptor left: attempts that end free some.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+
+/// Accepts connections until the phase is [`Phase::Closing`], those that arrived before that included. Each is served
+/// by a task of its own.
+pub async fn accept(instance: Rc<RefCell<Instance>>, listener: Rc<TcpListener>, admission: Rc<Admission>) {
+    let mut phase = admission.phase();
+    loop {
+        let accepted = tokio::select! {
+            biased;
+            accepted = listener.accept() => accepted,
+            _ = phase.wait_for(|phase| *phase == Phase::Closing) => return,
+        };
+        let (stream, from) = match accepted {
+            Ok(accepted) => accepted,
+            Err(error) => {
+                tracing::warn!(%error, "no connection could be accepted");
+                sleep(ACCEPT_PAUSE).await;
+                continue;
+            }
+        };
+        let Some(permit) = admission.connection_permit().await else { return };
+        spawn_local(serve_connection(instance.clone(), admission.clone(), stream, from, permit));
+    }
+}
+
+/// Serves a connection to its end, holding its `permit` as long.
+async fn serve_connection(
+    instance: Rc<RefCell<Instance>>,
+    admission: Rc<Admission>,
+    stream: TcpStream,
+    from: SocketAddr,
+    permit: OwnedSemaphorePermit,
+) {
+    let registration = admission.register();
+    let served = serve_and_half_close(&instance, &admission, &registration, stream).await;
+    registration.remove();
+    if let Err(error) = served {
+        tracing::debug!(%from, %error, "a client's connection ended");
+    }
+    drop(permit);
+}
+
+async fn serve_and_half_close(
+    instance: &RefCell<Instance>,
+    admission: &Admission,
+    registration: &admission::Registration,
+    mut stream: TcpStream,
+) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    let ended = Connection::new(instance, admission, registration, &mut stream).serve().await?;
+    registration.half_closed();
+    connection::half_close(&mut stream, ended, registration).await
+}
+
+#[cfg(test)]
+#[path = "tests.rs"]
+mod tests;
--- a/crates/quillhub-server/src/resp.rs
+++ b/crates/quillhub-server/src/resp.rs
@@ -2,6 +2,7 @@
 
 pub use crate::partial::Malformed;
 use crate::partial::{Input, whole};
+use std::fmt::Display;
 use std::time::Duration;
 use winnow::ascii::crlf;
 use winnow::combinator::terminated;
@@ -60,7 +61,7 @@
     }
 }
 
-pub fn error(what: &str) -> Vec<u8> {
+pub fn error(what: impl Display) -> Vec<u8> {
     format!("-ERR {what}\r\n").into_bytes()
 }
 
