--- a/crates/quillhub-server/src/clients/admission.rs
+++ b/crates/quillhub-server/src/clients/admission.rs
@@ -1,6 +1,6 @@
 //! Permits for connections and for large commands, and the choice of the connection to evict where they are short.
 //!
-//! Invariant: a connection is told to close at most once, since its entry is removed with that.
+//! Invariant: a connection is evicted at most once, since its entry is removed with that.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/quillhub-server/src/clients/connection.rs
+++ b/crates/quillhub-server/src/clients/connection.rs
@@ -1,7 +1,7 @@
 //! One client's connection: reads commands and answers them, one after the other, until it is to close.
 //!
-//! Invariant: a message whose confirmation could not be written is withdrawn, so that what a client was not told of is
-//! not delivered by this instance.
+//! Invariant: a message whose confirmation could not be written is withdrawn, as its client hands it in
+//! elsewhere.
 
 use super::admission::{Activity, Admission, EVICTION_TIMEOUT, Phase, Registration};
 use super::commands::{self, CommandError, Reply};
--- a/crates/quillhub-server/src/discovery_return_tests.rs
+++ b/crates/quillhub-server/src/discovery/return_tests.rs
@@ -1,18 +1,20 @@
-//! Discovery that comes back, or is slow: what it has is known in time, whatever became of the calls before. Virtual
+//! Discovery that comes back, or is slow: what it has is known in time, whatever became of the requests before. Virtual
 //! time, real sockets.
 
+use super::watch::{MOST_LINE, PATH, REQUEST_TIMEOUT, SILENCE_TIMEOUT, request};
 use super::*;
+use crate::link::Broken;
 use crate::stand_in::{Folder, answering, full, host_with, on_one_thread, plan};
 use quillhub_fakes::http::Served;
-use serde_json::json;
+use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 use std::net::TcpStream as StdStream;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, yield_now};
-use tokio::time::{advance, sleep};
+use tokio::time::{advance, sleep, timeout};
 
-/// When a change counts as told, from the moment on in which discovery has it and can be reached.
-const COUNTS_AS_TOLD: Duration = Duration::from_secs(6);
+/// When a change must be known, from the moment on in which discovery has it and can be reached.
+const KNOWN_WITHIN: Duration = Duration::from_secs(6);
 const LIST: &str = r#"{"revision":9,"complete":true,"members":[{"id":"f","host_port":"127.0.0.1:2","cell":9,"phase":"up"}]}"#;
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -22,42 +24,42 @@
 
 /// What becomes of a connection to discovery that is out of reach. None of them recovers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Lost {
+enum Loss {
     Refused,
-    NeverUp,
+    NeverConnected,
     Closed,
     Silent,
     HalfHead,
-    /// The head comes just before the call is given up, and nothing after it.
+    /// The head comes just before the request times out, and nothing after it.
     LateHead,
     HalfList,
 }
 
-const ALL: [Lost; 7] = [
-    Lost::Refused,
-    Lost::NeverUp,
-    Lost::Closed,
-    Lost::Silent,
-    Lost::HalfHead,
-    Lost::LateHead,
-    Lost::HalfList,
+const ALL: [Loss; 7] = [
+    Loss::Refused,
+    Loss::NeverConnected,
+    Loss::Closed,
+    Loss::Silent,
+    Loss::HalfHead,
+    Loss::LateHead,
+    Loss::HalfList,
 ];
 
-async fn lose(lost: Lost, stream: TcpStream) -> std::io::Result<()> {
+async fn lose(loss: Loss, stream: TcpStream) -> std::io::Result<()> {
     let mut stream = Served::new(stream);
     let Some(asked) = stream.next().await? else { return Ok(()) };
     let is_watch = asked.path.contains("watch");
     let length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LIST.len());
     let head = if is_watch { CHUNKED } else { &length };
-    match lost {
-        Lost::Refused | Lost::NeverUp | Lost::Closed => return Ok(()),
-        Lost::Silent => {}
-        Lost::HalfHead => stream.write(b"HTTP/1.1 200 OK\r\nTransf").await?,
-        Lost::LateHead => {
-            sleep(CALL - Duration::from_millis(50)).await;
+    match loss {
+        Loss::Refused | Loss::NeverConnected | Loss::Closed => return Ok(()),
+        Loss::Silent => {}
+        Loss::HalfHead => stream.write(b"HTTP/1.1 200 OK\r\nTransf").await?,
+        Loss::LateHead => {
+            sleep(REQUEST_TIMEOUT - Duration::from_millis(50)).await;
             stream.write(head.as_bytes()).await?;
         }
-        Lost::HalfList => {
+        Loss::HalfList => {
             let half = &LIST[..LIST.len() / 2];
             let body = if is_watch { chunk(half) } else { half.to_owned() };
             stream.write(format!("{head}{body}").as_bytes()).await?;
@@ -83,21 +85,21 @@
 }
 
 /// Discovery out of reach in this way until `back`.
-fn discovery(lost: Lost, back: Instant) -> SocketAddr {
+fn discovery(loss: Loss, back: Instant) -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     let at = socket.local_addr().unwrap().as_socket().unwrap();
     let mut queued = None;
-    match lost {
-        Lost::Refused => {}
-        Lost::NeverUp => {
+    match loss {
+        Loss::Refused => {}
+        Loss::NeverConnected => {
             socket.listen(0).unwrap();
             queued = Some(StdStream::connect(at).unwrap());
         }
         _ => socket.listen(64).unwrap(),
     }
     spawn_local(async move {
-        if matches!(lost, Lost::Refused | Lost::NeverUp) {
+        if matches!(loss, Loss::Refused | Loss::NeverConnected) {
             sleep_until(back).await;
             socket.listen(64).unwrap();
         }
@@ -106,10 +108,10 @@
         loop {
             let (stream, _) = listener.accept().await.unwrap();
             drop(queued.take());
-            let lost = Some(lost).filter(|_| Instant::now() < back);
+            let loss = Some(loss).filter(|_| Instant::now() < back);
             spawn_local(async move {
-                let _ = match lost {
-                    Some(lost) => lose(lost, stream).await,
+                let _ = match loss {
+                    Some(loss) => lose(loss, stream).await,
                     None => answer(stream).await,
                 };
             });
@@ -118,71 +120,71 @@
     at
 }
 
-fn settings(must_be_asked: bool) -> Value {
+fn settings(must_be_polled: bool) -> Value {
     let mut settings = plan()["settings"].clone();
-    settings["membershipMode"] = json!(if must_be_asked { "subscribe" } else { "automatic" });
+    settings["membershipMode"] = json!(if must_be_polled { "subscribe" } else { "automatic" });
     settings["rules"] = json!({"askEveryUs": 10_000_000});
     settings
 }
 
-async fn known(host: &RefCell<Host>) {
+async fn known(host: &RefCell<Instance>) {
     while host.borrow().endpoints.address("f").is_none() {
         sleep(Duration::from_millis(10)).await;
     }
 }
 
 /// How long after its return what discovery has is known.
-fn told_after(seed: u64, lost: Lost, must_be_asked: bool, whole: bool, down: Duration) -> Duration {
+fn known_after(seed: u64, loss: Loss, must_be_polled: bool, whole: bool, down: Duration) -> Duration {
     let folder = Folder::new();
     on_one_thread(async {
         tokio::time::pause();
         let back = Instant::now() + down;
-        let at = discovery(lost, back);
-        let host = host_with(seed, &settings(must_be_asked), &folder, "127.0.0.1:1".parse().unwrap());
-        let (_at, seen) = watch::channel(at);
+        let at = discovery(loss, back);
+        let host = host_with(seed, &settings(must_be_polled), &folder, "127.0.0.1:1".parse().unwrap());
+        let (_at, seen) = watch_channel::channel(at);
         let progress = Progress::new(Some(6).filter(|_| !whole));
-        spawn_local(follow(host.clone(), seen, progress, must_be_asked));
+        spawn_local(follow(host.clone(), seen, progress, must_be_polled));
         host.borrow_mut().event(|_| ());
-        timeout(down + 10 * COUNTS_AS_TOLD, known(&host)).await.expect("it is never known");
+        timeout(down + 10 * KNOWN_WITHIN, known(&host)).await.expect("it is never known");
         back.elapsed()
     })
 }
 
-/// The sum of all waits, for each kind of loss and each moment of the return against that of the last lost call.
-fn longest_until_told(must_be_asked: bool) {
-    for (lost, whole) in ALL.into_iter().flat_map(|lost| [(lost, false), (lost, true)]) {
+/// The sum of all waits, for each kind of loss and each moment of the return against that of the last lost request.
+fn assert_known_in_time(must_be_polled: bool) {
+    for (loss, whole) in ALL.into_iter().flat_map(|loss| [(loss, false), (loss, true)]) {
         let downs = (0..24).map(|nth| Duration::from_millis(8_000 + nth * 233));
-        let told = downs.enumerate().map(|(seed, down)| {
-            let after = told_after(seed as u64, lost, must_be_asked, whole, down);
+        let delays = downs.enumerate().map(|(seed, down)| {
+            let after = known_after(seed as u64, loss, must_be_polled, whole, down);
             (after, down)
         });
-        let (longest, down) = told.max().unwrap();
-        println!("{lost:?}, whole list {whole}: known {longest:?} after the return at {down:?}");
-        assert!(longest < COUNTS_AS_TOLD, "{lost:?}, whole list {whole}: {longest:?}, down for {down:?}");
+        let (longest, down) = delays.max().unwrap();
+        println!("{loss:?}, whole list {whole}: known {longest:?} after the return at {down:?}");
+        assert!(longest < KNOWN_WITHIN, "{loss:?}, whole list {whole}: {longest:?}, down for {down:?}");
     }
 }
 
 #[test]
-fn what_discovery_that_tells_unasked_has_at_its_return_is_known_within_six_seconds() {
-    longest_until_told(false);
+fn changes_at_the_return_of_discovery_that_pushes_are_known_within_six_seconds() {
+    assert_known_in_time(false);
 }
 
 #[test]
-fn what_discovery_that_must_be_asked_has_at_its_return_is_known_within_six_seconds() {
-    longest_until_told(true);
+fn changes_at_the_return_of_discovery_that_is_polled_are_known_within_six_seconds() {
+    assert_known_in_time(true);
 }
 
-/// A connection that comes up late, with the system's second try, leaves its call no more time than any other.
+/// A connection that comes up late, with the system's second try, leaves its request no more time than any other.
 #[test]
-fn a_call_has_one_bound_for_its_connection_and_its_head() {
+fn a_request_has_one_timeout_for_its_connection_and_its_head() {
     on_one_thread(async {
         tokio::time::pause();
         let (at, (socket, queued)) = full();
         let began = Instant::now();
-        let call = spawn_local(ask(at, PATH));
+        let response = spawn_local(request(at, PATH));
         yield_now().await;
         let late = Duration::from_millis(50);
-        advance(CALL - late).await;
+        advance(REQUEST_TIMEOUT - late).await;
         socket.set_nonblocking(true).unwrap();
         let listener = std::net::TcpListener::from(socket);
         drop((listener.accept().unwrap(), queued));
@@ -193,35 +195,39 @@
                 Err(_) => yield_now().await,
             }
         };
-        assert!(matches!(call.await.unwrap(), Err(Broken::Ended)));
-        assert!((CALL..CALL + late).contains(&began.elapsed()), "{:?}", began.elapsed());
+        assert!(matches!(response.await.unwrap(), Err(Broken::Ended)));
+        assert!(
+            (REQUEST_TIMEOUT..REQUEST_TIMEOUT + late).contains(&began.elapsed()),
+            "{:?}",
+            began.elapsed()
+        );
         drop(silent);
     });
 }
 
-/// A panic in the midst of a list: it is taken for the call's end, and discovery asked again.
+/// A panic in the midst of a list: it counts as the request's end, and discovery is polled again.
 #[test]
-#[allow(clippy::await_holding_refcell_ref)] // that the host is held while the list is read is what panics
-fn a_panic_in_reading_a_list_is_followed_by_another_call() {
-    for must_be_asked in [false, true] {
+#[allow(clippy::await_holding_refcell_ref)] // that the instance is borrowed while the list is read is what panics
+fn a_panic_in_reading_a_list_is_followed_by_another_request() {
+    for must_be_polled in [false, true] {
         let folder = Folder::new();
         on_one_thread(async {
             tokio::time::pause();
             let watched = format!("{CHUNKED}{}", chunk(&format!("{LIST}\n"))).leak().as_bytes();
             let (at, mut asked) = answering(vec![watched; 2]).await;
-            let host = host_with(7, &settings(must_be_asked), &folder, "127.0.0.1:1".parse().unwrap());
-            let (_at, seen) = watch::channel(at);
+            let host = host_with(7, &settings(must_be_polled), &folder, "127.0.0.1:1".parse().unwrap());
+            let (_at, seen) = watch_channel::channel(at);
             let (job, progress) = (host.clone(), Progress::new(Some(6)));
-            crate::lasting(move || follow(job.clone(), seen.clone(), progress.clone(), must_be_asked));
+            crate::lasting(move || follow(job.clone(), seen.clone(), progress.clone(), must_be_polled));
             host.borrow_mut().event(|_| ());
             asked.recv().await.unwrap();
-            let held = host.borrow_mut(); // so that the list, which has come, cannot be told
+            let borrowed = host.borrow_mut(); // so that the list, which has arrived, cannot be applied
             sleep(Duration::from_millis(10)).await;
-            drop(held);
+            drop(borrowed);
             let failed = Instant::now();
             assert!(host.borrow().endpoints.address("f").is_none(), "it panicked before");
-            timeout(COUNTS_AS_TOLD, known(&host)).await.expect("it is not asked again");
-            assert!(failed.elapsed() < COUNTS_AS_TOLD);
+            timeout(KNOWN_WITHIN, known(&host)).await.expect("it is not polled again");
+            assert!(failed.elapsed() < KNOWN_WITHIN);
         });
     }
 }
@@ -243,7 +249,7 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let at = listener.local_addr().unwrap();
             let host = host_with(7, &settings(false), &folder, "127.0.0.1:1".parse().unwrap());
-            let (_at, seen) = watch::channel(at);
+            let (_at, seen) = watch_channel::channel(at);
             spawn_local(follow(host.clone(), seen, Progress::new(Some(6).filter(|_| !whole)), false));
             let mut stream = Served::new(listener.accept().await.unwrap().0);
             stream.next().await.unwrap();
@@ -255,28 +261,7 @@
                 stream.write(octets.as_bytes()).await.unwrap();
                 advance(Duration::from_millis(200)).await;
             }
-            timeout(SILENCE, known(&host)).await.expect("it is given up in the midst of it");
+            timeout(SILENCE_TIMEOUT, known(&host)).await.expect("it is given up in the midst of it");
         });
     }
 }
-
-/// A stream's values are looked for at their ends only, wherever they are cut.
-#[test]
-fn each_byte_of_a_list_over_many_lines_is_read_once() {
-    let text = r#"
-{ "revision": 9, "a": "}\n\"{[",
-  "members": [
-    {"id": "f\\"},
-    {}
-  ]
-}"#;
-    for cut in 1..text.len() {
-        let (begin, end) = text.as_bytes().split_at(cut);
-        let mut ends = ValueEnds::default();
-        assert_eq!(ends.within(begin), cut >= 1, "the first line is empty: {cut}");
-        assert!(ends.within(end) && !ends.within(b" "), "{cut}");
-    }
-    let mut ends = ValueEnds::default();
-    let found = text.trim_start().bytes().filter(|octet| ends.within(&[*octet])).count();
-    assert_eq!((found, ends.within(b"noise"), ends.within(b"\n")), (1, false, true));
-}
--- a/crates/quillhub-server/src/discovery_tests.rs
+++ b/crates/quillhub-server/src/discovery/tests.rs
@@ -1,6 +1,8 @@
+use super::watch::watch;
 use super::*;
+use crate::link::Broken;
 use crate::stand_in::{Folder, answering, host, on_one_thread};
-use serde_json::json;
+use serde_json::{Value, json};
 use tokio::task::spawn_local;
 
 fn member(id: &str, port: u16, phase: &str) -> Value {
@@ -18,14 +20,17 @@
         let host = host(&folder, "127.0.0.1:1".parse().unwrap());
         let mut host = host.borrow_mut();
         for list in lists {
-            assert_eq!(tell(&mut host, list, true), Ok(41));
+            assert_eq!(
+                update_endpoints(&mut host, list, Origin::Discovery).map_err(|error| error.to_string()),
+                Ok(41)
+            );
         }
         ["e", "f", "g"].map(|name| host.endpoints.address(name).map(|at| at.port()))
     })
 }
 
 #[test]
-fn a_whole_list_replaces_what_was_known_and_changes_add_to_it() {
+fn a_complete_list_replaces_what_was_known_and_changes_add_to_it() {
     let two = list(true, &[member("f", 2, "up"), member("g", 3, "draining")]);
     assert_eq!(ports(std::slice::from_ref(&two)), [None, Some(2), Some(3)]);
     assert_eq!(ports(&[list(false, &[member("f", 2, "up")])]), [Some(1), Some(2), None]);
@@ -46,8 +51,9 @@
             list(true, &[json!({"id": "f", "host_port": "here", "cell": 9, "phase": "up"})]),
             list(true, &[member("f", 2, "up"), json!({"id": "g"})]),
         ] {
-            let told = tell(&mut host.borrow_mut(), &bad, true).unwrap_err();
-            assert!(!told.contains('\n'), "{told}");
+            let error =
+                update_endpoints(&mut host.borrow_mut(), &bad, Origin::Discovery).unwrap_err().to_string();
+            assert!(!error.contains('\n'), "{error}");
             let known = ["e", "f"].map(|name| host.borrow().endpoints.address(name).is_some());
             assert_eq!(known, [true, false], "{bad}");
         }
@@ -55,24 +61,24 @@
 }
 
 #[test]
-fn a_watch_reads_lines_wherever_they_are_cut() {
+fn a_watch_reads_lines_wherever_they_are_split() {
     let folder = Folder::new();
     on_one_thread(async {
         let answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n\
             1f\r\n{\"revision\":7,\"complete\":true,\"\r\n10\r\nmembers\":[]}\n{\"r\r\n\
             26\r\nevision\":8,\"members\":[],\"more\":[null]}\r\n1\r\n\n\r\n0\r\n\r\n";
-        let (at, mut told) = answering(vec![answer]).await;
+        let (at, mut requests) = answering(vec![answer]).await;
         let host = host(&folder, at);
         let revision = Cell::new(Some(6));
-        assert!(matches!(one_watch(&host, at, &revision).await, Err(Broken::Ended)));
+        assert!(matches!(watch(&host, at, &revision).await, Err(Broken::Ended)));
         assert_eq!((revision.get(), host.borrow().endpoints.address("e")), (Some(8), None));
-        let call = told.recv().await.unwrap();
-        assert!(call.starts_with("GET /registry/instances?watch=1&after=6 HTTP/1.1\r\n"), "{call}");
+        let request = requests.recv().await.unwrap();
+        assert!(request.starts_with("GET /registry/instances?watch=1&after=6 HTTP/1.1\r\n"), "{request}");
     });
 }
 
 #[test]
-fn discovery_that_is_elsewhere_is_watched_there_at_once_from_its_whole_list_on() {
+fn discovery_that_moved_is_watched_there_at_once_from_its_complete_list_on() {
     let folder = Folder::new();
     on_one_thread(async {
         let watched = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
@@ -81,7 +87,7 @@
         let (old, mut asked_old) = answering(vec![watched]).await;
         let (new, mut asked_new) = answering(vec![listed, watched]).await;
         let host = host(&folder, old);
-        let (at, seen) = watch::channel(old);
+        let (at, seen) = watch_channel::channel(old);
         spawn_local(follow(host.clone(), seen, Progress::new(Some(6)), false));
         assert!(asked_old.recv().await.unwrap().contains("after=6 "));
         at.send_replace(new);
@@ -92,7 +98,7 @@
     });
 }
 
-/// What a watch from number 6 on tells that writes `chunks` and then `ends`: its end, the number, and whether `e` and `f` are known.
+/// What a watch from revision 6 on leads to that writes `chunks` and then `ends`: its end, the revision, and whether `e` and `f` are known.
 fn watched(chunks: &[&str], ends: bool) -> (Result<(), Broken>, Option<u64>, [bool; 2]) {
     let folder = Folder::new();
     on_one_thread(async {
@@ -102,10 +108,10 @@
             answer += &format!("{:x}\r\n{chunk}\r\n", chunk.len());
         }
         answer += if ends { "0\r\n\r\n" } else { "" };
-        let (at, _told) = answering(vec![answer.leak().as_bytes()]).await;
+        let (at, _requests) = answering(vec![answer.leak().as_bytes()]).await;
         let host = host(&folder, at);
         let revision = Cell::new(Some(6));
-        let ended = one_watch(&host, at, &revision).await;
+        let ended = watch(&host, at, &revision).await;
         let known = ["e", "f"].map(|name| host.borrow().endpoints.address(name).is_some());
         (ended, revision.get(), known)
     })
@@ -117,54 +123,57 @@
     let next = "\n\n{\"revision\":42,\n\"members\":[]}\n";
     for cut in 0..=text.len() {
         let (begin, end) = text.split_at(cut);
-        let told = watched(&[&format!("\n{begin}"), &format!("{end}{next}")], true);
-        assert!(matches!(told, (Err(Broken::Ended), Some(42), [false, true])), "cut at {cut}: {told:?}");
+        let watched = watched(&[&format!("\n{begin}"), &format!("{end}{next}")], true);
+        assert!(
+            matches!(watched, (Err(Broken::Ended), Some(42), [false, true])),
+            "cut at {cut}: {watched:?}"
+        );
     }
 }
 
 #[test]
-fn a_list_that_is_cut_in_the_middle_or_no_list_tells_nothing() {
+fn a_truncated_list_or_none_changes_nothing() {
     let text = list(true, &[member("f", 2, "up")]).to_string();
-    for (told, ends) in [(&text[..text.len() - 1], true), (&text[..40], false), ("noise", true), ("41", true)]
+    for (text, ends) in [(&text[..text.len() - 1], true), (&text[..40], false), ("noise", true), ("41", true)]
     {
-        let told = watched(&[told, "\n"], ends);
-        assert!(matches!(told, (Err(_), Some(6), [true, false])), "{told:?}");
+        let watched = watched(&[text, "\n"], ends);
+        assert!(matches!(watched, (Err(_), Some(6), [true, false])), "{watched:?}");
     }
 }
 
-/// What the agent has counts as told, whatever it is: also no rows, or numbers that stand still or go back.
+/// What discovery has applies, whatever it is: also no entries, or revisions that stay or go back.
 #[test]
-fn a_whole_list_without_rows_is_obeyed_and_a_number_may_stand_still_or_go_back() {
+fn a_complete_list_without_entries_is_applied_and_a_revision_may_stay_or_go_back() {
     let list = |revision: u64, rows: &str| {
         format!("{{\"revision\":{revision},\"complete\":true,\"members\":[{rows}]}}\n")
     };
     let f = member("f", 2, "up").to_string();
-    for (told, revision, known) in [
+    for (lists, revision, known) in [
         (vec![list(7, "")], 7, [false, false]),
         (vec![list(7, ""), list(7, &f)], 7, [false, true]),
         (vec![list(7, &f), list(3, "")], 3, [false, false]),
     ] {
-        let told = watched(&told.iter().map(|list| &list[..]).collect::<Vec<_>>(), true);
-        assert!(told.1 == Some(revision) && told.2 == known, "{told:?}");
+        let watched = watched(&lists.iter().map(|list| &list[..]).collect::<Vec<_>>(), true);
+        assert!(watched.1 == Some(revision) && watched.2 == known, "{watched:?}");
     }
 }
 
-/// What a silent watch misses counts as told 6 s after it fell silent: there must be time for two in a row.
+/// What a silent watch misses must be known 6 s after it fell silent: there must be time for two in a row.
 #[test]
-fn a_watch_that_falls_silent_is_opened_again_at_once_and_one_that_ends_at_once_after_a_pause() {
+fn a_silent_watch_is_reopened_at_once_and_one_that_ends_at_once_after_a_pause() {
     let silent = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
     let headless = b"HTTP/1.1 100 x\r\n\r\n";
     for (answer, gap) in [(&silent[..], 2_500), (headless, 2_500), (b"", 250)] {
         let folder = Folder::new();
         on_one_thread(async {
             tokio::time::pause();
-            let (at, mut told) = answering(vec![answer; 4]).await;
-            let (_at, seen) = watch::channel(at);
+            let (at, mut requests) = answering(vec![answer; 4]).await;
+            let (_at, seen) = watch_channel::channel(at);
             spawn_local(follow(host(&folder, at), seen, Progress::new(Some(6)), false));
-            told.recv().await.unwrap();
+            requests.recv().await.unwrap();
             let first = Instant::now();
             for nth in 1..4 {
-                told.recv().await.unwrap();
+                requests.recv().await.unwrap();
                 let after = first.elapsed().as_millis();
                 assert!((gap * nth..gap * nth + 20).contains(&after), "{after} ms, not {nth} times {gap}");
             }
--- a/crates/quillhub-server/src/lib.rs
+++ b/crates/quillhub-server/src/lib.rs
@@ -149,7 +149,11 @@
     let connections = (free / CLIENTS).max(1);
     host.borrow_mut().bound_connections(free - free / CLIENTS);
     let revision = match top.get("known") {
-        Some(known) => Some(discovery::tell(&mut host.borrow_mut(), known.value, false)?),
+        Some(known) => Some(discovery::update_endpoints(
+            &mut host.borrow_mut(),
+            known.value,
+            discovery::Origin::Configuration,
+        )?),
         None => None,
     };
     let (at, platform) = (host.clone(), discovery.clone());
