--- a/crates/quillhub-bench-adapter/src/wire.rs
+++ b/crates/quillhub-bench-adapter/src/wire.rs
@@ -5,12 +5,17 @@
 use quillhub::{
     AttemptOutcome, AttemptResult, Dispatcher, EndpointState, EndpointUpdate, LoadReport, NewMessage,
 };
-use quillhub_settings::{ReportPlaces, expected};
+use quillhub_settings::{Excerpt, ReportColumns};
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Display;
 use std::io::{BufRead, Write};
 use std::str::FromStr;
 use std::time::Duration;
 
+fn expected(what: impl Display, found: &str) -> String {
+    format!("expected {what}, found '{}'", Excerpt::of(found))
+}
+
 /// The fields of one line, taken in order.
 struct Fields<'a> {
     rest: Option<&'a str>,
@@ -62,7 +67,7 @@
 /// One courier, with its own start of time.
 struct Hosted {
     courier: Dispatcher,
-    places: ReportPlaces,
+    places: ReportColumns,
     start: u64,
 }
 
@@ -79,7 +84,7 @@
             return Err(expected("numbers set apart by commas as report", text));
         };
         let at = |place: Option<usize>| place.and_then(|place| numbers.get(place)).copied();
-        let values = at(self.places.left).zip(at(self.places.limit));
+        let values = at(self.places.remaining_share).zip(at(self.places.rate_limit));
         Ok(values.map(|(remaining_share, rate_limit)| LoadReport { remaining_share, rate_limit }))
     }
 }
@@ -175,7 +180,8 @@
             "HELLO" => {
                 let seed = fields.number("randomSeed")?;
                 let text = fields.rest.take().unwrap_or_default();
-                let (courier, places) = quillhub_settings::start(seed, text)?;
+                let (courier, places) =
+                    quillhub_settings::read_text(seed, text).map_err(|error| error.to_string())?;
                 self.couriers.insert(name.into(), Hosted { courier, places, start: self.clock });
             }
             "SHUTDOWN" => {
--- a/crates/quillhub-server/src/command.rs
+++ b/crates/quillhub-server/src/command.rs
@@ -1,13 +1,25 @@
 //! The command line.
+//!
+//! Invariant: what fails is printed in one line, with exit status 2.
 
 use argh::FromArgs;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use tokio::signal::unix::{SignalKind, signal};
+use thiserror::Error;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+
+/// Exit status of a command that failed.
+const FAILED: u8 = 2;
+
+const CONFIGURATION: PathSource = PathSource { option: "--config", variable: "RELAY_CONFIG" };
+const STATE_DIRECTORY: PathSource = PathSource { option: "--state", variable: "RELAY_STATE" };
+
+// The doc comments of the following types are what `--help` prints.
 
 /// A courier of quillhub, an outbound gateway: takes notices and delivers them to partners' systems.
 #[derive(FromArgs)]
-struct Line {
+struct Arguments {
     #[argh(subcommand)]
     command: Command,
 }
@@ -49,51 +61,89 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-fn place(given: Option<PathBuf>, variable: &str, option: &str) -> Result<PathBuf, String> {
-    let named = given.or_else(|| std::env::var_os(variable).map(PathBuf::from));
-    named.ok_or(format!("expected {option} or ${variable}, found neither"))
+/// Why a command failed.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error("expected {} or ${}, found neither", .0.option, .0.variable)]
+    MissingPath(PathSource),
+    #[error("{}: {source}", path.display())]
+    Read { path: PathBuf, source: io::Error },
+    #[error("the runtime cannot start: {0}")]
+    Runtime(#[source] io::Error),
+    #[error("signals cannot be caught: {0}")]
+    Signals(#[source] io::Error),
+    #[error("{0}")]
+    Check(String),
+    #[error("{0}")]
+    Serve(String),
 }
 
-fn text(path: &Path) -> Result<String, String> {
-    std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
+/// Where a path is given: by an option, or else by an environment variable.
+#[derive(Clone, Copy, Debug)]
+struct PathSource {
+    option: &'static str,
+    variable: &'static str,
 }
 
-fn serve(config: &Path, state: &Path) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("the runtime cannot start: {e}"))?;
-    runtime.block_on(async {
-        let signals = |kind| signal(kind).map_err(|e| format!("signals cannot be caught: {e}"));
-        // All are caught before anything else is done: one that is not ends the process.
-        let mut hangup = signals(SignalKind::hangup())?;
-        let (mut term, mut interrupt) =
-            (signals(SignalKind::terminate())?, signals(SignalKind::interrupt())?);
-        let stop = async move {
-            tokio::select! {
-                _ = term.recv() => {}
-                _ = interrupt.recv() => {}
-            }
-        };
-        let next = async || match hangup.recv().await {
-            Some(()) => text(config),
-            None => std::future::pending().await,
-        };
-        crate::serve(&text(config)?, state, stop, next).await
-    })
+impl PathSource {
+    fn path(self, given: Option<PathBuf>) -> Result<PathBuf, CommandError> {
+        given
+            .or_else(|| std::env::var_os(self.variable).map(PathBuf::from))
+            .ok_or(CommandError::MissingPath(self))
+    }
 }
 
-fn obey(command: Command) -> Result<(), String> {
-    match command {
-        Command::Serve(serve_with) => {
-            let subscriber = tracing_subscriber::fmt().with_max_level(serve_with.log).with_ansi(false);
-            subscriber.with_writer(std::io::stderr).init();
-            let config = place(serve_with.config, "RELAY_CONFIG", "--config")?;
-            serve(&config, &place(serve_with.state, "RELAY_STATE", "--state")?)
-        }
-        Command::Check(check) => {
-            crate::check(&text(&place(check.config, "RELAY_CONFIG", "--config")?)?)?;
-            println!("the configuration can be used");
-            Ok(())
+fn read_file(path: &Path) -> Result<String, CommandError> {
+    std::fs::read_to_string(path).map_err(|source| CommandError::Read { path: path.to_owned(), source })
+}
+
+fn catch(kind: SignalKind) -> Result<Signal, CommandError> {
+    signal(kind).map_err(CommandError::Signals)
+}
+
+impl Serve {
+    fn execute(self) -> Result<(), CommandError> {
+        let subscriber = tracing_subscriber::fmt().with_max_level(self.log).with_ansi(false);
+        subscriber.with_writer(std::io::stderr).init();
+        let configuration = CONFIGURATION.path(self.config)?;
+        let state = STATE_DIRECTORY.path(self.state)?;
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        runtime.map_err(CommandError::Runtime)?.block_on(serve(&configuration, &state))
+    }
+}
+
+async fn serve(configuration: &Path, state: &Path) -> Result<(), CommandError> {
+    // All are caught before anything else is done: one that is not ends the process.
+    let mut hangup = catch(SignalKind::hangup())?;
+    let mut terminate = catch(SignalKind::terminate())?;
+    let mut interrupt = catch(SignalKind::interrupt())?;
+    let stop = async move {
+        tokio::select! {
+            _ = terminate.recv() => {}
+            _ = interrupt.recv() => {}
         }
+    };
+    let next_configuration = async || match hangup.recv().await {
+        Some(()) => read_file(configuration).map_err(|error| error.to_string()),
+        None => std::future::pending().await,
+    };
+    let text = read_file(configuration)?;
+    crate::serve(&text, state, stop, next_configuration).await.map_err(CommandError::Serve)
+}
+
+impl Check {
+    fn execute(self) -> Result<(), CommandError> {
+        let text = read_file(&CONFIGURATION.path(self.config)?)?;
+        crate::check(&text).map_err(CommandError::Check)?;
+        println!("the configuration can be used");
+        Ok(())
+    }
+}
+
+fn execute(command: Command) -> Result<(), CommandError> {
+    match command {
+        Command::Serve(serve) => serve.execute(),
+        Command::Check(check) => check.execute(),
         Command::Version(Version {}) => {
             println!("quillhub {}", env!("CARGO_PKG_VERSION"));
             Ok(())
@@ -101,13 +151,13 @@
     }
 }
 
-/// Reads the command line and obeys it; what fails is told in one line, with exit status 2.
+/// Executes the command of this process's command line.
 pub fn run() -> ExitCode {
-    match obey(argh::from_env::<Line>().command) {
+    match execute(argh::from_env::<Arguments>().command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(trouble) => {
-            eprintln!("quillhub: {trouble}");
-            ExitCode::from(2)
+        Err(error) => {
+            eprintln!("quillhub: {error}");
+            ExitCode::from(FAILED)
         }
     }
 }
--- a/crates/quillhub-server/src/discovery/entries.rs
+++ b/crates/quillhub-server/src/discovery/entries.rs
@@ -4,7 +4,7 @@
 
 use crate::host::Host as Instance;
 use quillhub::{EndpointState, EndpointUpdate};
-use quillhub_settings::At;
+use quillhub_settings::{Setting, SettingsError};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -36,34 +36,34 @@
 }
 
 impl<'a> EndpointList<'a> {
-    fn parse(list: &'a Value) -> Result<Self, String> {
-        let top = At::top(list);
-        let complete = top.get("complete").map_or(Ok(false), |complete| complete.flag())?;
-        let members = top.need("members")?.rows()?;
+    fn parse(list: &'a Value) -> Result<Self, SettingsError> {
+        let root = Setting::root(list);
+        let complete = root.optional("complete", Setting::as_bool)?.unwrap_or(false);
+        let members = root.require("members")?.as_list()?;
         let entries = members.into_iter().map(Entry::parse).collect::<Result<_, _>>()?;
-        Ok(Self { revision: top.need("revision")?.whole()?, complete, entries })
+        Ok(Self { revision: root.require("revision")?.as_u64()?, complete, entries })
     }
 }
 
 impl<'a> Entry<'a> {
-    fn parse(member: At<'a>) -> Result<Self, String> {
-        let address = member.need("host_port")?.address()?;
-        let text = |name| member.get(name).map_or(Ok(""), |text| text.word());
-        let (zone, kind) = (text("locality")?, text("flavor")?);
-        let rate = member.get("size").map(|rate| rate.number()).transpose()?;
-        let state = parse_state(&member.need("phase")?)?;
-        let name = member.need("id")?.word()?;
-        let destination = member.need("cell")?.whole()?;
+    fn parse(member: Setting<'a>) -> Result<Self, SettingsError> {
+        let address = member.require("host_port")?.as_address()?;
+        let zone = member.optional("locality", Setting::as_str)?.unwrap_or_default();
+        let kind = member.optional("flavor", Setting::as_str)?.unwrap_or_default();
+        let rate = member.optional("size", Setting::as_f64)?;
+        let state = parse_state(&member.require("phase")?)?;
+        let name = member.require("id")?.as_str()?;
+        let destination = member.require("cell")?.as_u64()?;
         Ok(Self { name, address, zone, kind, destination, state, rate })
     }
 }
 
-fn parse_state(phase: &At) -> Result<EndpointState, String> {
-    match phase.word()? {
+fn parse_state(phase: &Setting) -> Result<EndpointState, SettingsError> {
+    match phase.as_str()? {
         "up" => Ok(EndpointState::Available),
         "draining" => Ok(EndpointState::Draining),
         "removed" => Ok(EndpointState::Removed),
-        _ => phase.wrong("up, draining or removed"),
+        _ => Err(phase.unexpected("up, draining or removed")),
     }
 }
 
@@ -72,7 +72,7 @@
 /// # Errors
 ///
 /// What cannot be read of it first.
-pub fn check(list: &Value) -> Result<(), String> {
+pub fn check(list: &Value) -> Result<(), SettingsError> {
     EndpointList::parse(list).map(|_| ())
 }
 
@@ -81,7 +81,7 @@
 /// # Errors
 ///
 /// What cannot be read of the list first; it changes nothing then.
-pub fn update_endpoints(instance: &mut Instance, list: &Value, origin: Origin) -> Result<u64, String> {
+pub fn update_endpoints(instance: &mut Instance, list: &Value, origin: Origin) -> Result<u64, SettingsError> {
     let EndpointList { revision, complete, entries } = EndpointList::parse(list)?;
     for Entry { name, address, state, .. } in &entries {
         match state {
--- a/crates/quillhub-server/src/lib.rs
+++ b/crates/quillhub-server/src/lib.rs
@@ -21,10 +21,13 @@
 pub use discovery::MOST_LINE;
 
 use clients::Phase;
+use configuration::{
+    ConfigurationError, ConfiguredDispatcher, ConnectionTimeouts, GossipAddresses, ResourceLimits,
+};
 use endpoints::Endpoints;
 use host::Host;
 use peers::Peers;
-use quillhub_settings::At;
+use quillhub_settings::Setting;
 use serde_json::Value;
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -71,7 +74,7 @@
     next: impl AsyncFnMut() -> Result<String, String>,
 ) -> Result<(), String> {
     let value = configuration::parse(text)?;
-    let top = At::top(&value);
+    let top = Setting::root(&value);
     let (at, seen) = watch::channel(configuration::discovery(&top)?);
     LocalSet::new()
         .run_until(async {
@@ -92,7 +95,7 @@
     loop {
         let read = next().await.and_then(|text| {
             let value = configuration::parse(&text)?;
-            let top = At::top(&value);
+            let top = Setting::root(&value);
             configuration::check(&top)?;
             Ok((configuration::discovery(&top)?, configuration::differing(started_with, &value)))
         });
@@ -111,7 +114,7 @@
 
 /// Reads all of a configuration, as [`serve`] does, and does nothing with it.
 pub fn check(text: &str) -> Result<(), String> {
-    configuration::check(&At::top(&configuration::parse(text)?))
+    Ok(configuration::check(&Setting::root(&configuration::parse(text)?))?)
 }
 
 /// Keeps a job running that is to last as long as the process: a panic ends only what it was at.
@@ -124,19 +127,20 @@
 }
 
 async fn run(
-    top: &At<'_>,
+    top: &Setting<'_>,
     state: &Path,
     discovery: watch::Receiver<SocketAddr>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), String> {
     let told = |what: &'static str| move |error: std::io::Error| format!("{what}: {error}");
-    let (courier, reports) = configuration::courier(top)?;
+    let ConfiguredDispatcher { dispatcher, load_reports } = configuration::dispatcher(top)?;
     let listen = configuration::listen(top)?;
-    let (folder, sockets) = configuration::bounds(top)?;
-    let (connecting, idle_close) = configuration::connections(top)?;
-    let must_be_asked = configuration::must_be_asked(top)?;
-    let peers = match configuration::notes(top)? {
-        Some((listen, all, own)) => {
+    let ResourceLimits { state_bytes: folder, descriptors: sockets } = configuration::resource_limits(top)?;
+    let ConnectionTimeouts { connect: connecting, idle: idle_close } =
+        configuration::connection_timeouts(top)?;
+    let must_be_asked = configuration::must_be_polled(top)?;
+    let peers = match configuration::gossip(top)? {
+        Some(GossipAddresses { listen, all, own }) => {
             let opened = Peers::open(listen, all, own).await;
             Some(Rc::new(opened.map_err(told("the address for notes cannot be used"))?))
         }
@@ -145,15 +149,18 @@
     let (wal, owed) = Wal::open(state, folder).map_err(told("the lasting folder cannot be used"))?;
     let free = sockets.saturating_sub(OTHER_SOCKETS);
     let endpoints = Endpoints::new(idle_close, free / IDLE);
-    let host = Host::new(courier, wal, endpoints, connecting, peers.clone(), reports);
+    let host = Host::new(dispatcher, wal, endpoints, connecting, peers.clone(), load_reports);
     let connections = (free / CLIENTS).max(1);
     host.borrow_mut().bound_connections(free - free / CLIENTS);
     let revision = match top.get("known") {
-        Some(known) => Some(discovery::update_endpoints(
-            &mut host.borrow_mut(),
-            known.value,
-            discovery::Origin::Configuration,
-        )?),
+        Some(known) => Some(
+            discovery::update_endpoints(
+                &mut host.borrow_mut(),
+                known.json(),
+                discovery::Origin::Configuration,
+            )
+            .map_err(ConfigurationError::from)?,
+        ),
         None => None,
     };
     let (at, platform) = (host.clone(), discovery.clone());
--- /dev/null
+++ b/crates/quillhub-settings/src/dispatcher.rs
@@ -0,0 +1,221 @@
+//! A dispatcher by its settings: each section of them in a function of its own.
+
+use crate::error::{Excerpt, SettingsError};
+use crate::setting::Setting;
+use quillhub::{Dispatcher, ListedRate, RepeatSafety, ServiceClass, ValueDecay};
+use serde_json::Value;
+use std::time::Duration;
+
+/// Which values of a load report the dispatcher goes by, counted from 0.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ReportColumns {
+    /// The share of the limit that is left.
+    pub remaining_share: Option<usize>,
+    /// The limit.
+    pub rate_limit: Option<usize>,
+}
+
+/// A dispatcher with the settings in `text`, and where its load reports hold what.
+///
+/// # Errors
+///
+/// The first setting that cannot be used.
+pub fn read_text(seed: u64, text: &str) -> Result<(Dispatcher, ReportColumns), SettingsError> {
+    let value: Value = serde_json::from_str(text)
+        .map_err(|source| SettingsError::NotJson { found: Excerpt::of(text), source })?;
+    read(seed, &value)
+}
+
+/// A dispatcher with the settings in `value`, and where its load reports hold what.
+///
+/// # Errors
+///
+/// The first setting that cannot be used.
+pub fn read(seed: u64, value: &Value) -> Result<(Dispatcher, ReportColumns), SettingsError> {
+    if !value.is_object() {
+        return Err(SettingsError::NotAnObject { found: Excerpt::of(&value.to_string()) });
+    }
+    let settings = Sections::of(value);
+    let mut dispatcher = settings.new_dispatcher(seed)?;
+    settings.set_limits(&mut dispatcher)?;
+    settings.set_slow_start(&mut dispatcher)?;
+    settings.set_connections_and_ordering(&mut dispatcher)?;
+    settings.set_discovery(&mut dispatcher)?;
+    settings.add_service_classes(&mut dispatcher)?;
+    settings.set_kinds(&mut dispatcher)?;
+    settings.set_costs(&mut dispatcher)?;
+    settings.add_tenants(&mut dispatcher)?;
+    Ok((dispatcher, settings.report_columns()?))
+}
+
+/// The settings, and the sections of them that are read in several places.
+struct Sections<'a> {
+    root: Setting<'a>,
+    limits: Setting<'a>,
+    rules: Setting<'a>,
+    family: Setting<'a>,
+}
+
+impl<'a> Sections<'a> {
+    fn of(value: &'a Value) -> Self {
+        let root = Setting::root(value);
+        Self {
+            limits: root.section("limits"),
+            rules: root.section("rules"),
+            family: root.section("familyInfo"),
+            root,
+        }
+    }
+
+    fn new_dispatcher(&self, seed: u64) -> Result<Dispatcher, SettingsError> {
+        let instances = self.root.optional("nInstances", Setting::as_u64)?.unwrap_or(1);
+        let instances = u32::try_from(instances)
+            .map_err(|_| self.root.section("nInstances").unexpected("a smaller number"))?;
+        let zone = self.root.optional("zone", Setting::as_str)?.unwrap_or_default();
+        Ok(Dispatcher::new(seed, instances, zone))
+    }
+
+    fn set_limits(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
+        let max_attempts = self.limits.optional("mostTries", Setting::as_u64)?;
+        let max_attempts = max_attempts.map(|max| u32::try_from(max).unwrap_or(u32::MAX));
+        let max_calls = self.family.optional("maxCalls", Setting::as_u64)?;
+        let max_open = self.limits.optional("maxOpen", Setting::as_u64)?;
+        dispatcher.set_limits(
+            max_calls.map(|max| max as usize),
+            max_open.map(|max| max as usize),
+            max_attempts,
+        );
+        let retry_after = self.limits.optional("retryAfter", Setting::as_bool)?.unwrap_or(false);
+        dispatcher.set_longest_retry_after(if retry_after {
+            self.limits.optional("maxRetryAfterUs", Setting::as_duration)?
+        } else {
+            None
+        });
+        Ok(())
+    }
+
+    fn set_slow_start(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
+        if let Some(factor) = self.rules.get("overloadFactor") {
+            let start = self.rules.optional("startCapacity", Setting::as_f64)?.unwrap_or(0.0);
+            let factor = factor.as_f64()?;
+            let warm_up = duration_or_zero(&self.rules, "warmUpUs")?;
+            dispatcher.set_slow_start(factor, start, warm_up);
+        }
+        dispatcher.set_overload_tolerance(duration_or_zero(&self.rules, "tipAfterUs")?);
+        Ok(())
+    }
+
+    fn set_connections_and_ordering(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
+        if let Some(timeout) = self.limits.optional("idleCloseUs", Setting::as_duration)? {
+            dispatcher.set_idle_timeout(timeout);
+        }
+        let gossip = self.limits.optional("peerMessages", Setting::as_bool)?.unwrap_or(false);
+        dispatcher.allow_gossip(gossip);
+        dispatcher.set_ordering_pause(duration_or_zero(&self.rules, "keyRestUs")?);
+        Ok(())
+    }
+
+    fn set_discovery(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
+        let mode = self.root.optional("membershipMode", Setting::as_str)?;
+        let rate = match self.root.optional("weights", Setting::as_str)? {
+            Some("nominal") => ListedRate::Exact,
+            Some("rough") => ListedRate::Approximate,
+            _ => ListedRate::Absent,
+        };
+        dispatcher.set_discovery(mode == Some("subscribe"), rate);
+        dispatcher.set_poll_period(duration_or_zero(&self.rules, "askEveryUs")?);
+        Ok(())
+    }
+
+    fn add_service_classes(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
+        let decay = match self.family.optional("losesWorth", Setting::as_str)? {
+            Some("halving") => ValueDecay::Halving,
+            _ => ValueDecay::Linear,
+        };
+        for class in list_or_empty(&self.root, "classes")? {
+            let service_class = service_class(&class, decay)?;
+            dispatcher.add_service_class(class.require("name")?.as_str()?, service_class);
+        }
+        Ok(())
+    }
+
+    fn set_kinds(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
+        let kinds = self.root.optional("skus", Setting::as_str_list)?.unwrap_or_default();
+        let separate = list_or_empty(&self.family, "separateRoutes")?;
+        for (kind, separate) in kinds.iter().zip(separate) {
+            if separate.as_bool()? {
+                dispatcher.separate_routes(kind);
+            }
+        }
+        let batch_limits = list_or_empty(&self.family, "batchByKind")?;
+        for (kind, limit) in kinds.iter().zip(batch_limits) {
+            match u32::try_from(limit.as_u64()?) {
+                Ok(0) | Err(_) => return Err(limit.unexpected("a whole number from 1 on")),
+                Ok(1) => {}
+                Ok(several) => dispatcher.set_batch_limit(kind, several),
+            }
+        }
+        Ok(())
+    }
+
+    fn set_costs(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
+        let zones = self.root.optional("failureDomains", Setting::as_str_list)?.unwrap_or_default();
+        let costs = list_or_empty(&self.family, "toll")?;
+        for (zone, cost) in zones.iter().zip(costs) {
+            dispatcher.set_zone_cost(zone, cost.as_f64()?);
+        }
+        let rejection_cost = self.family.optional("refusedPrice", Setting::as_f64)?;
+        dispatcher.set_rejection_cost(rejection_cost.unwrap_or(0.0));
+        Ok(())
+    }
+
+    fn add_tenants(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
+        let over_share = self.root.optional("overShareWorth", Setting::as_f64)?.unwrap_or(1.0);
+        for tenant in list_or_empty(&self.root, "parties")? {
+            if let Some(quota) = tenant.get("quotaPerS") {
+                let name = tenant.require("name")?.as_str()?;
+                dispatcher.add_tenant(name, quota.as_f64()?, over_share);
+            }
+        }
+        Ok(())
+    }
+
+    fn report_columns(&self) -> Result<ReportColumns, SettingsError> {
+        let names = self.root.section("report").optional("names", Setting::as_str_list)?.unwrap_or_default();
+        let column = |wanted: &str| names.iter().position(|name| *name == wanted);
+        Ok(ReportColumns { remaining_share: column("x0"), rate_limit: column("x1") })
+    }
+}
+
+fn service_class(class: &Setting, decay: ValueDecay) -> Result<ServiceClass, SettingsError> {
+    Ok(ServiceClass {
+        repeat_safety: repeat_safety(class)?,
+        soft_deadline: class.require("aimUs")?.as_duration()?,
+        deadline: class.require("giveUpUs")?.as_duration()?,
+        value: class.optional("importance", Setting::as_f64)?.unwrap_or(1.0),
+        late_value_share: class.optional("lateWorth", Setting::as_f64)?.unwrap_or(0.0),
+        decay,
+        ordered: class.optional("byArrival", Setting::as_bool)?.unwrap_or(false),
+    })
+}
+
+fn repeat_safety(class: &Setting) -> Result<RepeatSafety, SettingsError> {
+    let effect = class.require("effect")?;
+    match effect.as_str()? {
+        "free" => Ok(RepeatSafety::Idempotent),
+        "guarded" => Ok(RepeatSafety::Deduplicated {
+            window: duration_or_zero(class, "memorySpanUs")?,
+            per_zone: class.optional("keyScope", Setting::as_str)?.unwrap_or("all") != "all",
+        }),
+        "single_shot" => Ok(RepeatSafety::AtMostOnce),
+        _ => Err(effect.unexpected("free, guarded or single_shot")),
+    }
+}
+
+fn duration_or_zero(section: &Setting, name: &str) -> Result<Duration, SettingsError> {
+    Ok(section.optional(name, Setting::as_duration)?.unwrap_or_default())
+}
+
+fn list_or_empty<'a>(section: &Setting<'a>, name: &str) -> Result<Vec<Setting<'a>>, SettingsError> {
+    Ok(section.optional(name, Setting::as_list)?.unwrap_or_default())
+}
