--- a/crates/quillhub-bench-adapter/src/reply.rs
+++ b/crates/quillhub-bench-adapter/src/reply.rs
@@ -1,24 +1,29 @@
-//! One courier's actions, written as lines of the reply being built.
+//! One instance's actions, written as lines of the reply being built.
 
 use base64::prelude::*;
 use quillhub::{Driver, MessageId};
 use std::fmt::Write;
 use std::time::Duration;
 
+/// Adds the actions of one instance to a reply.
 pub struct Reply<'a> {
-    pub courier: &'a str,
-    pub lines: &'a mut String,
+    instance: &'a str,
+    lines: &'a mut String,
 }
 
-impl Reply<'_> {
+impl<'a> Reply<'a> {
+    pub fn new(instance: &'a str, lines: &'a mut String) -> Self {
+        Self { instance, lines }
+    }
+
     fn add(&mut self, action: &str, rest: std::fmt::Arguments) {
-        writeln!(self.lines, "{action} {}{rest}", self.courier).expect("a string takes every write");
+        writeln!(self.lines, "{action} {}{rest}", self.instance).expect("a string takes every write");
     }
 }
 
 impl Driver for Reply<'_> {
     fn start_attempt(&mut self, message: MessageId, endpoint: &str, timeout: Duration) {
-        // On this wire a time-out of 0 means none at all.
+        // On this wire a timeout of 0 means none at all.
         let timeout = timeout.as_micros().max(1);
         self.add("ASSIGN", format_args!(" {message} {endpoint} {timeout}"));
     }
--- a/crates/quillhub-bench-adapter/src/wire_tests.rs
+++ b/crates/quillhub-bench-adapter/src/session_tests.rs
@@ -8,36 +8,36 @@
 YOUR_TURN
 "#;
 
-/// What is written for `input`, and the trouble that ended it.
+/// What is written for `input`, and the error that ended it.
 fn run(input: &str) -> (String, Option<String>) {
     let mut output = Vec::new();
-    let trouble = serve(input.as_bytes(), &mut output).err();
-    (String::from_utf8(output).unwrap(), trouble)
+    let error = serve(input.as_bytes(), &mut output).err().map(|error| error.to_string());
+    (String::from_utf8(output).unwrap(), error)
 }
 
-fn trouble_after_hello(line: &str) -> String {
-    let (output, trouble) = run(&format!("{HELLO}TICK 2000 2\n{line}\nYOUR_TURN\n"));
+fn error_after_hello(line: &str) -> String {
+    let (output, error) = run(&format!("{HELLO}TICK 2000 2\n{line}\nYOUR_TURN\n"));
     assert_eq!(output, "EOR 1\n", "no partial reply after {line}");
-    trouble.unwrap_or_else(|| panic!("no trouble with {line}"))
+    error.unwrap_or_else(|| panic!("no error with {line}"))
 }
 
 #[test]
-fn input_that_ends_between_rounds_is_no_trouble() {
+fn input_that_ends_between_batches_is_no_error() {
     assert_eq!(run(HELLO), ("EOR 1\n".into(), None));
     assert_eq!(run(""), (String::new(), None));
 }
 
 #[test]
-fn input_that_ends_inside_a_round_is_told_with_its_line() {
-    let (output, trouble) = run(&format!("{HELLO}TICK 2000 2\nTIMER courier/0 beat\n"));
+fn input_that_ends_inside_a_batch_is_refused_with_its_line() {
+    let (output, error) = run(&format!("{HELLO}TICK 2000 2\nTIMER courier/0 beat\n"));
     assert_eq!(output, "EOR 1\n");
-    assert_eq!(trouble.unwrap(), "line 9: expected YOUR_TURN, found the input's end");
+    assert_eq!(error.unwrap(), "line 9: expected YOUR_TURN, found the input's end");
     assert_eq!(run("TICK 20").1.unwrap(), "line 1: expected a whole line, found 'TICK 20'");
 }
 
 #[test]
-fn what_cannot_be_read_is_told_in_one_line() {
-    for (line, told) in [
+fn malformed_lines_are_refused_with_one_line() {
+    for (line, message) in [
         ("WAVE courier/0", "line 8: expected an event, found 'WAVE courier/0'"),
         ("INBOUND courier/0 x - g - 9000 - 0 9 0 0", "line 8: expected a number as ref, found 'x'"),
         (
@@ -59,30 +59,30 @@
             "free, guarded or single_shot as settings' classes[0].effect",
         ),
     ] {
-        let trouble = trouble_after_hello(line);
-        assert!(trouble.contains(told) && !trouble.contains('\n'), "{trouble}");
+        let error = error_after_hello(line);
+        assert!(error.contains(message) && !error.contains('\n'), "{error}");
     }
-    assert!(trouble_after_hello(&"W".repeat(5000)).len() < 150);
-    assert!(serve(&b"TICK \xff 1\n"[..], Vec::new()).unwrap_err().contains("UTF-8"));
+    assert!(error_after_hello(&"W".repeat(5000)).len() < 150);
+    assert!(serve(&b"TICK \xff 1\n"[..], Vec::new()).unwrap_err().to_string().contains("UTF-8"));
 }
 
 #[test]
-fn a_notice_is_sent_and_late_or_unknown_ids_are_harmless() {
-    let (output, trouble) = run(&format!(
+fn a_message_is_attempted_and_late_or_unknown_ids_are_harmless() {
+    let (output, error) = run(&format!(
         "{HELLO}TICK 2000 2\nINBOUND courier/0 77 - g - 5002000 - 0 9 0 0\nRESOLVED courier/0 5 0 endpoint_a ok 5 1 - -\n\
          MEMO courier/0 1 AQ==\nMEMO courier/0 9999 -\nCLIENT_LEFT courier/0 6\nYOUR_TURN\nTICK 3000 3\nRESOLVED courier/0 77 0 endpoint_a ok 5 1 - 0.4,2\nYOUR_TURN\n"
     ));
-    assert_eq!(trouble, None);
-    let (before, after) = output.split_once("ASSIGN courier/0 77 endpoint_a ").expect("one send");
+    assert_eq!(error, None);
+    let (before, after) = output.split_once("ASSIGN courier/0 77 endpoint_a ").expect("one attempt");
     assert_eq!((before, after.split_once('\n').unwrap().1), ("EOR 1\n", "EOR 2\nEOR 3\n"));
 }
 
 #[test]
-fn a_list_number_that_comes_again_means_the_newer_list() {
-    let (output, trouble) = run(&format!(
+fn a_list_number_that_is_reused_means_the_newer_list() {
+    let (output, error) = run(&format!(
         "{HELLO}TICK 2000 2\nLIST 3 1\nENTRY endpoint_b z k 9 IN 1 -\nANNOUNCE courier/0 3 full 2\n\
          INBOUND courier/0 77 - g - 5002000 - 0 9 0 0\nYOUR_TURN\n"
     ));
-    assert_eq!(trouble, None);
+    assert_eq!(error, None);
     assert!(output.contains("ASSIGN courier/0 77 endpoint_b"), "{output}");
 }
