--- a/crates/quillhub-bench-adapter/src/reply.rs
+++ b/crates/quillhub-bench-adapter/src/reply.rs
@@ -1,7 +1,7 @@
 //! One courier's actions, written as lines of the reply being built.
 
 use base64::prelude::*;
-use quillhub::{Driver, MessageId};
+use quillhub::{Driver, LogEvent, MessageId};
 use std::fmt::Write;
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
         self.add("OBSERVE", format_args!(" 1"));
     }
 
-    fn log(&mut self, line: &str) {
-        self.add("EMIT", format_args!(" {line}"));
+    fn log(&mut self, event: &LogEvent) {
+        self.add("EMIT", format_args!(" {event}"));
     }
 }
--- a/crates/quillhub-scale/src/hollow.rs
+++ b/crates/quillhub-scale/src/hollow.rs
@@ -4,7 +4,8 @@
 use crate::settings;
 use crate::thread::Worker;
 use quillhub::{
-    AttemptOutcome, AttemptResult, Dispatcher, Driver, EndpointState, EndpointUpdate, MessageId, NewMessage,
+    AttemptOutcome, AttemptResult, Dispatcher, Driver, EndpointState, EndpointUpdate, LogEvent, MessageId,
+    NewMessage,
 };
 use quillhub_server::MOST_LINE;
 use quillhub_server::http::{self, Head};
@@ -103,7 +104,7 @@
         self.wakes.push(wait);
     }
     fn watch_endpoints(&mut self) {}
-    fn log(&mut self, _line: &str) {}
+    fn log(&mut self, _line: &LogEvent) {}
 }
 
 /// The state of one hollow courier.
--- a/crates/quillhub-server/src/host.rs
+++ b/crates/quillhub-server/src/host.rs
@@ -5,7 +5,7 @@
 use crate::peers::Peers;
 use crate::wal::{self, Owed, Wal};
 use quillhub::{
-    AttemptResult, Dispatcher, Driver, MessageId, NewMessage, PossibleExecution, RecoveredAttempts,
+    AttemptResult, Dispatcher, Driver, LogEvent, MessageId, NewMessage, PossibleExecution, RecoveredAttempts,
 };
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -452,8 +452,15 @@
         self.watch_wanted.notify_one();
     }
 
-    fn log(&mut self, line: &str) {
-        tracing::info!("{line}");
+    fn log(&mut self, event: &LogEvent) {
+        match event {
+            LogEvent::HealthChanged { endpoint, destination, before, after } => {
+                tracing::info!(endpoint, destination, %before, %after, "endpoint health changed");
+            }
+            LogEvent::QueueShort { pending, in_flight } => {
+                tracing::info!(pending, in_flight, "queue is short");
+            }
+        }
     }
 }
 
--- a/crates/quillhub-simulator/src/world/actions.rs
+++ b/crates/quillhub-simulator/src/world/actions.rs
@@ -1,7 +1,7 @@
 //! What a decider asks for, kept until the world is free to do it.
 
 use crate::fact::Answered;
-use quillhub::{Driver, MessageId};
+use quillhub::{Driver, LogEvent, MessageId};
 use std::time::Duration;
 
 /// One thing that a decider asks for; the methods of [`Driver`] say what each means.
@@ -40,5 +40,5 @@
     fn watch_endpoints(&mut self) {
         self.0.push(Action::Watch);
     }
-    fn log(&mut self, _: &str) {}
+    fn log(&mut self, _: &LogEvent) {}
 }
--- a/crates/quillhub-simulator/tests/mutants.rs
+++ b/crates/quillhub-simulator/tests/mutants.rs
@@ -2,7 +2,7 @@
 //! caught under exactly the rule that it breaks; the module itself is clean on the same days.
 
 use quillhub::{
-    AttemptOutcome, AttemptResult, DestinationId, Driver, EndpointState, EndpointUpdate, MessageId,
+    AttemptOutcome, AttemptResult, DestinationId, Driver, EndpointState, EndpointUpdate, LogEvent, MessageId,
 };
 use quillhub_simulator::{Breach, Day, Decider, Input, Rule, Start, World, module};
 use std::collections::{BTreeMap, BTreeSet};
@@ -58,7 +58,7 @@
     fn watch_endpoints(&mut self) {
         self.0.push(Act::Other(Vec::new(), None, true, None));
     }
-    fn log(&mut self, _: &str) {}
+    fn log(&mut self, _: &LogEvent) {}
 }
 
 struct Mutant {
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -212,7 +212,7 @@
 impl Dispatcher {
     /// Goes through the rules until none acts, then asks for the next call back.
     pub fn apply_rules(&mut self, driver: &mut dyn Driver) {
-        self.write_pending_lines(driver);
+        self.write_events(driver);
         let state = &mut self.state;
         loop {
             state.next_due = Duration::MAX;
@@ -223,9 +223,9 @@
         state.set_timer(driver);
     }
 
-    fn write_pending_lines(&mut self, driver: &mut dyn Driver) {
+    fn write_events(&mut self, driver: &mut dyn Driver) {
         let shared = &mut self.state.shared;
-        shared.log_lines.drain(..).for_each(|line| driver.log(&line));
+        shared.log_events.drain(..).for_each(|event| driver.log(&event));
         for (destination, route) in shared.gossip.returned_routes.drain(..) {
             driver.broadcast(&gossip::of_return(destination, &route));
         }
--- a/src/driver.rs
+++ b/src/driver.rs
@@ -1,8 +1,45 @@
 //! What a host does for a dispatcher.
 
-use crate::MessageId;
+use crate::{DestinationId, Health, MessageId};
+use std::fmt;
 use std::time::Duration;
 
+/// What a dispatcher reports for the log.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum LogEvent {
+    /// What this instance takes an endpoint for has changed.
+    HealthChanged {
+        /// The endpoint's name.
+        endpoint: String,
+        /// Its destination.
+        destination: DestinationId,
+        /// What it was taken for.
+        before: Health,
+        /// What it is taken for from now on.
+        after: Health,
+    },
+    /// The queue is nearly full, and the message of the least value was rejected.
+    QueueShort {
+        /// Messages still pending.
+        pending: usize,
+        /// Attempts in flight.
+        in_flight: usize,
+    },
+}
+
+impl fmt::Display for LogEvent {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Self::HealthChanged { endpoint, destination, before, after } => {
+                write!(f, "endpoint {endpoint} of destination {destination}: {before} -> {after}")
+            }
+            Self::QueueShort { pending, in_flight } => {
+                write!(f, "queue is short: {pending} messages pending, {in_flight} attempts in flight")
+            }
+        }
+    }
+}
+
 /// Carries out what a dispatcher decides. Each call takes effect at the time of the event being handled.
 pub trait Driver {
     /// Calls `endpoint` for `message`; without a response after `timeout` the attempt ends as timed out.
@@ -19,6 +56,6 @@
     fn set_timer(&mut self, wait: Duration);
     /// Asks discovery for the endpoint list's changes from now on.
     fn watch_endpoints(&mut self);
-    /// Writes one line to the log.
-    fn log(&mut self, line: &str);
+    /// Writes an event to the log.
+    fn log(&mut self, event: &LogEvent);
 }
--- a/src/gossip_tests.rs
+++ b/src/gossip_tests.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     AttemptOutcome, AttemptResult, DestinationId, Dispatcher, Driver, EndpointState, EndpointUpdate,
-    MessageId, NewMessage, RepeatSafety, ServiceClass, ValueDecay, gossip, ms,
+    LogEvent, MessageId, NewMessage, RepeatSafety, ServiceClass, ValueDecay, gossip, ms,
 };
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     }
     fn set_timer(&mut self, _: Duration) {}
     fn watch_endpoints(&mut self) {}
-    fn log(&mut self, _: &str) {}
+    fn log(&mut self, _: &LogEvent) {}
 }
 
 /// The end of an attempt; a delivery finishes the message.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,12 +15,13 @@
 
 pub use attempt::{AttemptOutcome, AttemptResult, LoadReport};
 pub use dispatcher::Dispatcher;
-pub use driver::Driver;
+pub use driver::{Driver, LogEvent};
 pub use endpoint::{EndpointState, EndpointUpdate, ListedRate};
 pub use message::{
     DestinationId, MessageId, NewMessage, PossibleExecution, RecoveredAttempts, RepeatSafety, ServiceClass,
     UnknownServiceClass, ValueDecay,
 };
+pub use policy::Health;
 
 use std::time::Duration;
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,7 +2,8 @@
 
 use super::state::{Execution, PendingMessage, State};
 use crate::{
-    DestinationId, Driver, MessageId, NewMessage, RecoveredAttempts, RepeatSafety, UnknownServiceClass, ms,
+    DestinationId, Driver, LogEvent, MessageId, NewMessage, RecoveredAttempts, RepeatSafety,
+    UnknownServiceClass, ms,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -222,11 +223,8 @@
         let Some(id) = least.map(|(id, _)| *id) else { return false };
         self.give_up(id, driver);
         if self.admission.may_log(self.now) {
-            driver.log(&format!(
-                "queue is short: {} messages pending, {} attempts in flight",
-                self.pending.len(),
-                self.in_flight.len()
-            ));
+            driver
+                .log(&LogEvent::QueueShort { pending: self.pending.len(), in_flight: self.in_flight.len() });
         }
         true
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -21,6 +21,8 @@
 pub(crate) mod state;
 mod verdict;
 
+pub use outlier::Health;
+
 #[cfg(test)]
 #[path = "tests/fleet.rs"]
 mod fleet_tests;
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -6,6 +6,7 @@
 use super::slow_start::SlowStart;
 use crate::ms;
 use rand_pcg::Pcg64Mcg;
+use std::fmt;
 use std::time::Duration;
 
 /// Failures in a row that make a route suspect, on a slow-start budget: a call and its retry.
@@ -33,9 +34,9 @@
 /// Health checks a second of all instances together at one ejected endpoint: the design page's.
 const CHECKS_PER_SECOND: f64 = 1.0;
 
-/// What this instance takes an endpoint for: as healthy as it sorts low.
+/// What an instance takes an endpoint for: as healthy as it sorts low.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Health {
+pub enum Health {
     /// It takes calls as its limits allow.
     Healthy,
     /// It has returned, and its load grows.
@@ -47,6 +48,16 @@
     Ejected,
 }
 
+impl fmt::Display for Health {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Self::Healthy => "healthy",
+            Self::WarmingUp { .. } => "warming up",
+            Self::Ejected => "ejected",
+        })
+    }
+}
+
 impl Health {
     /// Whether two states differ in kind.
     pub(super) fn differs_from(self, other: Self) -> bool {
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -14,7 +14,8 @@
 use super::retry_budget::{RetryBudget, RetryCredit};
 use super::slow_start::{SlowStart, SlowStartBudget};
 use crate::{
-    AttemptOutcome, DestinationId, EndpointState, EndpointUpdate, ListedRate, MessageId, ServiceClass,
+    AttemptOutcome, DestinationId, EndpointState, EndpointUpdate, ListedRate, LogEvent, MessageId,
+    ServiceClass,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -216,8 +217,8 @@
     pub(super) isolated_losses: IsolatedLosses,
     pub(crate) retry_credit: RetryCredit,
     pub(crate) gossip: GossipOutbox,
-    /// Lines for the log, until they are written.
-    pub(crate) log_lines: Vec<String>,
+    /// Events for the log, until they are written.
+    pub(crate) log_events: Vec<LogEvent>,
 }
 
 /// The state of one dispatcher.
@@ -266,7 +267,7 @@
             isolated_losses: IsolatedLosses::default(),
             retry_credit: RetryCredit::new(),
             gossip: GossipOutbox::default(),
-            log_lines: Vec::new(),
+            log_events: Vec::new(),
         };
         Self {
             now: Duration::ZERO,
--- a/src/policy/tests/support.rs
+++ b/src/policy/tests/support.rs
@@ -2,8 +2,8 @@
 
 use super::state::{Attempt, Endpoint, Route};
 use crate::{
-    AttemptOutcome, AttemptResult, Dispatcher, Driver, EndpointState, EndpointUpdate, LoadReport, MessageId,
-    NewMessage, RepeatSafety, ServiceClass, ValueDecay, ms,
+    AttemptOutcome, AttemptResult, Dispatcher, Driver, EndpointState, EndpointUpdate, LoadReport, LogEvent,
+    MessageId, NewMessage, RepeatSafety, ServiceClass, ValueDecay, ms,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -40,7 +40,7 @@
     fn watch_endpoints(&mut self) {
         self.0.push("watch".into());
     }
-    fn log(&mut self, _: &str) {}
+    fn log(&mut self, _: &LogEvent) {}
 }
 
 /// Records the timeout of each attempt.
@@ -57,7 +57,7 @@
     fn broadcast(&mut self, _: &[u8]) {}
     fn set_timer(&mut self, _: Duration) {}
     fn watch_endpoints(&mut self) {}
-    fn log(&mut self, _: &str) {}
+    fn log(&mut self, _: &LogEvent) {}
 }
 
 pub(super) fn rng() -> Pcg64Mcg {
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -8,7 +8,7 @@
 use super::outlier::{self, Health};
 use super::rate_limit::Rejection;
 use super::state::{Attempt, Destination, Endpoint, Execution, Route, Shared, State};
-use crate::{AttemptOutcome, AttemptResult, EndpointState, MessageId, gossip};
+use crate::{AttemptOutcome, AttemptResult, EndpointState, LogEvent, MessageId, gossip};
 use std::time::Duration;
 
 /// What an outcome says beyond the health of its endpoint.
@@ -195,12 +195,12 @@
             self.route.checks.on_failure(self.now, outcome.never_executed(), &mut self.shared.rng);
         }
         if self.before.health.differs_from(after) {
-            let Attempt { endpoint, destination, .. } = self.attempt;
-            let line = format!(
-                "endpoint {endpoint} of destination {destination}: {:?} -> {after:?}",
-                self.before.health
-            );
-            self.shared.log_lines.push(line);
+            self.shared.log_events.push(LogEvent::HealthChanged {
+                endpoint: self.attempt.endpoint.clone(),
+                destination: self.attempt.destination,
+                before: self.before.health,
+                after,
+            });
         }
         after
     }
