--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -163,7 +163,7 @@
         self.state.known_destinations.contains(destination)
     }
 
-    /// Bytes that the host can still store; told before each message, without that message's own.
+    /// Bytes that the host can still store; set before each message, without that message's own.
     pub fn set_storage_room(&mut self, bytes: u64) {
         self.state.admission.set_storage_capacity(bytes);
     }
@@ -227,7 +227,7 @@
         let shared = &mut self.state.shared;
         shared.log_events.drain(..).for_each(|event| driver.log(&event));
         for (destination, route) in shared.gossip.returned_routes.drain(..) {
-            driver.broadcast(&gossip::of_return(destination, &route));
+            driver.broadcast(&gossip::encode_return(destination, &route));
         }
     }
 }
--- a/src/gossip_tests.rs
+++ b/src/gossip_tests.rs
@@ -12,7 +12,7 @@
 const MESSAGE: MessageId = 1;
 /// Failed attempts after which an endpoint counts as out.
 const FAILURES: u32 = 6;
-/// Looks until the endpoint has failed and answered; each is as long as the longest gap between trials.
+/// Looks until the endpoint has failed and answered; each is as long as the longest gap between health checks.
 const MOST_LOOKS: u64 = 100;
 
 /// Keeps the attempts and the datagrams that a dispatcher asks for.
@@ -50,7 +50,7 @@
 }
 
 /// The datagrams of a dispatcher whose only endpoint, `e1`, fails for a while and then answers.
-fn datagrams_of_a_return(routes_apart: bool) -> Vec<Vec<u8>> {
+fn datagrams_of_a_return(separate_routes: bool) -> Vec<Vec<u8>> {
     let lasts = ms(3_600_000);
     let mut dispatcher = Dispatcher::new(7, 1, "");
     dispatcher.allow_gossip(true);
@@ -65,7 +65,7 @@
         ordered: false,
     };
     dispatcher.add_service_class("free", class);
-    if routes_apart {
+    if separate_routes {
         dispatcher.separate_routes("kind");
     }
     dispatcher.endpoint_updated(EndpointUpdate {
@@ -93,7 +93,7 @@
         if asked.attempts == before {
             continue;
         }
-        assert!(asked.datagrams.is_empty(), "nothing is told of failures");
+        assert!(asked.datagrams.is_empty(), "no gossip of failures");
         if asked.attempts > FAILURES {
             dispatcher.attempt_ended(result(before, AttemptOutcome::Delivered));
             dispatcher.apply_rules(&mut asked);
@@ -105,31 +105,31 @@
 }
 
 #[test]
-fn a_destination_that_answers_again_is_told_in_these_octets() {
+fn the_return_of_a_destination_is_gossiped_in_these_octets() {
     assert_eq!(datagrams_of_a_return(false), [b"\x01\x08\x07\x06\x05\x04\x03\x02\x01"]);
 }
 
 #[test]
-fn a_route_that_answers_again_is_told_in_these_octets() {
+fn the_return_of_a_route_is_gossiped_in_these_octets() {
     assert_eq!(datagrams_of_a_return(true), [b"\x01\x08\x07\x06\x05\x04\x03\x02\x01e1"]);
 }
 
 #[test]
 fn a_datagram_of_the_first_version_is_read() {
     let datagram = b"\x01\x08\x07\x06\x05\x04\x03\x02\x01e1";
-    assert_eq!(gossip::read(datagram), Some((DESTINATION, "e1")));
-    assert_eq!(gossip::read(&datagram[..9]), Some((DESTINATION, "")), "the route may be empty");
-    assert_eq!(gossip::read(b"\x01\x09\0\0\0\0\0\0\0\xc3\xa9"), Some((9, "\u{e9}")));
+    assert_eq!(gossip::decode_return(datagram), Some((DESTINATION, "e1")));
+    assert_eq!(gossip::decode_return(&datagram[..9]), Some((DESTINATION, "")), "the route may be empty");
+    assert_eq!(gossip::decode_return(b"\x01\x09\0\0\0\0\0\0\0\xc3\xa9"), Some((9, "\u{e9}")));
 }
 
 #[test]
 fn a_datagram_of_another_version_or_cut_short_or_not_in_utf_8_is_passed_over() {
     let datagram = b"\x01\x08\x07\x06\x05\x04\x03\x02\x01e1";
     for length in 0..9 {
-        assert_eq!(gossip::read(&datagram[..length]), None, "cut to {length}");
+        assert_eq!(gossip::decode_return(&datagram[..length]), None, "cut to {length}");
     }
     for version in [0, 2, u8::MAX] {
-        assert_eq!(gossip::read(&[&[version], &datagram[1..]].concat()), None, "version {version}");
+        assert_eq!(gossip::decode_return(&[&[version], &datagram[1..]].concat()), None, "version {version}");
     }
-    assert_eq!(gossip::read(b"\x01\x09\0\0\0\0\0\0\0\xff"), None);
+    assert_eq!(gossip::decode_return(b"\x01\x09\0\0\0\0\0\0\0\xff"), None);
 }
--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -161,7 +161,7 @@
         route.limit.bucket.set_estimate(RateEstimate { limit: None, safe_rate: Some(100.0) });
         route.checks.set_next(ms(60_000));
         (0..5).for_each(|id| assert!(submit(&mut dispatcher, id, None).is_empty()));
-        dispatcher.gossip_received(&gossip::of_return(9, ""));
+        dispatcher.gossip_received(&gossip::encode_return(9, ""));
         dispatcher
     };
     let mut all: Vec<_> = (0..100).map(waiting).collect();
@@ -294,7 +294,7 @@
 /// before its next call.
 #[test]
 fn many_instances_that_were_rejected_once_each_and_long_ago_send_no_more_than_a_cold_route_bears() {
-    let refused = |load_report: Option<LoadReport>| {
+    let rejected_once = |load_report: Option<LoadReport>| {
         move |seed| {
             let mut dispatcher = one_of_many(188, seed, 0.66, &["a"]);
             dispatcher.set_overload_tolerance(ms(2_000));
@@ -306,14 +306,14 @@
             dispatcher
         }
     };
-    let mut instances: Vec<_> = (0..188).map(refused(None)).collect();
+    let mut instances: Vec<_> = (0..188).map(rejected_once(None)).collect();
     let unreported = attempts_of(&mut instances, ms(27_000));
     // One of a hundred and eighty-eight instances at a time: what each earns by its new message, and little else.
     let report = LoadReport { remaining_share: 0.5, rate_limit: 0.66 };
-    let mut instances: Vec<_> = (0..188).map(refused(Some(report))).collect();
+    let mut instances: Vec<_> = (0..188).map(rejected_once(Some(report))).collect();
     let reported = attempts_of(&mut instances, ms(27_000));
     assert!(
         unreported * 3 < reported,
-        "{unreported} where nothing tells of the limit, {reported} where it is told"
+        "{unreported} where nothing tells of the limit, {reported} where it is reported"
     );
 }
