--- a/crates/quillhub-server/src/clients.rs
+++ b/crates/quillhub-server/src/clients.rs
@@ -1,6 +1,6 @@
 //! The clients' side: reads commands from a connection and answers them, one after the other.
 
-use crate::host::{Host, Taken};
+use crate::instance::{Instance, SubmitOutcome};
 use crate::resp;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -64,7 +64,7 @@
     (1..=MOST_ID).contains(&id.len()) && id.iter().all(u8::is_ascii_graphic)
 }
 
-fn submit(host: &RefCell<Host>, parts: &[&[u8]]) -> Result<Next, &'static str> {
+fn submit(host: &RefCell<Instance>, parts: &[&[u8]]) -> Result<Next, &'static str> {
     let &[turn, reference, list, body] = parts else {
         return Err("SUBMIT takes a key, an id, a list and a body");
     };
@@ -78,15 +78,15 @@
         return Err("an id or key that cannot be passed on");
     }
     let (turn, lasts) = ((turn != 0).then_some(turn), Duration::from_millis(lasts.min(u64::from(u32::MAX))));
-    Ok(match host.borrow_mut().take_on(grade, turn, lasts, destination, reference, mark, body) {
-        Taken::On(id) => Next::Confirm(id),
-        Taken::Denied(come_back) => Next::Answer(resp::busy(come_back)),
-        Taken::Failed(why) => Next::Answer(resp::error(why)),
-        Taken::Unusable(why) => Next::Error(why),
+    Ok(match host.borrow_mut().submit(grade, turn, lasts, destination, reference, mark, body) {
+        SubmitOutcome::Accepted(id) => Next::Confirm(id),
+        SubmitOutcome::Busy { retry_after: come_back } => Next::Answer(resp::busy(come_back)),
+        SubmitOutcome::Failed(why) => Next::Answer(resp::error(why)),
+        SubmitOutcome::Invalid(why) => Next::Error(why),
     })
 }
 
-fn obey(host: &RefCell<Host>, parts: &[&[u8]]) -> Next {
+fn obey(host: &RefCell<Instance>, parts: &[&[u8]]) -> Next {
     let Some((name, parts)) = parts.split_first() else { return Next::Answer(Vec::new()) };
     if name.eq_ignore_ascii_case(b"SUBMIT") {
         return submit(host, parts).unwrap_or_else(Next::ErrorAndClose);
@@ -251,7 +251,7 @@
 
 /// Serves one connection until it is to end. `Err` is only for reads and writes that failed.
 async fn serve(
-    host: &RefCell<Host>,
+    host: &RefCell<Instance>,
     stream: &mut TcpStream,
     admission: &Admission,
     number: u64,
@@ -333,7 +333,7 @@
         let written = timeout(WRITING, stream.write_all(octets)).await;
         if !matches!(written, Ok(Ok(()))) {
             if let Some(id) = id {
-                host.borrow_mut().gone(id);
+                host.borrow_mut().withdraw(id);
             }
             return written.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into())).map(|()| Ended::ByClient);
         }
@@ -361,7 +361,7 @@
 
 /// Accepts connections until the courier closes, those that came before that included. Each is served by a
 /// task of its own.
-pub async fn accept(host: Rc<RefCell<Host>>, listener: Rc<TcpListener>, admission: Rc<Admission>) {
+pub async fn accept(host: Rc<RefCell<Instance>>, listener: Rc<TcpListener>, admission: Rc<Admission>) {
     let mut phase = admission.phase.clone();
     loop {
         let accepted = tokio::select! {
--- a/crates/quillhub-server/src/clients_tests.rs
+++ b/crates/quillhub-server/src/clients_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::stand_in::{Folder, host, on_one_thread};
+use crate::test_support::{Folder, instance, on_one_thread};
 use quillhub_fakes::clients::command;
 use tokio::io::AsyncReadExt;
 
@@ -21,7 +21,7 @@
         let at = listener.local_addr().unwrap();
         let (phase, seen) = watch::channel(came);
         let places = Arc::new(Semaphore::new(2));
-        spawn_local(accept(host(&folder, at), Rc::new(listener), Admission::new(seen, places.clone())));
+        spawn_local(accept(instance(&folder, at), Rc::new(listener), Admission::new(seen, places.clone())));
         let mut client = TcpStream::connect(at).await.unwrap();
         client.write_all(input).await.unwrap();
         if leave {
@@ -98,7 +98,7 @@
         let at = listener.local_addr().unwrap();
         let (_phase, seen) = watch::channel(Phase::Serving);
         let admission = Admission::new(seen, Arc::new(Semaphore::new(1)));
-        spawn_local(accept(host(&folder, at), Rc::new(listener), admission));
+        spawn_local(accept(instance(&folder, at), Rc::new(listener), admission));
         let mut answer = [0; 7];
         let mut first = TcpStream::connect(at).await.unwrap();
         first.write_all(PING).await.unwrap();
@@ -175,7 +175,7 @@
         let (phase, seen) = watch::channel(Phase::Serving);
         let places = Arc::new(Semaphore::new(1));
         let admission = Admission::new(seen, places.clone());
-        let host = host(&folder, at);
+        let host = instance(&folder, at);
         spawn_local(accept(host.clone(), Rc::new(listener), admission.clone()));
         let mut client = TcpStream::connect(at).await.unwrap();
         if end != End::NeverAsked {
@@ -209,7 +209,7 @@
         while places.available_permits() == 0 {
             tokio::task::yield_now().await;
         }
-        let taken = !host.borrow().at_rest();
+        let taken = !host.borrow().is_idle();
         (read, after, taken)
     })
 }
--- a/crates/quillhub-server/src/discovery.rs
+++ b/crates/quillhub-server/src/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery: the list at first, then a watch on its changes, opened again whenever it ends or discovery
 //! is elsewhere.
 
-use crate::host::Host;
 use crate::http::{self, Framing};
+use crate::instance::Instance;
 use crate::link::{Broken, Link};
 use quillhub::{EndpointState, EndpointUpdate};
 use quillhub_settings::At;
@@ -66,19 +66,19 @@
 
 /// Tells the courier a list or changes of it, and gives its number. `asked` is false for the list known at
 /// the start. A list that cannot be read tells nothing.
-pub fn tell(host: &mut Host, list: &Value, asked: bool) -> Result<u64, String> {
+pub fn tell(host: &mut Instance, list: &Value, asked: bool) -> Result<u64, String> {
     let (revision, whole, rows) = read(list)?;
     for (name, address, _, _, phase, _) in &rows {
         match phase {
-            EndpointState::Removed => host.endpoints.gone(name),
-            _ => host.endpoints.listed(name, *address),
+            EndpointState::Removed => host.pool.removed(name),
+            _ => host.pool.listed(name, *address),
         }
     }
     let names: BTreeSet<String> = rows.iter().map(|row| row.0.to_owned()).collect();
     if whole {
-        host.endpoints.keep_only(|name| names.contains(name));
+        host.pool.keep_only(|name| names.contains(name));
     }
-    host.event(|courier| {
+    host.handle_event(|courier| {
         for (name, _, [zone, kind], owner, phase, rate) in rows {
             courier.endpoint_updated(EndpointUpdate {
                 name,
@@ -113,7 +113,7 @@
 }
 
 /// Tells the courier a list, and keeps the number of that.
-fn take(host: &RefCell<Host>, list: &Value, revision: &Cell<Option<u64>>) -> Result<(), Broken> {
+fn take(host: &RefCell<Instance>, list: &Value, revision: &Cell<Option<u64>>) -> Result<(), Broken> {
     let told = tell(&mut host.borrow_mut(), list, true);
     tracing::debug!(revision = ?told, "discovery tells");
     revision.set(Some(told.map_err(|trouble| {
@@ -125,8 +125,12 @@
 
 /// One watch, from `revision` on, until it ends. Where there is none, the whole list is taken first: another
 /// discovery may number its changes otherwise.
-async fn one_watch(host: &RefCell<Host>, at: SocketAddr, revision: &Cell<Option<u64>>) -> Result<(), Broken> {
-    let heard = host.borrow().discovery_heard.clone();
+async fn one_watch(
+    host: &RefCell<Instance>,
+    at: SocketAddr,
+    revision: &Cell<Option<u64>>,
+) -> Result<(), Broken> {
+    let heard = host.borrow().discovery_responded.clone();
     let after = match revision.get() {
         Some(revision) => revision,
         None => {
@@ -249,17 +253,17 @@
 /// Keeps a watch open. Where discovery `must_be_asked`, the courier says when; but once discovery is
 /// elsewhere it is watched there at once, and its whole list taken.
 pub async fn follow(
-    host: Rc<RefCell<Host>>,
+    host: Rc<RefCell<Instance>>,
     mut discovery: watch::Receiver<SocketAddr>,
     progress: Rc<Progress>,
     must_be_asked: bool,
 ) {
-    let wanted = host.borrow().watch_wanted.clone();
+    let wanted = host.borrow().watch_requested.clone();
     loop {
         // Here, so that the courier is also told of what a panic has ended: it would never ask again.
         if progress.out.get() {
             forget(&wanted).await;
-            host.borrow_mut().event(|courier| courier.endpoint_list_failed());
+            host.borrow_mut().handle_event(|courier| courier.endpoint_list_failed());
             progress.out.set(false);
         }
         if must_be_asked && !progress.moved.get() {
--- a/crates/quillhub-server/src/discovery_return_tests.rs
+++ b/crates/quillhub-server/src/discovery_return_tests.rs
@@ -2,7 +2,7 @@
 //! time, real sockets.
 
 use super::*;
-use crate::stand_in::{Folder, answering, full, host_with, on_one_thread, plan};
+use crate::test_support::{Folder, answering, configuration, full, instance_with, on_one_thread};
 use quillhub_fakes::http::Served;
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
@@ -119,14 +119,14 @@
 }
 
 fn settings(must_be_asked: bool) -> Value {
-    let mut settings = plan()["settings"].clone();
+    let mut settings = configuration()["settings"].clone();
     settings["membershipMode"] = json!(if must_be_asked { "subscribe" } else { "automatic" });
     settings["rules"] = json!({"askEveryUs": 10_000_000});
     settings
 }
 
-async fn known(host: &RefCell<Host>) {
-    while host.borrow().endpoints.address("f").is_none() {
+async fn known(host: &RefCell<Instance>) {
+    while host.borrow().pool.address("f").is_none() {
         sleep(Duration::from_millis(10)).await;
     }
 }
@@ -138,11 +138,11 @@
         tokio::time::pause();
         let back = Instant::now() + down;
         let at = discovery(lost, back);
-        let host = host_with(seed, &settings(must_be_asked), &folder, "127.0.0.1:1".parse().unwrap());
+        let host = instance_with(seed, &settings(must_be_asked), &folder, "127.0.0.1:1".parse().unwrap());
         let (_at, seen) = watch::channel(at);
         let progress = Progress::new(Some(6).filter(|_| !whole));
         spawn_local(follow(host.clone(), seen, progress, must_be_asked));
-        host.borrow_mut().event(|_| ());
+        host.borrow_mut().handle_event(|_| ());
         timeout(down + 10 * COUNTS_AS_TOLD, known(&host)).await.expect("it is never known");
         back.elapsed()
     })
@@ -209,17 +209,17 @@
             tokio::time::pause();
             let watched = format!("{CHUNKED}{}", chunk(&format!("{LIST}\n"))).leak().as_bytes();
             let (at, mut asked) = answering(vec![watched; 2]).await;
-            let host = host_with(7, &settings(must_be_asked), &folder, "127.0.0.1:1".parse().unwrap());
+            let host = instance_with(7, &settings(must_be_asked), &folder, "127.0.0.1:1".parse().unwrap());
             let (_at, seen) = watch::channel(at);
             let (job, progress) = (host.clone(), Progress::new(Some(6)));
             crate::lasting(move || follow(job.clone(), seen.clone(), progress.clone(), must_be_asked));
-            host.borrow_mut().event(|_| ());
+            host.borrow_mut().handle_event(|_| ());
             asked.recv().await.unwrap();
             let held = host.borrow_mut(); // so that the list, which has come, cannot be told
             sleep(Duration::from_millis(10)).await;
             drop(held);
             let failed = Instant::now();
-            assert!(host.borrow().endpoints.address("f").is_none(), "it panicked before");
+            assert!(host.borrow().pool.address("f").is_none(), "it panicked before");
             timeout(COUNTS_AS_TOLD, known(&host)).await.expect("it is not asked again");
             assert!(failed.elapsed() < COUNTS_AS_TOLD);
         });
@@ -242,7 +242,7 @@
             tokio::time::pause();
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let at = listener.local_addr().unwrap();
-            let host = host_with(7, &settings(false), &folder, "127.0.0.1:1".parse().unwrap());
+            let host = instance_with(7, &settings(false), &folder, "127.0.0.1:1".parse().unwrap());
             let (_at, seen) = watch::channel(at);
             spawn_local(follow(host.clone(), seen, Progress::new(Some(6).filter(|_| !whole)), false));
             let mut stream = Served::new(listener.accept().await.unwrap().0);
--- a/crates/quillhub-server/src/discovery_tests.rs
+++ b/crates/quillhub-server/src/discovery_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::stand_in::{Folder, answering, host, on_one_thread};
+use crate::test_support::{Folder, answering, instance, on_one_thread};
 use serde_json::json;
 use tokio::task::spawn_local;
 
@@ -15,12 +15,12 @@
 fn ports(lists: &[Value]) -> [Option<u16>; 3] {
     let folder = Folder::new();
     on_one_thread(async {
-        let host = host(&folder, "127.0.0.1:1".parse().unwrap());
+        let host = instance(&folder, "127.0.0.1:1".parse().unwrap());
         let mut host = host.borrow_mut();
         for list in lists {
             assert_eq!(tell(&mut host, list, true), Ok(41));
         }
-        ["e", "f", "g"].map(|name| host.endpoints.address(name).map(|at| at.port()))
+        ["e", "f", "g"].map(|name| host.pool.address(name).map(|at| at.port()))
     })
 }
 
@@ -37,7 +37,7 @@
 fn a_list_that_cannot_be_read_changes_nothing() {
     let folder = Folder::new();
     on_one_thread(async {
-        let host = host(&folder, "127.0.0.1:1".parse().unwrap());
+        let host = instance(&folder, "127.0.0.1:1".parse().unwrap());
         for bad in [
             json!([]),
             json!({"revision": 1}),
@@ -48,7 +48,7 @@
         ] {
             let told = tell(&mut host.borrow_mut(), &bad, true).unwrap_err();
             assert!(!told.contains('\n'), "{told}");
-            let known = ["e", "f"].map(|name| host.borrow().endpoints.address(name).is_some());
+            let known = ["e", "f"].map(|name| host.borrow().pool.address(name).is_some());
             assert_eq!(known, [true, false], "{bad}");
         }
     });
@@ -62,10 +62,10 @@
             1f\r\n{\"revision\":7,\"complete\":true,\"\r\n10\r\nmembers\":[]}\n{\"r\r\n\
             26\r\nevision\":8,\"members\":[],\"more\":[null]}\r\n1\r\n\n\r\n0\r\n\r\n";
         let (at, mut told) = answering(vec![answer]).await;
-        let host = host(&folder, at);
+        let host = instance(&folder, at);
         let revision = Cell::new(Some(6));
         assert!(matches!(one_watch(&host, at, &revision).await, Err(Broken::Ended)));
-        assert_eq!((revision.get(), host.borrow().endpoints.address("e")), (Some(8), None));
+        assert_eq!((revision.get(), host.borrow().pool.address("e")), (Some(8), None));
         let call = told.recv().await.unwrap();
         assert!(call.starts_with("GET /registry/instances?watch=1&after=6 HTTP/1.1\r\n"), "{call}");
     });
@@ -80,14 +80,14 @@
             \"members\":[{\"id\":\"f\",\"host_port\":\"127.0.0.1:2\",\"cell\":9,\"phase\":\"up\"}]}";
         let (old, mut asked_old) = answering(vec![watched]).await;
         let (new, mut asked_new) = answering(vec![listed, watched]).await;
-        let host = host(&folder, old);
+        let host = instance(&folder, old);
         let (at, seen) = watch::channel(old);
         spawn_local(follow(host.clone(), seen, Progress::new(Some(6)), false));
         assert!(asked_old.recv().await.unwrap().contains("after=6 "));
         at.send_replace(new);
         assert!(asked_new.recv().await.unwrap().starts_with("GET /registry/instances HTTP/1.1\r\n"));
         assert!(asked_new.recv().await.unwrap().starts_with("GET /registry/instances?watch=1&after=2 "));
-        let known = ["e", "f"].map(|name| host.borrow().endpoints.address(name).is_some());
+        let known = ["e", "f"].map(|name| host.borrow().pool.address(name).is_some());
         assert_eq!(known, [false, true]);
     });
 }
@@ -103,10 +103,10 @@
         }
         answer += if ends { "0\r\n\r\n" } else { "" };
         let (at, _told) = answering(vec![answer.leak().as_bytes()]).await;
-        let host = host(&folder, at);
+        let host = instance(&folder, at);
         let revision = Cell::new(Some(6));
         let ended = one_watch(&host, at, &revision).await;
-        let known = ["e", "f"].map(|name| host.borrow().endpoints.address(name).is_some());
+        let known = ["e", "f"].map(|name| host.borrow().pool.address(name).is_some());
         (ended, revision.get(), known)
     })
 }
@@ -160,7 +160,7 @@
             tokio::time::pause();
             let (at, mut told) = answering(vec![answer; 4]).await;
             let (_at, seen) = watch::channel(at);
-            spawn_local(follow(host(&folder, at), seen, Progress::new(Some(6)), false));
+            spawn_local(follow(instance(&folder, at), seen, Progress::new(Some(6)), false));
             told.recv().await.unwrap();
             let first = Instant::now();
             for nth in 1..4 {
--- a/crates/quillhub-server/src/lib.rs
+++ b/crates/quillhub-server/src/lib.rs
@@ -6,24 +6,24 @@
 pub mod command;
 mod configuration;
 mod discovery;
-mod endpoints;
-mod finals;
-mod host;
 pub mod http;
+mod instance;
 pub mod link;
+mod outcomes;
 mod partial;
 mod peers;
+mod pool;
 pub mod resp;
 #[cfg(test)]
-mod stand_in;
+mod test_support;
 mod wal;
 
 pub use discovery::MOST_LINE;
 
 use clients::Phase;
-use endpoints::Endpoints;
-use host::Host;
+use instance::Instance;
 use peers::Peers;
+use pool::ConnectionPool;
 use quillhub_settings::At;
 use serde_json::Value;
 use std::cell::RefCell;
@@ -130,10 +130,10 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(), String> {
     let told = |what: &'static str| move |error: std::io::Error| format!("{what}: {error}");
-    let (courier, reports) = configuration::courier(top)?;
+    let (dispatcher, reports) = configuration::courier(top)?;
     let listen = configuration::listen(top)?;
     let (folder, sockets) = configuration::bounds(top)?;
-    let (connecting, idle_close) = configuration::connections(top)?;
+    let (connect_timeout, idle_timeout) = configuration::connections(top)?;
     let must_be_asked = configuration::must_be_asked(top)?;
     let peers = match configuration::notes(top)? {
         Some((listen, all, own)) => {
@@ -142,34 +142,36 @@
         }
         None => None,
     };
-    let (wal, owed) = Wal::open(state, folder).map_err(told("the lasting folder cannot be used"))?;
+    let (wal, recovered) = Wal::open(state, folder).map_err(told("the lasting folder cannot be used"))?;
     let free = sockets.saturating_sub(OTHER_SOCKETS);
-    let endpoints = Endpoints::new(idle_close, free / IDLE);
-    let host = Host::new(courier, wal, endpoints, connecting, peers.clone(), reports);
+    let pool = ConnectionPool::new(idle_timeout, free / IDLE);
+    let instance = Instance::new(dispatcher, wal, pool, connect_timeout, peers.clone(), reports);
     let connections = (free / CLIENTS).max(1);
-    host.borrow_mut().bound_connections(free - free / CLIENTS);
+    instance.borrow_mut().limit_connections(free - free / CLIENTS);
     let revision = match top.get("known") {
-        Some(known) => Some(discovery::tell(&mut host.borrow_mut(), known.value, false)?),
+        Some(known) => Some(discovery::tell(&mut instance.borrow_mut(), known.value, false)?),
         None => None,
     };
-    let (at, platform) = (host.clone(), discovery.clone());
-    lasting(move || finals::flush(at.clone(), platform.clone()));
-    let (at, progress) = (host.clone(), discovery::Progress::new(revision));
-    let heard = host.borrow().discovery_heard.clone();
+    let (at, platform) = (instance.clone(), discovery.clone());
+    lasting(move || outcomes::flush(at.clone(), platform.clone()));
+    let (at, progress) = (instance.clone(), discovery::Progress::new(revision));
+    let heard = instance.borrow().discovery_responded.clone();
     lasting(move || discovery::follow(at.clone(), discovery.clone(), progress.clone(), must_be_asked));
     // Against calls by the list that the last process had: what discovery has now counts as told from the first
     // moment on, and what is owed goes at once. Delays a start while discovery is silent.
-    host.borrow_mut().event(|_| ());
+    instance.borrow_mut().handle_event(|_| ());
     let _ = timeout(FIRST_WORD, heard.notified()).await;
-    host.borrow_mut().take_back(owed);
+    instance.borrow_mut().recover(recovered);
     if let Some(peers) = peers {
-        let at = host.clone();
+        let at = instance.clone();
         lasting(move || {
-            let host = at.clone();
-            peers.clone().hear(move |note| host.borrow_mut().event(|courier| courier.gossip_received(note)))
+            let instance = at.clone();
+            peers.clone().hear(move |note| {
+                instance.borrow_mut().handle_event(|dispatcher| dispatcher.gossip_received(note))
+            })
         });
     }
-    let at = host.clone();
+    let at = instance.clone();
     lasting(move || sweep(at.clone()));
     let listener = TcpListener::bind(listen).await.map_err(told("the address cannot be listened on"))?;
     tracing::info!(%listen, "serving");
@@ -177,7 +179,7 @@
     let (phase, seen) = watch::channel(Phase::Serving);
     let places = Arc::new(Semaphore::new(connections));
     let admission = clients::Admission::new(seen, places.clone());
-    let (at, listener) = (host.clone(), Rc::new(listener));
+    let (at, listener) = (instance.clone(), Rc::new(listener));
     lasting(move || clients::accept(at.clone(), listener.clone(), admission.clone()));
     stop.await;
     tracing::info!("stopping");
@@ -187,19 +189,19 @@
     phase.send_replace(Phase::Closing);
     // What is held is worked on, then calls may end, then final answers may go; each for its time.
     let free = || places.available_permits() == connections;
-    until(sign + DECIDES, || host.borrow().at_rest() && free()).await;
-    host.borrow_mut().close();
-    until(sign + CALLS, || host.borrow().calls == 0).await;
+    until(sign + DECIDES, || instance.borrow().is_idle() && free()).await;
+    instance.borrow_mut().stop_deciding();
+    until(sign + CALLS, || instance.borrow().attempts_in_flight == 0).await;
     // A connection in the midst of a command has until then, too: the time of a command is over before.
-    until(sign + FLUSHES, || host.borrow().finals.is_empty() && free()).await;
+    until(sign + FLUSHES, || instance.borrow().outcomes.is_empty() && free()).await;
     tracing::info!("stopped");
     Ok(())
 }
 
-async fn sweep(host: Rc<RefCell<Host>>) {
+async fn sweep(instance: Rc<RefCell<Instance>>) {
     loop {
         sleep(SWEEP).await;
-        host.borrow_mut().endpoints.sweep();
+        instance.borrow_mut().pool.close_expired();
     }
 }
 
--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::stand_in::{Folder, OK, answering, on_one_thread, plan};
-use crate::wal::Owed;
+use crate::test_support::{Folder, OK, answering, configuration, on_one_thread};
+use crate::wal::RecoveredMessage;
 use quillhub_fakes::clients::command;
 use serde_json::{Value, json};
 use std::future::pending;
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_told_in_one_line() {
+fn an_unusable_configuration_is_reported_in_one_line() {
     for (name, value, told) in [
         ("listen", json!("here"), "an address as settings' listen"),
         ("listen", Value::Null, "found none"),
@@ -21,29 +21,30 @@
         ("settings", json!({"classes": [{"name": "g"}]}), "effect"),
         ("known", json!({"revision": 1, "members": [{"id": "e"}]}), "host_port"),
     ] {
-        let mut plan = plan();
-        plan[name] = value;
-        let trouble = check(&plan.to_string()).unwrap_err();
+        let mut settings = configuration();
+        settings[name] = value;
+        let trouble = check(&settings.to_string()).unwrap_err();
         assert!(trouble.contains(told) && !trouble.contains('\n'), "{trouble}");
     }
     assert!(check("{").is_err());
-    assert_eq!(check(&plan().to_string()), Ok(()));
+    assert_eq!(check(&configuration().to_string()), Ok(()));
 }
 
 #[test]
-fn a_courier_with_nothing_owed_stops_when_it_is_told_to() {
+fn an_idle_instance_stops_on_request() {
     let folder = Folder::new();
-    let ran = on_one_thread(serve(&plan().to_string(), &folder.0, async {}, pending));
+    let ran = on_one_thread(serve(&configuration().to_string(), &folder.0, async {}, pending));
     assert_eq!(ran, Ok(()));
     let missing = folder.0.join("missing");
-    let trouble = on_one_thread(serve(&plan().to_string(), &missing, async {}, pending)).unwrap_err();
+    let trouble =
+        on_one_thread(serve(&configuration().to_string(), &missing, async {}, pending)).unwrap_err();
     assert!(trouble.starts_with("the lasting folder cannot be used"), "{trouble}");
 }
 
 #[test]
-fn a_new_configuration_moves_discovery_and_one_that_cannot_be_used_changes_nothing() {
-    let started_with = plan();
-    let (mut lame, mut moved) = (plan(), plan());
+fn a_reload_moves_discovery_and_an_unusable_configuration_changes_nothing() {
+    let started_with = configuration();
+    let (mut lame, mut moved) = (configuration(), configuration());
     lame["discovery"] = json!("127.0.0.1:2");
     lame["seed"] = json!("x");
     moved["discovery"] = json!("127.0.0.1:3");
@@ -70,12 +71,17 @@
 
 /// What discovery has counts as told from the first moment of a new process on.
 #[test]
-fn what_is_owed_goes_by_the_list_that_discovery_has_when_the_process_starts() {
+fn recovered_messages_go_by_discoverys_list_at_startup() {
     let folder = Folder::new();
     let (mut wal, _) = Wal::open(&folder.0, 1 << 20).unwrap();
     let limit = Some(SystemTime::now() + Duration::from_secs(9));
-    let owed = Owed { grade: "once".into(), destination: 9, limit, ..Owed::default() };
-    wal.taken(1, &wal::taken(&owed)).unwrap();
+    let owed = RecoveredMessage {
+        service_class: "once".into(),
+        destination: 9,
+        deadline: limit,
+        ..RecoveredMessage::default()
+    };
+    wal.accepted(1, &wal::accepted_payload(&owed)).unwrap();
     drop(wal);
     on_one_thread(async {
         tokio::time::pause();
@@ -87,10 +93,10 @@
         let told =
             format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\r\n", list.len());
         let (discovery, _asked) = answering(vec![told.leak().as_bytes()]).await;
-        let mut plan = plan();
-        plan["discovery"] = json!(discovery.to_string());
-        plan["known"] = json!({"revision": 1, "complete": true, "members": [member("e", old, "up")]});
-        let text = plan.to_string();
+        let mut settings = configuration();
+        settings["discovery"] = json!(discovery.to_string());
+        settings["known"] = json!({"revision": 1, "complete": true, "members": [member("e", old, "up")]});
+        let text = settings.to_string();
         tokio::select! {
             ran = serve(&text, &folder.0, pending(), pending) => panic!("{ran:?}"),
             _ = told_old.recv() => panic!("sent to the endpoint that drains"),
@@ -101,15 +107,15 @@
 
 /// A command that has begun when the process is told to stop is owed its answer, and what it hands in its end.
 #[test]
-fn a_command_that_ends_late_in_the_stop_is_answered_and_left_to_the_next_process() {
+fn a_command_completed_late_in_a_shutdown_is_answered_and_its_message_left_to_the_next_process() {
     let folder = Folder::new();
     on_one_thread(async {
         tokio::time::pause();
         let listen = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        let mut plan = plan();
-        plan["listen"] = json!(listen.to_string());
+        let mut settings = configuration();
+        settings["listen"] = json!(listen.to_string());
         let (stop, stopped) = oneshot::channel();
-        let (text, path) = (plan.to_string(), folder.0.clone());
+        let (text, path) = (settings.to_string(), folder.0.clone());
         let stop_told = async { drop(stopped.await) };
         let ran = spawn_local(async move { serve(&text, &path, stop_told, pending).await });
         let mut client = loop {
--- a/crates/quillhub-server/src/finals_tests.rs
+++ b/crates/quillhub-server/src/outcomes_tests.rs
@@ -1,13 +1,13 @@
 use super::*;
-use crate::stand_in::{Folder, answering, host, on_one_thread};
+use crate::test_support::{Folder, answering, instance, on_one_thread};
 use tokio::task::spawn_local;
 
-fn end(id: u64, reference: &str, denied: bool, come_back: Option<Duration>) -> Final {
-    Final { id, reference: reference.as_bytes().into(), denied, come_back }
+fn end(id: u64, reference: &str, rejected: bool, retry_after: Option<Duration>) -> FinalOutcome {
+    FinalOutcome { id, client_id: reference.as_bytes().into(), rejected, retry_after }
 }
 
 #[test]
-fn each_kind_of_final_answer_has_its_line() {
+fn each_kind_of_final_outcome_has_its_line() {
     let wait = Some(Duration::from_millis(500));
     assert_eq!(line(&end(1, "ab", false, wait)), "{\"ref\":\"ab\",\"result\":\"dead\"}\n");
     assert_eq!(line(&end(1, "ab", true, None)), "{\"ref\":\"ab\",\"result\":\"bounced\"}\n");
@@ -18,17 +18,17 @@
 }
 
 #[test]
-fn final_answers_are_sent_until_they_are_confirmed_and_one_that_cannot_be_read_holds_up_none() {
+fn outcomes_are_resent_until_confirmed_and_an_unreadable_one_blocks_no_other() {
     let folder = Folder::new();
     on_one_thread(async {
         let no = b"HTTP/1.1 400 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
         let yes = b"HTTP/1.1 204 x\r\nConnection: close\r\n\r\n";
         let down = b"HTTP/1.1 500 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
         let (at, mut told) = answering(vec![b"", down, no, no, yes]).await;
-        let host = host(&folder, at);
-        host.borrow_mut().finals.extend([end(1, "a", false, None), end(2, "b", false, None)]);
+        let instance = instance(&folder, at);
+        instance.borrow_mut().outcomes.extend([end(1, "a", false, None), end(2, "b", false, None)]);
         let (_platform, seen) = watch::channel(at);
-        spawn_local(flush(host.clone(), seen));
+        spawn_local(flush(instance.clone(), seen));
         let mut refs = Vec::new();
         for _ in 0..5 {
             let call = told.recv().await.unwrap();
@@ -36,26 +36,26 @@
         }
         let (both, first, second) = ([true, true], [true, false], [false, true]);
         assert_eq!(refs, [both, both, both, first, second]);
-        while !host.borrow().finals.is_empty() {
+        while !instance.borrow().outcomes.is_empty() {
             tokio::task::yield_now().await;
         }
     });
 }
 
 #[test]
-fn what_the_platform_has_not_confirmed_goes_to_its_new_address() {
+fn unconfirmed_outcomes_go_to_the_platforms_new_address() {
     let folder = Folder::new();
     on_one_thread(async {
         let (old, mut told_old) = answering(vec![b"HTTP/1.1 100 Continue\r\n\r\n"]).await;
         let (new, mut told_new) = answering(vec![b"HTTP/1.1 204 x\r\n\r\n"]).await;
-        let host = host(&folder, old);
-        host.borrow_mut().finals.push_back(end(1, "a", false, None));
+        let instance = instance(&folder, old);
+        instance.borrow_mut().outcomes.push_back(end(1, "a", false, None));
         let (at, seen) = watch::channel(old);
-        spawn_local(flush(host.clone(), seen));
+        spawn_local(flush(instance.clone(), seen));
         assert!(told_old.recv().await.unwrap().contains("\"a\""));
         at.send_replace(new);
         assert!(told_new.recv().await.unwrap().contains("\"a\""));
-        while !host.borrow().finals.is_empty() {
+        while !instance.borrow().outcomes.is_empty() {
             tokio::task::yield_now().await;
         }
     });
@@ -63,7 +63,7 @@
 
 /// An answer has to be there 300 ms after its notice's time, also where the connection kept has fallen silent.
 #[test]
-fn a_platform_that_says_nothing_is_told_again_soon_on_a_new_connection_and_then_less_often() {
+fn a_silent_platform_is_retried_soon_on_a_new_connection_and_then_with_backoff() {
     let folder = Folder::new();
     on_one_thread(async {
         tokio::time::pause();
@@ -71,10 +71,10 @@
         let confirmed = b"HTTP/1.1 204 x\r\nConnection: close\r\n\r\n";
         let answers = [vec![silence; 6], vec![confirmed], vec![silence; 2]].concat();
         let (at, mut told) = answering(answers).await;
-        let host = host(&folder, at);
-        host.borrow_mut().finals.push_back(end(1, "a", false, None));
+        let instance = instance(&folder, at);
+        instance.borrow_mut().outcomes.push_back(end(1, "a", false, None));
         let (_platform, seen) = watch::channel(at);
-        spawn_local(flush(host.clone(), seen));
+        spawn_local(flush(instance.clone(), seen));
         let mut last = tokio::time::Instant::now();
         let mut gap = async || {
             told.recv().await.unwrap();
@@ -86,11 +86,11 @@
             let gap = gap().await;
             assert!((wanted..wanted + 5).contains(&gap), "{gap} ms, not {wanted}");
         }
-        while !host.borrow().finals.is_empty() {
+        while !instance.borrow().outcomes.is_empty() {
             tokio::task::yield_now().await;
         }
-        host.borrow_mut().finals.push_back(end(2, "b", false, None));
-        host.borrow().finals_wait.notify_one();
+        instance.borrow_mut().outcomes.push_back(end(2, "b", false, None));
+        instance.borrow().outcome_waits.notify_one();
         gap().await;
         assert!((100..105).contains(&gap().await), "once one is confirmed it is soon again");
     });
--- a/crates/quillhub-server/src/peers_tests.rs
+++ b/crates/quillhub-server/src/peers_tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn notes_of_any_length_up_to_the_bound_are_sent_and_longer_ones_are_not() {
-    crate::stand_in::on_one_thread(async {
+    crate::test_support::on_one_thread(async {
         let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let listen = "127.0.0.1:0".parse().unwrap();
         let peers = Peers::open(listen, other.local_addr().unwrap(), None).await.unwrap();
--- a/crates/quillhub-server/src/endpoints_tests.rs
+++ b/crates/quillhub-server/src/pool_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::stand_in::{LONG, OK, answering, on_one_thread};
+use crate::test_support::{LONG, OK, answering, on_one_thread};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn each_answer_has_its_outcome() {
+fn each_response_has_its_outcome() {
     let wait = Some(Duration::from_millis(1500));
     for (answer, outcome, over, kept) in [
         (OK, AttemptOutcome::Delivered, true, true),
@@ -74,7 +74,7 @@
 
 /// The fleet's calm day: 46,139 of 46,401 refusals were a full table's, and passed for a limit's.
 #[test]
-fn only_a_new_connection_turned_away_without_a_report_met_a_full_table() {
+fn only_a_rejection_of_a_new_connection_without_a_load_report_is_a_connection_limit() {
     let bare = &b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"[..];
     let reporting = &b"HTTP/1.1 503 x\r\nX-Load: x0=0,x1=9\r\nContent-Length: 0\r\n\r\n"[..];
     let waiting = &b"HTTP/1.1 503 x\r\nX-Backoff-Ms: 9\r\nContent-Length: 0\r\n\r\n"[..];
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_proves_nothing_but_a_first_line_with_200_and_holds_its_call_no_longer() {
+fn a_corrupted_response_proves_nothing_but_a_200_status_line_and_does_not_prolong_its_attempt() {
     let wait = Some(Duration::from_millis(1500));
     for (answer, outcome, over) in [
         (&b"HTTP/1.1 200 OK\r\nCont\0ent: \xff"[..], AttemptOutcome::Delivered, true),
@@ -145,31 +145,32 @@
 }
 
 #[test]
-fn a_call_without_an_answer_says_how_far_it_came() {
+fn an_attempt_without_a_response_says_how_far_it_came() {
     on_one_thread(async {
         let short = Duration::from_millis(20);
         let closed = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         assert!(matches!(
             call(None, closed, LONG, LONG, |_| b"x".to_vec(), || true).await.0,
-            Err(Failed::Unready)
+            Err(CallError::ConnectFailed)
         ));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let silent = listener.local_addr().unwrap();
         let open = async || Some(Link::open(silent).await.unwrap());
         assert!(matches!(
             call(open().await, silent, LONG, short, |_| b"x".to_vec(), || true).await.0,
-            Err(Failed::Silent)
+            Err(CallError::TimedOut)
         ));
         // More than the buffers between hold: the last byte is never out.
         let endless = vec![b'x'; 64 << 20];
         assert!(matches!(
             call(open().await, silent, LONG, short, |_| endless.clone(), || true).await.0,
-            Err(Failed::Unready)
+            Err(CallError::ConnectFailed)
         ));
         let (end, link) = call(None, silent, LONG, LONG, |_| b"x".to_vec(), || false).await;
-        assert!(matches!(end, Err(Failed::Here)) && link.is_some());
-        let ends = [Failed::Here, Failed::Unready, Failed::Broken, Failed::Silent]
-            .map(|end| outcome(&Err(end), true).0);
+        assert!(matches!(end, Err(CallError::NotSent)) && link.is_some());
+        let ends =
+            [CallError::NotSent, CallError::ConnectFailed, CallError::ConnectionReset, CallError::TimedOut]
+                .map(|end| outcome(&Err(end), true).0);
         let meant = [
             AttemptOutcome::NotSent,
             AttemptOutcome::ConnectFailed,
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn a_report_is_taken_where_both_values_are_told() {
+fn a_load_report_is_read_where_both_values_are_present() {
     assert_eq!(load_report("x0=0.4,x1=25"), Some(LoadReport { remaining_share: 0.4, rate_limit: 25.0 }));
     assert_eq!(
         load_report("other=1, x1=0 ,x0=1"),
@@ -195,61 +196,57 @@
 }
 
 #[test]
-fn a_kept_connection_is_used_until_it_ends_goes_or_is_too_old() {
+fn a_pooled_connection_is_reused_until_it_closes_is_dropped_or_expires() {
     on_one_thread(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
-        let mut endpoints = Endpoints::new(LONG, 2);
-        endpoints.listed("e", at);
-        endpoints.put("e", Link::open(at).await.unwrap());
-        assert!(endpoints.take("e").is_some() && endpoints.take("e").is_none());
+        let mut pool = ConnectionPool::new(LONG, 2);
+        pool.listed("e", at);
+        pool.put_back("e", Link::open(at).await.unwrap());
+        assert!(pool.take("e").is_some() && pool.take("e").is_none());
 
-        endpoints.put("e", Link::open(at).await.unwrap());
-        endpoints.hang_up("e");
-        assert!(endpoints.take("e").is_none());
+        pool.put_back("e", Link::open(at).await.unwrap());
+        pool.close_idle("e");
+        assert!(pool.take("e").is_none());
 
         for _ in 0..3 {
-            endpoints.put("e", Link::open(at).await.unwrap());
+            pool.put_back("e", Link::open(at).await.unwrap());
         }
-        assert_eq!(endpoints.idle["e"].len(), 2);
-        endpoints.listed("e", "127.0.0.1:1".parse().unwrap());
-        assert!(endpoints.take("e").is_none());
+        assert_eq!(pool.idle["e"].len(), 2);
+        pool.listed("e", "127.0.0.1:1".parse().unwrap());
+        assert!(pool.take("e").is_none());
 
-        endpoints.put("gone", Link::open(at).await.unwrap());
-        assert!(!endpoints.idle.contains_key("gone"));
+        pool.put_back("gone", Link::open(at).await.unwrap());
+        assert!(!pool.idle.contains_key("gone"));
 
-        let mut brief = Endpoints::new(Duration::ZERO, 2);
+        let mut brief = ConnectionPool::new(Duration::ZERO, 2);
         brief.listed("e", at);
-        brief.put("e", Link::open(at).await.unwrap());
+        brief.put_back("e", Link::open(at).await.unwrap());
         assert!(brief.take("e").is_none());
     });
 }
 
 /// The runtime learns only at its next wait of what came; the system has it at once.
 #[test]
-fn a_kept_connection_that_ended_or_brought_something_since_the_last_wait_is_not_used() {
+fn a_pooled_connection_that_closed_or_received_octets_since_the_last_wait_is_not_reused() {
     on_one_thread(async {
         for stray in [&b""[..], b"HTTP/1.1 40"] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let at = listener.local_addr().unwrap();
-            let mut endpoints = Endpoints::new(LONG, 2);
-            endpoints.listed("e", at);
-            endpoints.put("e", Link::open(at).await.unwrap());
+            let mut pool = ConnectionPool::new(LONG, 2);
+            pool.listed("e", at);
+            pool.put_back("e", Link::open(at).await.unwrap());
             let mut peer = listener.accept().await.unwrap().0.into_std().unwrap();
             // From here on nothing waits.
             std::io::Write::write_all(&mut peer, stray).unwrap();
             let peer = Some(peer).filter(|_| !stray.is_empty());
-            assert!(
-                endpoints.take("e").is_none(),
-                "{}",
-                if peer.is_some() { "half a line" } else { "its end" }
-            );
+            assert!(pool.take("e").is_none(), "{}", if peer.is_some() { "half a line" } else { "its end" });
         }
     });
 }
 
 #[test]
-fn a_kept_connection_that_is_dead_or_brings_a_late_copy_costs_no_call() {
+fn a_pooled_connection_that_is_dead_or_receives_a_late_duplicate_costs_no_attempt() {
     on_one_thread(async {
         for stray in [&b""[..], b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -271,15 +268,15 @@
             });
             let (end, link) = call(Some(kept), at, LONG, LONG, |_| b"xyz".to_vec(), || true).await;
             // The new connection is refused, as nobody listens any more: so nothing has run.
-            assert!(matches!(end, Err(Failed::Unready)) && link.is_none());
+            assert!(matches!(end, Err(CallError::ConnectFailed)) && link.is_none());
             assert!(!peer.await.unwrap().ends_with(b"z"), "the last byte never came");
         }
     });
 }
 
-/// How a call with a patience of 100 ms ends, and when, on a clock that moves only in steps: once its last byte
+/// How a call with a attempt_timeout of 100 ms ends, and when, on a clock that moves only in steps: once its last byte
 /// has come, its endpoint writes each of `pieces` and lets the clock go on by `step`.
-fn on_a_stepped_clock(pieces: &[&[u8]], step: Duration) -> (Result<Answer, Failed>, Duration) {
+fn on_a_stepped_clock(pieces: &[&[u8]], step: Duration) -> (Result<Response, CallError>, Duration) {
     on_one_thread(async {
         tokio::time::pause();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -296,44 +293,44 @@
             std::future::pending::<()>().await;
         });
         let started = tokio::time::Instant::now();
-        let patience = Duration::from_millis(100);
-        let (end, link) = call(None, at, LONG, patience, |_| b"xyz".to_vec(), || true).await;
+        let attempt_timeout = Duration::from_millis(100);
+        let (end, link) = call(None, at, LONG, attempt_timeout, |_| b"xyz".to_vec(), || true).await;
         assert!(link.is_none());
         (end, started.elapsed())
     })
 }
 
-/// ostend-quay, roll+brink: `call ended ... outcome=Handled took=2.488018365s` for `patience=2.487269528s`, and
+/// ostend-quay, roll+brink: `call ended ... outcome=Handled took=2.488018365s` for `attempt_timeout=2.487269528s`, and
 /// the notice was lost, as its endpoint had given the call up by then.
 #[test]
-fn an_answer_that_is_read_after_the_time_that_was_told_is_none() {
+fn a_response_read_after_the_announced_deadline_counts_as_timed_out() {
     let whole = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     let (end, _) = on_a_stepped_clock(&[whole], Duration::from_millis(101));
-    assert!(matches!(end, Err(Failed::Silent)), "{end:?}");
+    assert!(matches!(end, Err(CallError::TimedOut)), "{end:?}");
     let (end, _) = on_a_stepped_clock(&[b"HTTP/1.1 ", b"200 OK\r\n\r\n"], Duration::from_millis(40));
-    assert!(matches!(end, Ok(Answer { status: 200, .. })), "{end:?}");
+    assert!(matches!(end, Ok(Response { status: 200, .. })), "{end:?}");
 }
 
 #[test]
-fn an_answer_that_begins_in_time_and_does_not_end_holds_its_call_no_longer_than_was_told() {
-    let patience = Duration::from_millis(100);
+fn a_response_that_begins_in_time_and_never_ends_holds_its_attempt_no_longer_than_the_deadline() {
+    let attempt_timeout = Duration::from_millis(100);
     let interim = b"HTTP/1.1 100 x\r\n\r\n";
     let (begun, endless): (&[&[u8]], _) = (&[b"HTTP/1.1 2"], vec![&interim[..]; 400]);
     for (pieces, step) in
         [(begun, 1), (&[&interim[..]], 1), (&[&b"HTTP/1.1 100 x\r\nA: "[..]], 1), (&endless, 1)]
     {
         let (end, took) = on_a_stepped_clock(pieces, Duration::from_millis(step));
-        assert!(matches!(end, Err(Failed::Silent | Failed::Broken)), "{end:?}");
-        assert!(took <= patience + Duration::from_millis(2), "{took:?}");
+        assert!(matches!(end, Err(CallError::TimedOut | CallError::ConnectionReset)), "{end:?}");
+        assert!(took <= attempt_timeout + Duration::from_millis(2), "{took:?}");
     }
     let (end, took) = on_a_stepped_clock(&[b"HTTP/1.1 503 x\r\nA: "], Duration::from_millis(1));
-    assert!(matches!(end, Ok(Answer { status: 503, whole: false, .. })), "{end:?}");
-    assert!(took <= patience + Duration::from_millis(2), "{took:?}");
+    assert!(matches!(end, Ok(Response { status: 503, complete: false, .. })), "{end:?}");
+    assert!(took <= attempt_timeout + Duration::from_millis(2), "{took:?}");
 }
 
 /// A connection may take longer to come up than its call then has left.
 #[test]
-fn an_endpoint_is_told_how_long_its_call_still_waits_when_it_goes() {
+fn the_deadline_header_is_the_time_left_when_the_request_is_sent() {
     on_one_thread(async {
         tokio::time::pause();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -350,7 +347,7 @@
         });
         let request = |told: Duration| format!("told {}", told.as_millis()).into_bytes();
         let (end, _) = call(Some(kept), at, LONG, Duration::from_millis(100), request, || true).await;
-        assert!(matches!(end, Err(Failed::Silent)), "{end:?}");
+        assert!(matches!(end, Err(CallError::TimedOut)), "{end:?}");
         let told: u64 = peer.await.unwrap()["told ".len()..].parse().unwrap();
         assert!((95..=98).contains(&told), "{told} ms");
     });
--- a/crates/quillhub-server/src/stand_in.rs
+++ b/crates/quillhub-server/src/test_support.rs
@@ -1,7 +1,7 @@
-//! Helpers of the tests: a configuration, and a host on it.
+//! Helpers of the tests: a configuration, and a instance on it.
 
-use crate::endpoints::Endpoints;
-use crate::host::Host;
+use crate::instance::Instance;
+use crate::pool::ConnectionPool;
 use crate::wal::Wal;
 use quillhub::{EndpointState, EndpointUpdate};
 pub use quillhub_fakes::scratch::{Folder, on_one_thread};
@@ -15,7 +15,7 @@
 pub const LONG: Duration = Duration::from_secs(60);
 
 /// A configuration for a courier with a lasting folder of 1 MB; all its addresses are picked by the system.
-pub fn plan() -> Value {
+pub fn configuration() -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
         "limits": {"sockets": 256, "disk_mb": 1},
         "settings": {"familyInfo": {"maxCalls": 4}, "limits": {"mostTries": 5, "maxOpen": 9}, "classes": [
@@ -24,20 +24,20 @@
             {"name": "marked", "effect": "guarded", "memorySpanUs": 3000000, "aimUs": 1000000, "giveUpUs": 9000000}]}})
 }
 
-/// A host on `folder` with destination 9 at `at`, which has taken back what the folder held.
-pub fn host(folder: &Folder, at: SocketAddr) -> Rc<RefCell<Host>> {
-    host_with(7, &plan()["settings"], folder, at)
+/// A instance on `folder` with destination 9 at `at`, which has taken back what the folder held.
+pub fn instance(folder: &Folder, at: SocketAddr) -> Rc<RefCell<Instance>> {
+    instance_with(7, &configuration()["settings"], folder, at)
 }
 
 /// The same with another seed and other settings.
-pub fn host_with(seed: u64, settings: &Value, folder: &Folder, at: SocketAddr) -> Rc<RefCell<Host>> {
-    let (courier, _) = quillhub_settings::read(seed, settings).unwrap();
-    let (wal, owed) = Wal::open(&folder.0, 1 << 20).unwrap();
-    let host = Host::new(courier, wal, Endpoints::new(LONG, 8), LONG, None, false);
-    let mut new = host.borrow_mut();
-    new.endpoints.listed("e", at);
-    new.event(|courier| {
-        courier.endpoint_updated(EndpointUpdate {
+pub fn instance_with(seed: u64, settings: &Value, folder: &Folder, at: SocketAddr) -> Rc<RefCell<Instance>> {
+    let (dispatcher, _) = quillhub_settings::read(seed, settings).unwrap();
+    let (wal, recovered) = Wal::open(&folder.0, 1 << 20).unwrap();
+    let instance = Instance::new(dispatcher, wal, ConnectionPool::new(LONG, 8), LONG, None, false);
+    let mut new = instance.borrow_mut();
+    new.pool.listed("e", at);
+    new.handle_event(|dispatcher| {
+        dispatcher.endpoint_updated(EndpointUpdate {
             name: "e",
             zone: "",
             kind: "",
@@ -45,9 +45,9 @@
             state: EndpointState::Available,
             listed_rate: None,
         });
-        courier.endpoint_list_ended(None, false);
+        dispatcher.endpoint_list_ended(None, false);
     });
-    new.take_back(owed);
+    new.recover(recovered);
     drop(new);
-    host
+    instance
 }
--- a/crates/quillhub-server/src/wal_format_tests.rs
+++ b/crates/quillhub-server/src/wal_format_tests.rs
@@ -3,7 +3,7 @@
 //! left behind.
 
 use super::*;
-use crate::stand_in::Folder;
+use crate::test_support::Folder;
 
 /// Bytes that the directories of these tests may hold.
 const BUDGET: u64 = 1 << 20;
@@ -21,19 +21,19 @@
 }
 
 /// A message without ordering key and idempotency key.
-fn message(class: &str, request: &str, body: &[u8]) -> Owed {
-    Owed {
-        grade: class.into(),
+fn message(class: &str, request: &str, body: &[u8]) -> RecoveredMessage {
+    RecoveredMessage {
+        service_class: class.into(),
         destination: 9,
-        limit: Some(moment(YEAR_2100)),
-        reference: request.into(),
+        deadline: Some(from_millis(YEAR_2100)),
+        client_id: request.into(),
         body: body.into(),
-        ..Owed::default()
+        ..RecoveredMessage::default()
     }
 }
 
-fn with_key(message: Owed, key: &str) -> Owed {
-    Owed { mark: Some(key.into()), ..message }
+fn with_key(message: RecoveredMessage, key: &str) -> RecoveredMessage {
+    RecoveredMessage { idempotency_key: Some(key.into()), ..message }
 }
 
 /// What `append` adds to an empty directory.
@@ -47,7 +47,7 @@
 #[test]
 fn an_accepted_message_is_recorded_in_these_octets() {
     let keyed = with_key(message("once", "ab12", b"\0\r\n\xff"), "key-7");
-    let all_fields = Owed { turn: Some(0x1a2b), ..keyed };
+    let all_fields = RecoveredMessage { ordering_key: Some(0x1a2b), ..keyed };
     let expected = [
         b"\x3f\0\0\0\xf9\x55\x51\xe7\x01\x02\x01\0\0\0\0\0\0", // length, checksum, kind, message
         &b"\0\xd8\xc3\x2c\xbb\x03\0\0\x09\0\0\0\0\0\0\0"[..],  // time limit, destination
@@ -55,7 +55,7 @@
         b"\x04\0\0\0once\x04\0\0\0ab12\x05\0\0\0key-7",        // class, request id, idempotency key
         b"\0\r\n\xff",                                         // body
     ];
-    assert_eq!(appended(|wal| wal.taken(MESSAGE, &taken(&all_fields))), expected.concat());
+    assert_eq!(appended(|wal| wal.accepted(MESSAGE, &accepted_payload(&all_fields))), expected.concat());
 
     let fewest_fields = message("free", "ab12", b"");
     let expected = [
@@ -64,12 +64,12 @@
         b"\0\0\0\0\0\0\0\0\0",
         b"\x04\0\0\0free\x04\0\0\0ab12\0\0\0\0",
     ];
-    assert_eq!(appended(|wal| wal.taken(MESSAGE, &taken(&fewest_fields))), expected.concat());
+    assert_eq!(appended(|wal| wal.accepted(MESSAGE, &accepted_payload(&fewest_fields))), expected.concat());
 }
 
 #[test]
 fn an_attempt_that_may_have_run_is_recorded_in_these_octets() {
-    let octets = appended(|wal| wal.may_have_run(MESSAGE, 3, moment(YEAR_2020), "e1"));
+    let octets = appended(|wal| wal.attempt_started(MESSAGE, 3, from_millis(YEAR_2020), "e1"));
     let expected = [
         &b"\x17\0\0\0\xaa\x8b\xcb\x3b\x02\x02\x01\0\0\0\0\0\0"[..], // length, checksum, kind, message
         b"\x03\0\0\0\0\xe8\x66\x5e\x6f\x01\0\0e1",                  // attempt, start, endpoint
@@ -79,13 +79,13 @@
 
 #[test]
 fn an_attempt_that_did_not_run_is_recorded_in_these_octets() {
-    let octets = appended(|wal| wal.did_not_run(MESSAGE, 3));
+    let octets = appended(|wal| wal.not_executed(MESSAGE, 3));
     assert_eq!(octets, b"\x0d\0\0\0\xfd\xc4\xbe\x8d\x03\x02\x01\0\0\0\0\0\0\x03\0\0\0");
 }
 
 #[test]
 fn each_final_answer_is_recorded_in_these_octets() {
-    let answered = |denied, wait| appended(|wal| wal.answered(MESSAGE, denied, wait));
+    let answered = |denied, wait| appended(|wal| wal.outcome_decided(MESSAGE, denied, wait));
     assert_eq!(
         answered(true, Some(Duration::from_millis(1_500))),
         b"\x12\0\0\0\xaa\x41\x16\x02\x04\x02\x01\0\0\0\0\0\0\x01\xdc\x05\0\0\0\0\0\0"
@@ -102,7 +102,7 @@
 
 #[test]
 fn the_end_of_a_message_is_recorded_in_these_octets() {
-    assert_eq!(appended(|wal| wal.over(MESSAGE)), b"\x09\0\0\0\x28\x5d\xcc\x48\x05\x02\x01\0\0\0\0\0\0");
+    assert_eq!(appended(|wal| wal.finished(MESSAGE)), b"\x09\0\0\0\x28\x5d\xcc\x48\x05\x02\x01\0\0\0\0\0\0");
 }
 
 /// Cuts off the last octets of a segment, as a process does that is killed while it writes.
@@ -114,10 +114,10 @@
 /// Writes what the kept directory holds: every kind of record, by two processes that were killed while they wrote.
 fn write_directory(folder: &Path) -> io::Result<()> {
     let (mut wal, _) = Wal::open(folder, BUDGET)?;
-    let mut accept = |id, message: Owed| wal.taken(id, &taken(&message));
+    let mut accept = |id, message: RecoveredMessage| wal.accepted(id, &accepted_payload(&message));
     accept(1, message("once", "untried-once", b"one"))?;
     let untried = with_key(message("free", "untried-free", b"\0\r\n\xff"), "key-2");
-    accept(2, Owed { turn: Some(0x1a2b), ..untried })?;
+    accept(2, RecoveredMessage { ordering_key: Some(0x1a2b), ..untried })?;
     accept(3, message("once", "once-that-may-have-run", b"three"))?;
     accept(4, message("once", "once-that-did-not-run", b"four"))?;
     accept(5, message("free", "idempotent-that-may-have-run", b"five"))?;
@@ -131,28 +131,28 @@
     accept(13, message("unheard", "of-unknown-class", b"thirteen"))?;
     accept(14, message("once", "once-of-two-attempts", b"fourteen"))?;
     accept(15, message("free", "denied-and-confirmed", b"fifteen"))?;
-    wal.over(11)?;
+    wal.finished(11)?;
     for id in [3, 4, 14] {
-        wal.may_have_run(id, 0, moment(YEAR_2020), "e1")?;
+        wal.attempt_started(id, 0, from_millis(YEAR_2020), "e1")?;
     }
-    wal.did_not_run(14, 0)?;
-    wal.answered(8, true, Some(Duration::from_millis(1_500)))?;
-    wal.answered(9, true, None)?;
-    wal.answered(15, true, None)?;
-    wal.taken(16, &taken(&message("free", "torn", b"sixteen")))?;
+    wal.not_executed(14, 0)?;
+    wal.outcome_decided(8, true, Some(Duration::from_millis(1_500)))?;
+    wal.outcome_decided(9, true, None)?;
+    wal.outcome_decided(15, true, None)?;
+    wal.accepted(16, &accepted_payload(&message("free", "torn", b"sixteen")))?;
     drop(wal);
     tear(&folder.join(FIRST_SEGMENT), 5);
 
     let (mut wal, _) = Wal::open(folder, BUDGET)?;
-    wal.did_not_run(4, 0)?;
-    wal.may_have_run(5, 0, moment(YEAR_2020), "e1")?;
-    wal.may_have_run(6, 0, moment(YEAR_2020), "e1")?;
-    wal.may_have_run(7, 0, moment(YEAR_2020), "e1")?;
-    wal.may_have_run(14, 1, moment(YEAR_2020 + 1_000), "e2")?;
-    wal.answered(10, false, None)?;
-    wal.over(12)?;
-    wal.over(15)?;
-    wal.over(1)?;
+    wal.not_executed(4, 0)?;
+    wal.attempt_started(5, 0, from_millis(YEAR_2020), "e1")?;
+    wal.attempt_started(6, 0, from_millis(YEAR_2020), "e1")?;
+    wal.attempt_started(7, 0, from_millis(YEAR_2020), "e1")?;
+    wal.attempt_started(14, 1, from_millis(YEAR_2020 + 1_000), "e2")?;
+    wal.outcome_decided(10, false, None)?;
+    wal.finished(12)?;
+    wal.finished(15)?;
+    wal.finished(1)?;
     drop(wal);
     tear(&folder.join(SECOND_SEGMENT), 1);
     Ok(())
@@ -176,8 +176,9 @@
         fs::write(folder.0.join(segment), fs::read(fixture().join(segment)).unwrap()).unwrap();
     }
     let (mut wal, owed) = Wal::open(&folder.0, BUDGET).unwrap();
-    let ran =
-        |attempt, milliseconds, endpoint: &str| (attempt, Some((moment(milliseconds), endpoint.to_owned())));
+    let ran = |attempt, milliseconds, endpoint: &str| {
+        (attempt, Some((from_millis(milliseconds), endpoint.to_owned())))
+    };
     let sends = |attempts: &[(u32, Option<(SystemTime, String)>)]| attempts.iter().cloned().collect();
     let ran_once = || sends(&[ran(0, YEAR_2020, "e1")]);
     let free = |request, body| message("free", request, body);
@@ -188,25 +189,25 @@
     let wait = Duration::from_millis(1_500);
     let expected = BTreeMap::from([
         (1, once("untried-once", b"one")),
-        (2, Owed { turn: Some(0x1a2b), ..untried }),
-        (3, Owed { sends: ran_once(), ..once("once-that-may-have-run", b"three") }),
-        (4, Owed { sends: sends(&[(0, None)]), ..once("once-that-did-not-run", b"four") }),
-        (5, Owed { sends: ran_once(), ..free("idempotent-that-may-have-run", b"five") }),
-        (6, Owed { sends: ran_once(), ..keyed }),
-        (7, Owed { sends: ran_once(), ..forgotten }),
-        (8, Owed { answer: Some((true, Some(wait))), ..free("denied-with-wait", b"eight") }),
-        (9, Owed { answer: Some((true, None)), ..free("denied", b"nine") }),
-        (10, Owed { answer: Some((false, None)), ..once("dead", b"ten") }),
+        (2, RecoveredMessage { ordering_key: Some(0x1a2b), ..untried }),
+        (3, RecoveredMessage { attempts: ran_once(), ..once("once-that-may-have-run", b"three") }),
+        (4, RecoveredMessage { attempts: sends(&[(0, None)]), ..once("once-that-did-not-run", b"four") }),
+        (5, RecoveredMessage { attempts: ran_once(), ..free("idempotent-that-may-have-run", b"five") }),
+        (6, RecoveredMessage { attempts: ran_once(), ..keyed }),
+        (7, RecoveredMessage { attempts: ran_once(), ..forgotten }),
+        (8, RecoveredMessage { outcome: Some((true, Some(wait))), ..free("denied-with-wait", b"eight") }),
+        (9, RecoveredMessage { outcome: Some((true, None)), ..free("denied", b"nine") }),
+        (10, RecoveredMessage { outcome: Some((false, None)), ..once("dead", b"ten") }),
         (13, message("unheard", "of-unknown-class", b"thirteen")),
         (
             14,
-            Owed {
-                sends: sends(&[(0, None), ran(1, YEAR_2020 + 1_000, "e2")]),
+            RecoveredMessage {
+                attempts: sends(&[(0, None), ran(1, YEAR_2020 + 1_000, "e2")]),
                 ..once("once-of-two-attempts", b"fourteen")
             },
         ),
     ]);
     assert_eq!(owed, expected);
-    assert_eq!(wal.number(), 16, "the torn record's id is free, those of finished messages are not");
+    assert_eq!(wal.next_id(), 16, "the torn record's id is free, those of finished messages are not");
     assert!(folder.0.join("wal-0000000002").exists(), "new records go to a segment of their own");
 }
--- a/crates/quillhub-server/src/wal_tests.rs
+++ b/crates/quillhub-server/src/wal_tests.rs
@@ -1,69 +1,69 @@
 use super::*;
-use crate::stand_in::Folder;
+use crate::test_support::Folder;
 
 const ROOM: u64 = 1 << 20;
 
-fn notice(body: usize) -> Owed {
-    Owed {
-        grade: "g".into(),
+fn notice(body: usize) -> RecoveredMessage {
+    RecoveredMessage {
+        service_class: "g".into(),
         destination: 9,
-        turn: Some(5),
-        limit: Some(moment(1_234)),
-        reference: b"ab".to_vec(),
-        mark: Some(b"k".to_vec()),
+        ordering_key: Some(5),
+        deadline: Some(from_millis(1_234)),
+        client_id: b"ab".to_vec(),
+        idempotency_key: Some(b"k".to_vec()),
         body: vec![b'x'; body],
-        ..Owed::default()
+        ..RecoveredMessage::default()
     }
 }
 
-fn read_back(folder: &Folder) -> BTreeMap<u64, Owed> {
+fn read_back(folder: &Folder) -> BTreeMap<u64, RecoveredMessage> {
     Wal::open(&folder.0, ROOM).unwrap().1
 }
 
 #[test]
-fn what_is_owed_is_read_back_with_all_that_happened_to_it() {
+fn pending_messages_are_read_back_with_their_history() {
     let folder = Folder::new();
     let (mut wal, owed) = Wal::open(&folder.0, ROOM).unwrap();
     assert!(owed.is_empty());
     for id in 1..=4 {
-        wal.taken(id, &taken(&notice(3))).unwrap();
+        wal.accepted(id, &accepted_payload(&notice(3))).unwrap();
     }
-    wal.may_have_run(1, 0, moment(77), "e").unwrap();
-    wal.may_have_run(1, 1, moment(88), "f").unwrap();
-    wal.did_not_run(1, 1).unwrap();
-    wal.answered(2, true, Some(Duration::from_millis(500))).unwrap();
-    wal.answered(3, false, None).unwrap();
-    wal.over(4).unwrap();
+    wal.attempt_started(1, 0, from_millis(77), "e").unwrap();
+    wal.attempt_started(1, 1, from_millis(88), "f").unwrap();
+    wal.not_executed(1, 1).unwrap();
+    wal.outcome_decided(2, true, Some(Duration::from_millis(500))).unwrap();
+    wal.outcome_decided(3, false, None).unwrap();
+    wal.finished(4).unwrap();
     drop(wal);
     let owed = read_back(&folder);
-    let sends = BTreeMap::from([(0, Some((moment(77), "e".to_owned()))), (1, None)]);
-    assert_eq!(owed[&1], Owed { sends, ..notice(3) });
-    assert_eq!(owed[&2].answer, Some((true, Some(Duration::from_millis(500)))));
-    assert_eq!(owed[&3].answer, Some((false, None)));
+    let sends = BTreeMap::from([(0, Some((from_millis(77), "e".to_owned()))), (1, None)]);
+    assert_eq!(owed[&1], RecoveredMessage { attempts: sends, ..notice(3) });
+    assert_eq!(owed[&2].outcome, Some((true, Some(Duration::from_millis(500)))));
+    assert_eq!(owed[&3].outcome, Some((false, None)));
     assert_eq!(owed.len(), 3);
     assert_eq!(read_back(&folder), owed, "reading changes nothing");
 }
 
 #[test]
-fn a_notice_without_key_or_mark_comes_back_without() {
+fn a_message_without_ordering_or_idempotency_key_is_read_back_without() {
     let folder = Folder::new();
     let (mut wal, _) = Wal::open(&folder.0, ROOM).unwrap();
-    let bare = Owed { turn: None, mark: None, ..notice(0) };
-    wal.taken(1, &taken(&bare)).unwrap();
+    let bare = RecoveredMessage { ordering_key: None, idempotency_key: None, ..notice(0) };
+    wal.accepted(1, &accepted_payload(&bare)).unwrap();
     assert_eq!(read_back(&folder)[&1], bare);
 }
 
 #[test]
-fn a_number_does_not_come_again_after_a_restart() {
+fn an_id_is_not_reused_after_a_restart() {
     let folder = Folder::new();
     let (mut wal, _) = Wal::open(&folder.0, ROOM).unwrap();
-    for id in [wal.number(), wal.number()] {
-        wal.taken(id, &taken(&notice(3))).unwrap();
-        wal.over(id).unwrap();
+    for id in [wal.next_id(), wal.next_id()] {
+        wal.accepted(id, &accepted_payload(&notice(3))).unwrap();
+        wal.finished(id).unwrap();
     }
     let (mut wal, _) = Wal::open(&folder.0, ROOM).unwrap();
-    let id = wal.number();
-    wal.taken(id, &taken(&notice(3))).unwrap();
+    let id = wal.next_id();
+    wal.accepted(id, &accepted_payload(&notice(3))).unwrap();
     assert_eq!(read_back(&folder).into_keys().collect::<Vec<_>>(), [3]);
 }
 
@@ -71,9 +71,9 @@
 fn a_torn_tail_costs_the_torn_record_only() {
     let folder = Folder::new();
     let (mut wal, _) = Wal::open(&folder.0, ROOM).unwrap();
-    wal.taken(1, &taken(&notice(9))).unwrap();
+    wal.accepted(1, &accepted_payload(&notice(9))).unwrap();
     let first = wal.current.size as usize;
-    wal.taken(2, &taken(&notice(9))).unwrap();
+    wal.accepted(2, &accepted_payload(&notice(9))).unwrap();
     drop(wal);
     let file = path(&folder.0, 0);
     let whole = fs::read(&file).unwrap();
@@ -90,49 +90,55 @@
     // What is written after a torn tail is read.
     let (mut wal, owed) = Wal::open(&folder.0, ROOM).unwrap();
     assert_eq!(owed.len(), 1);
-    wal.taken(3, &taken(&notice(9))).unwrap();
+    wal.accepted(3, &accepted_payload(&notice(9))).unwrap();
     assert_eq!(read_back(&folder).into_keys().collect::<Vec<_>>(), [1, 3]);
 }
 
 #[test]
-fn the_folder_stays_within_its_bound_and_loses_nothing_owed() {
+fn the_directory_stays_within_its_bound_and_loses_no_pending_message() {
     let folder = Folder::new();
     let (mut wal, _) = Wal::open(&folder.0, ROOM).unwrap();
-    wal.taken(1, &taken(&notice(60_000))).unwrap();
-    wal.may_have_run(1, 0, moment(77), "e").unwrap();
+    wal.accepted(1, &accepted_payload(&notice(60_000))).unwrap();
+    wal.attempt_started(1, 0, from_millis(77), "e").unwrap();
     for id in 2..400 {
-        wal.taken(id, &taken(&notice(id as usize * 150))).unwrap();
-        wal.may_have_run(id, 0, moment(77), "e").unwrap();
+        wal.accepted(id, &accepted_payload(&notice(id as usize * 150))).unwrap();
+        wal.attempt_started(id, 0, from_millis(77), "e").unwrap();
         assert!(folder.size() <= ROOM, "{} with notice {id}", folder.size());
-        wal.over(id).unwrap();
+        wal.finished(id).unwrap();
     }
     let owed = read_back(&folder);
     assert_eq!(
         owed.into_iter().collect::<Vec<_>>(),
-        [(1, Owed { sends: BTreeMap::from([(0, Some((moment(77), "e".to_owned())))]), ..notice(60_000) })]
+        [(
+            1,
+            RecoveredMessage {
+                attempts: BTreeMap::from([(0, Some((from_millis(77), "e".to_owned())))]),
+                ..notice(60_000)
+            }
+        )]
     );
 }
 
 #[test]
-fn room_shrinks_with_what_is_owed_and_a_full_folder_takes_no_more() {
+fn capacity_shrinks_with_pending_messages_and_a_full_directory_takes_no_more() {
     let folder = Folder::new();
     let (mut wal, _) = Wal::open(&folder.0, ROOM).unwrap();
-    let empty = wal.room();
+    let empty = wal.remaining_capacity();
     let mut held = 0;
-    while wal.room() > 0 {
+    while wal.remaining_capacity() > 0 {
         held += 1;
-        wal.taken(held, &taken(&notice(10_000))).unwrap();
+        wal.accepted(held, &accepted_payload(&notice(10_000))).unwrap();
     }
     assert!(held * 10_000 > empty / 2);
     for id in 1..=held {
-        wal.may_have_run(id, 0, moment(77), "e").unwrap();
-        wal.answered(id, true, None).unwrap();
+        wal.attempt_started(id, 0, from_millis(77), "e").unwrap();
+        wal.outcome_decided(id, true, None).unwrap();
     }
-    let more = (1..200).find(|more| wal.taken(held + more, &taken(&notice(10_000))).is_err());
+    let more = (1..200).find(|more| wal.accepted(held + more, &accepted_payload(&notice(10_000))).is_err());
     assert!(more.is_some() && folder.size() <= ROOM);
     for id in 1..=held + 200 {
-        wal.over(id).unwrap();
+        wal.finished(id).unwrap();
     }
-    assert_eq!(wal.room(), empty);
+    assert_eq!(wal.remaining_capacity(), empty);
     assert!(read_back(&folder).is_empty());
 }
--- a/crates/quillhub-server/tests/crossings.rs
+++ b/crates/quillhub-server/tests/crossings.rs
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_notice_has_one_end_wherever_in_its_life_the_process_is_stopped_or_killed() {
+fn a_message_has_one_outcome_wherever_in_its_life_the_process_is_stopped_or_killed() {
     on_one_thread(async {
         let mut lives = Vec::new();
         for signal in ["KILL", "TERM"] {
--- a/crates/quillhub-server/tests/day.rs
+++ b/crates/quillhub-server/tests/day.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn every_notice_of_a_short_day_has_one_end() {
+fn every_message_of_a_short_scenario_has_one_outcome() {
     let (day, folder) = (day(DAY), scratch::Folder::new());
     endpoints::cannot_show(day).unwrap();
     scratch::on_one_thread(async {
--- a/crates/quillhub-server/tests/restarts.rs
+++ b/crates/quillhub-server/tests/restarts.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn discovery_and_endpoints_get_descriptors_while_idle_clients_and_hanging_calls_want_all() {
+fn discovery_and_endpoints_get_descriptors_while_idle_clients_and_hanging_attempts_want_all() {
     let whole = async {
         let (folder, beside) = (Folder::new(), Folder::new());
         let (listen, discovery) = (own_address(1), own_address(2));
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_courier_is_ready_in_time_on_a_full_state_directory_with_discovery_out_of_reach() {
+fn an_instance_is_ready_in_time_on_a_full_state_directory_with_discovery_unreachable() {
     let whole = async {
         let (folder, beside) = (Folder::new(), Folder::new());
         let (refused, (never_up, _queue)) = (own_address(3), full());
