--- /dev/null
+++ b/crates/quillhub-server/src/attempts/tests.rs
@@ -0,0 +1,319 @@
+use super::response::load_report;
+use super::*;
+use crate::test_support::{LONG, OK, answering, on_one_thread};
+use quillhub::{AttemptOutcome, LoadReport};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
+
+/// Makes one attempt, on a pooled connection if there is one: its result, and the connection if it may be reused.
+async fn call(
+    pooled: Option<Link>,
+    address: SocketAddr,
+    timeout: Duration,
+    request: impl Fn(Duration) -> Vec<u8>,
+    may_begin: impl Fn() -> bool,
+) -> (Result<Response, CallError>, Option<Link>) {
+    let attempt = Attempt { pooled, address, connect_timeout: LONG, timeout, request, may_begin };
+    let AttemptEnd { result, reusable } = attempt.run().await;
+    (result, reusable)
+}
+
+/// The end of one call to a stand-in that answers so, and whether its connection is kept.
+fn end(answer: &'static [u8]) -> (AttemptOutcome, bool, bool) {
+    on_one_thread(async {
+        let (at, _told) = answering(vec![answer]).await;
+        let (end, link) = call(None, at, LONG, |_| b"x".to_vec(), || true).await;
+        let Verdict { outcome, finished } = Verdict::of(&end, false);
+        (outcome, finished, link.is_some())
+    })
+}
+
+#[test]
+fn each_response_has_its_outcome() {
+    let wait = Some(Duration::from_millis(1500));
+    for (answer, outcome, over, kept) in [
+        (OK, AttemptOutcome::Delivered, true, true),
+        (
+            &b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"[..],
+            AttemptOutcome::Delivered,
+            true,
+            false,
+        ),
+        (
+            b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+            AttemptOutcome::Delivered,
+            true,
+            false,
+        ),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nstray", AttemptOutcome::Delivered, true, false),
+        (
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+            AttemptOutcome::Delivered,
+            true,
+            true,
+        ),
+        (b"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", AttemptOutcome::Failed, false, true),
+        (
+            b"HTTP/1.1 429 x\r\nX-Backoff-Ms: 1500\r\nContent-Length: 0\r\n\r\n",
+            AttemptOutcome::Rejected { retry_after: wait },
+            false,
+            true,
+        ),
+        (
+            b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n",
+            AttemptOutcome::Rejected { retry_after: None },
+            false,
+            true,
+        ),
+        (
+            b"HTTP/1.1 503 x\r\nX-Egress-Full: 1\r\nContent-Length: 0\r\n\r\n",
+            AttemptOutcome::NotSent,
+            false,
+            true,
+        ),
+        (b"HTTP/1.1 504 x\r\nContent-Length: 0\r\n\r\n", AttemptOutcome::NotSent, false, true),
+        (b"HTTP/1.1 410 x\r\nContent-Length: 0\r\n\r\n", AttemptOutcome::NotSent, true, true),
+        (
+            b"HTTP/1.1 100 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+            AttemptOutcome::Delivered,
+            true,
+            true,
+        ),
+        (b"", AttemptOutcome::ConnectionReset, false, false),
+        (b"RESP", AttemptOutcome::ConnectionReset, false, false),
+    ] {
+        assert_eq!(end(answer), (outcome, over, kept), "{}", String::from_utf8_lossy(answer));
+    }
+}
+
+/// The fleet's calm day: 46,139 of 46,401 refusals were a full table's, and passed for a limit's.
+#[test]
+fn only_a_rejection_of_a_new_connection_without_a_load_report_is_a_connection_limit() {
+    let bare = &b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"[..];
+    let reporting = &b"HTTP/1.1 503 x\r\nX-Load: x0=0,x1=9\r\nContent-Length: 0\r\n\r\n"[..];
+    let waiting = &b"HTTP/1.1 503 x\r\nX-Backoff-Ms: 9\r\nContent-Length: 0\r\n\r\n"[..];
+    for (answer, fresh, reports, meant) in [
+        (bare, true, true, AttemptOutcome::ConnectionLimit),
+        (bare, true, false, AttemptOutcome::Rejected { retry_after: None }),
+        (bare, false, true, AttemptOutcome::Rejected { retry_after: None }),
+        (reporting, true, true, AttemptOutcome::Rejected { retry_after: None }),
+        (waiting, true, true, AttemptOutcome::Rejected { retry_after: Some(Duration::from_millis(9)) }),
+    ] {
+        on_one_thread(async {
+            let (at, _told) = answering(vec![answer]).await;
+            let link = if fresh { None } else { Link::open(at).await.ok() };
+            let (end, _) = call(link, at, LONG, |_| b"x".to_vec(), || true).await;
+            assert_eq!(Verdict::of(&end, reports), Verdict { outcome: meant, finished: false });
+        });
+    }
+}
+
+#[test]
+fn a_corrupted_response_proves_nothing_but_a_200_status_line_and_does_not_prolong_its_attempt() {
+    let wait = Some(Duration::from_millis(1500));
+    for (answer, outcome, over) in [
+        (&b"HTTP/1.1 200 OK\r\nCont\0ent: \xff"[..], AttemptOutcome::Delivered, true),
+        (b"HTTP/1.1 200 OK\r\nA: b", AttemptOutcome::Delivered, true),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", AttemptOutcome::Delivered, true),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", AttemptOutcome::Delivered, true),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", AttemptOutcome::Delivered, true),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n", AttemptOutcome::Delivered, true),
+        (b"HTTP/1.1 200", AttemptOutcome::ConnectionReset, false),
+        (b"HTTP/1.1 2000 \r\n\r\n", AttemptOutcome::ConnectionReset, false),
+        (b"\x16\x03\x01", AttemptOutcome::ConnectionReset, false),
+        (
+            b"HTTP/1.1 429 x\r\nX-Backoff-Ms: 1500\r\nContent-Length: 9\r\n\r\n",
+            AttemptOutcome::AmbiguousRejection { retry_after: wait },
+            false,
+        ),
+        (
+            b"HTTP/1.1 429 x\r\nX-Backoff-Ms: 1500\r\n",
+            AttemptOutcome::AmbiguousRejection { retry_after: None },
+            false,
+        ),
+        (
+            b"HTTP/1.1 429 x\r\nX-Backoff-Ms: 1500\r\nContent-Length: 0\r\n\r\nnoise",
+            AttemptOutcome::AmbiguousRejection { retry_after: wait },
+            false,
+        ),
+        (
+            b"HTTP/1.1 429 x\r\nX-Backoff-Ms: 1500\r\nContent-Length: 0\r\n\r\nHTTP/1.1 429 x\r\n",
+            AttemptOutcome::Rejected { retry_after: wait },
+            false,
+        ),
+        (
+            b"HTTP/1.1 503 x\r\nContent-Length: 0\r\nContent-Length: 1\r\n\r\n",
+            AttemptOutcome::AmbiguousRejection { retry_after: None },
+            false,
+        ),
+        (
+            b"HTTP/1.1 503 x\r\nX-Egress-Full: 1\r\nContent-Length: x\r\n\r\n",
+            AttemptOutcome::AmbiguousRejection { retry_after: None },
+            false,
+        ),
+        (b"HTTP/1.1 504 x\r\nContent-Length: 7\r\n\r\n", AttemptOutcome::ConnectionReset, false),
+        (b"HTTP/1.1 410 x\r\nContent-Length: +0\r\n\r\n", AttemptOutcome::ConnectionReset, false),
+    ] {
+        assert_eq!(end(answer), (outcome, over, false), "{}", String::from_utf8_lossy(answer));
+    }
+}
+
+#[test]
+fn an_attempt_without_a_response_says_how_far_it_came() {
+    on_one_thread(async {
+        let short = Duration::from_millis(20);
+        let closed = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+        assert!(matches!(
+            call(None, closed, LONG, |_| b"x".to_vec(), || true).await.0,
+            Err(CallError::ConnectFailed)
+        ));
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let silent = listener.local_addr().unwrap();
+        let open = async || Some(Link::open(silent).await.unwrap());
+        assert!(matches!(
+            call(open().await, silent, short, |_| b"x".to_vec(), || true).await.0,
+            Err(CallError::TimedOut)
+        ));
+        // More than the buffers between hold: the last byte is never out.
+        let endless = vec![b'x'; 64 << 20];
+        assert!(matches!(
+            call(open().await, silent, short, |_| endless.clone(), || true).await.0,
+            Err(CallError::ConnectFailed)
+        ));
+        let (end, link) = call(None, silent, LONG, |_| b"x".to_vec(), || false).await;
+        assert!(matches!(end, Err(CallError::NotSent)) && link.is_some());
+        let ends =
+            [CallError::NotSent, CallError::ConnectFailed, CallError::ConnectionReset, CallError::TimedOut]
+                .map(|end| Verdict::of(&Err(end), true).outcome);
+        let meant = [
+            AttemptOutcome::NotSent,
+            AttemptOutcome::ConnectFailed,
+            AttemptOutcome::ConnectionReset,
+            AttemptOutcome::TimedOut,
+        ];
+        assert_eq!(ends, meant);
+    });
+}
+
+#[test]
+fn a_load_report_is_read_where_both_values_are_present() {
+    assert_eq!(load_report("x0=0.4,x1=25"), Some(LoadReport { remaining_share: 0.4, rate_limit: 25.0 }));
+    assert_eq!(
+        load_report("other=1, x1=0 ,x0=1"),
+        Some(LoadReport { remaining_share: 1.0, rate_limit: 0.0 })
+    );
+    let none =
+        ["x0=0.4", "x0=a,x1=2", "x0=NaN,x1=2", "", "xx0=1,x1=2", "x0=1,x1=-2", "x0=7,x1=2", "x0=1,x1=1e300"];
+    for text in none {
+        assert_eq!(load_report(text), None, "{text}");
+    }
+}
+
+#[test]
+fn a_pooled_connection_that_is_dead_or_receives_a_late_duplicate_costs_no_attempt() {
+    on_one_thread(async {
+        for stray in [&b""[..], b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"] {
+            let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+            let at = listener.local_addr().unwrap();
+            let kept = Link::open(at).await.unwrap();
+            let mut dying = listener.accept().await.unwrap().0;
+            drop(listener);
+            let peer = spawn_local(async move {
+                let mut first = [0; 1];
+                dying.read_exact(&mut first).await.unwrap();
+                dying.write_all(stray).await.unwrap(); // it goes as soon as something comes
+                let mut rest = Vec::new();
+                if stray.is_empty() {
+                    drop(dying);
+                } else {
+                    dying.read_to_end(&mut rest).await.unwrap();
+                }
+                rest
+            });
+            let (end, link) = call(Some(kept), at, LONG, |_| b"xyz".to_vec(), || true).await;
+            // The new connection is refused, as nobody listens any more: so nothing has run.
+            assert!(matches!(end, Err(CallError::ConnectFailed)) && link.is_none());
+            assert!(!peer.await.unwrap().ends_with(b"z"), "the last byte never came");
+        }
+    });
+}
+
+/// How a call with a attempt_timeout of 100 ms ends, and when, on a clock that moves only in steps: once its last byte
+/// has come, its endpoint writes each of `pieces` and lets the clock go on by `step`.
+fn on_a_stepped_clock(pieces: &[&[u8]], step: Duration) -> (Result<Response, CallError>, Duration) {
+    on_one_thread(async {
+        tokio::time::pause();
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let at = listener.local_addr().unwrap();
+        let pieces: Vec<Vec<u8>> = pieces.iter().map(|piece| piece.to_vec()).collect();
+        spawn_local(async move {
+            let mut stream = listener.accept().await.unwrap().0;
+            stream.read_exact(&mut [0; 3]).await.unwrap();
+            for piece in pieces {
+                // Both in one turn: the caller finds the bytes and the time at once.
+                stream.try_write(&piece).unwrap();
+                tokio::time::advance(step).await;
+            }
+            std::future::pending::<()>().await;
+        });
+        let started = tokio::time::Instant::now();
+        let attempt_timeout = Duration::from_millis(100);
+        let (end, link) = call(None, at, attempt_timeout, |_| b"xyz".to_vec(), || true).await;
+        assert!(link.is_none());
+        (end, started.elapsed())
+    })
+}
+
+/// ostend-quay, roll+brink: `call ended ... outcome=Handled took=2.488018365s` for `attempt_timeout=2.487269528s`, and
+/// the notice was lost, as its endpoint had given the call up by then.
+#[test]
+fn a_response_read_after_the_announced_deadline_counts_as_timed_out() {
+    let whole = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+    let (end, _) = on_a_stepped_clock(&[whole], Duration::from_millis(101));
+    assert!(matches!(end, Err(CallError::TimedOut)), "{end:?}");
+    let (end, _) = on_a_stepped_clock(&[b"HTTP/1.1 ", b"200 OK\r\n\r\n"], Duration::from_millis(40));
+    assert!(matches!(end, Ok(Response { status: 200, .. })), "{end:?}");
+}
+
+#[test]
+fn a_response_that_begins_in_time_and_never_ends_holds_its_attempt_no_longer_than_the_deadline() {
+    let attempt_timeout = Duration::from_millis(100);
+    let interim = b"HTTP/1.1 100 x\r\n\r\n";
+    let (begun, endless): (&[&[u8]], _) = (&[b"HTTP/1.1 2"], vec![&interim[..]; 400]);
+    for (pieces, step) in
+        [(begun, 1), (&[&interim[..]], 1), (&[&b"HTTP/1.1 100 x\r\nA: "[..]], 1), (&endless, 1)]
+    {
+        let (end, took) = on_a_stepped_clock(pieces, Duration::from_millis(step));
+        assert!(matches!(end, Err(CallError::TimedOut | CallError::ConnectionReset)), "{end:?}");
+        assert!(took <= attempt_timeout + Duration::from_millis(2), "{took:?}");
+    }
+    let (end, took) = on_a_stepped_clock(&[b"HTTP/1.1 503 x\r\nA: "], Duration::from_millis(1));
+    assert!(matches!(end, Ok(Response { status: 503, complete: false, .. })), "{end:?}");
+    assert!(took <= attempt_timeout + Duration::from_millis(2), "{took:?}");
+}
+
+/// A connection may take longer to come up than its call then has left.
+#[test]
+fn the_deadline_header_is_the_time_left_when_the_request_is_sent() {
+    on_one_thread(async {
+        tokio::time::pause();
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let at = listener.local_addr().unwrap();
+        let kept = Link::open(at).await.unwrap();
+        let mut dying = listener.accept().await.unwrap().0;
+        let peer = spawn_local(async move {
+            dying.read_exact(&mut [0; 1]).await.unwrap();
+            tokio::time::advance(Duration::from_millis(2)).await;
+            drop(dying); // before the call's last byte
+            let mut read = Vec::new();
+            listener.accept().await.unwrap().0.read_to_end(&mut read).await.unwrap();
+            String::from_utf8(read).unwrap()
+        });
+        let request = |told: Duration| format!("told {}", told.as_millis()).into_bytes();
+        let (end, _) = call(Some(kept), at, Duration::from_millis(100), request, || true).await;
+        assert!(matches!(end, Err(CallError::TimedOut)), "{end:?}");
+        let told: u64 = peer.await.unwrap()["told ".len()..].parse().unwrap();
+        assert!((95..=98).contains(&told), "{told} ms");
+    });
+}
--- a/crates/quillhub-server/src/clients.rs
+++ b/crates/quillhub-server/src/clients.rs
@@ -1,6 +1,6 @@
 //! The clients' side: reads commands from a connection and answers them, one after the other.
 
-use crate::instance::{Instance, SubmitOutcome};
+use crate::instance::{Instance, Submission, SubmitOutcome};
 use crate::resp;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -78,12 +78,22 @@
         return Err("an id or key that cannot be passed on");
     }
     let (turn, lasts) = ((turn != 0).then_some(turn), Duration::from_millis(lasts.min(u64::from(u32::MAX))));
-    Ok(match host.borrow_mut().submit(grade, turn, lasts, destination, reference, mark, body) {
-        SubmitOutcome::Accepted(id) => Next::Confirm(id),
-        SubmitOutcome::Busy { retry_after: come_back } => Next::Answer(resp::busy(come_back)),
-        SubmitOutcome::Failed(why) => Next::Answer(resp::error(why)),
-        SubmitOutcome::Invalid(why) => Next::Error(why),
-    })
+    Ok(
+        match host.borrow_mut().submit(Submission {
+            service_class: grade,
+            ordering_key: turn,
+            time_to_live: lasts,
+            destination,
+            client_id: reference,
+            idempotency_key: mark,
+            body,
+        }) {
+            SubmitOutcome::Accepted(id) => Next::Confirm(id),
+            SubmitOutcome::Busy { retry_after: come_back } => Next::Answer(resp::busy(come_back)),
+            SubmitOutcome::Failed(why) => Next::Answer(resp::error(why)),
+            SubmitOutcome::Invalid(why) => Next::Error(why),
+        },
+    )
 }
 
 fn obey(host: &RefCell<Instance>, parts: &[&[u8]]) -> Next {
--- a/crates/quillhub-server/src/discovery.rs
+++ b/crates/quillhub-server/src/discovery.rs
@@ -70,13 +70,13 @@
     let (revision, whole, rows) = read(list)?;
     for (name, address, _, _, phase, _) in &rows {
         match phase {
-            EndpointState::Removed => host.pool.removed(name),
-            _ => host.pool.listed(name, *address),
+            EndpointState::Removed => host.endpoint_removed(name),
+            _ => host.endpoint_listed(name, *address),
         }
     }
     let names: BTreeSet<String> = rows.iter().map(|row| row.0.to_owned()).collect();
     if whole {
-        host.pool.keep_only(|name| names.contains(name));
+        host.keep_only_endpoints(|name| names.contains(name));
     }
     host.handle_event(|courier| {
         for (name, _, [zone, kind], owner, phase, rate) in rows {
@@ -130,7 +130,7 @@
     at: SocketAddr,
     revision: &Cell<Option<u64>>,
 ) -> Result<(), Broken> {
-    let heard = host.borrow().discovery_responded.clone();
+    let heard = host.borrow().discovery_responded();
     let after = match revision.get() {
         Some(revision) => revision,
         None => {
@@ -258,7 +258,7 @@
     progress: Rc<Progress>,
     must_be_asked: bool,
 ) {
-    let wanted = host.borrow().watch_requested.clone();
+    let wanted = host.borrow().watch_requested();
     loop {
         // Here, so that the courier is also told of what a panic has ended: it would never ask again.
         if progress.out.get() {
--- a/crates/quillhub-server/src/discovery_return_tests.rs
+++ b/crates/quillhub-server/src/discovery_return_tests.rs
@@ -126,7 +126,7 @@
 }
 
 async fn known(host: &RefCell<Instance>) {
-    while host.borrow().pool.address("f").is_none() {
+    while host.borrow().endpoint_address("f").is_none() {
         sleep(Duration::from_millis(10)).await;
     }
 }
@@ -212,14 +212,16 @@
             let host = instance_with(7, &settings(must_be_asked), &folder, "127.0.0.1:1".parse().unwrap());
             let (_at, seen) = watch::channel(at);
             let (job, progress) = (host.clone(), Progress::new(Some(6)));
-            crate::lasting(move || follow(job.clone(), seen.clone(), progress.clone(), must_be_asked));
+            crate::startup::supervise(move || {
+                follow(job.clone(), seen.clone(), progress.clone(), must_be_asked)
+            });
             host.borrow_mut().handle_event(|_| ());
             asked.recv().await.unwrap();
             let held = host.borrow_mut(); // so that the list, which has come, cannot be told
             sleep(Duration::from_millis(10)).await;
             drop(held);
             let failed = Instant::now();
-            assert!(host.borrow().pool.address("f").is_none(), "it panicked before");
+            assert!(host.borrow().endpoint_address("f").is_none(), "it panicked before");
             timeout(COUNTS_AS_TOLD, known(&host)).await.expect("it is not asked again");
             assert!(failed.elapsed() < COUNTS_AS_TOLD);
         });
--- a/crates/quillhub-server/src/discovery_tests.rs
+++ b/crates/quillhub-server/src/discovery_tests.rs
@@ -20,7 +20,7 @@
         for list in lists {
             assert_eq!(tell(&mut host, list, true), Ok(41));
         }
-        ["e", "f", "g"].map(|name| host.pool.address(name).map(|at| at.port()))
+        ["e", "f", "g"].map(|name| host.endpoint_address(name).map(|at| at.port()))
     })
 }
 
@@ -48,7 +48,7 @@
         ] {
             let told = tell(&mut host.borrow_mut(), &bad, true).unwrap_err();
             assert!(!told.contains('\n'), "{told}");
-            let known = ["e", "f"].map(|name| host.borrow().pool.address(name).is_some());
+            let known = ["e", "f"].map(|name| host.borrow().endpoint_address(name).is_some());
             assert_eq!(known, [true, false], "{bad}");
         }
     });
@@ -65,7 +65,7 @@
         let host = instance(&folder, at);
         let revision = Cell::new(Some(6));
         assert!(matches!(one_watch(&host, at, &revision).await, Err(Broken::Ended)));
-        assert_eq!((revision.get(), host.borrow().pool.address("e")), (Some(8), None));
+        assert_eq!((revision.get(), host.borrow().endpoint_address("e")), (Some(8), None));
         let call = told.recv().await.unwrap();
         assert!(call.starts_with("GET /registry/instances?watch=1&after=6 HTTP/1.1\r\n"), "{call}");
     });
@@ -87,7 +87,7 @@
         at.send_replace(new);
         assert!(asked_new.recv().await.unwrap().starts_with("GET /registry/instances HTTP/1.1\r\n"));
         assert!(asked_new.recv().await.unwrap().starts_with("GET /registry/instances?watch=1&after=2 "));
-        let known = ["e", "f"].map(|name| host.borrow().pool.address(name).is_some());
+        let known = ["e", "f"].map(|name| host.borrow().endpoint_address(name).is_some());
         assert_eq!(known, [false, true]);
     });
 }
@@ -106,7 +106,7 @@
         let host = instance(&folder, at);
         let revision = Cell::new(Some(6));
         let ended = one_watch(&host, at, &revision).await;
-        let known = ["e", "f"].map(|name| host.borrow().pool.address(name).is_some());
+        let known = ["e", "f"].map(|name| host.borrow().endpoint_address(name).is_some());
         (ended, revision.get(), known)
     })
 }
--- /dev/null
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -0,0 +1,148 @@
+//! Carries out what the dispatcher decides: starts attempts, finishes messages, sets timers.
+
+use super::messages::PendingMessage;
+use super::{AttemptId, Instance, log_failed_write};
+use crate::attempts::{Attempt, AttemptEnd, Verdict};
+use crate::http;
+use crate::wal::FinalResult;
+use quillhub::{Dispatcher, Driver, MessageId};
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+/// Where a delivery is requested of an endpoint.
+const DELIVERY_PATH: &str = "/events";
+
+/// Writes the request that delivers `message`, by how long the attempt will still wait for its response.
+fn delivery_request(
+    message: &PendingMessage,
+    address: Option<SocketAddr>,
+) -> impl Fn(Duration) -> Vec<u8> + 'static {
+    let (client_id, idempotency_key) = (message.client_id.clone(), message.idempotency_key.clone());
+    let body = message.body.clone();
+    let host = address.map(|address| address.to_string()).unwrap_or_default();
+    move |time_left: Duration| {
+        let deadline = format!("{:.3}", time_left.as_secs_f64());
+        let mut headers = vec![("X-Request-Id", &client_id[..])];
+        headers.extend(idempotency_key.as_deref().map(|key| ("Idempotency-Key", key)));
+        headers.push(("X-Deadline", deadline.as_bytes()));
+        http::request("POST", DELIVERY_PATH, &host, &headers, &body)
+    }
+}
+
+impl Instance {
+    /// Runs an attempt in a task of its own, and hears of its end. `attempt` is none if it cannot be made.
+    fn spawn_attempt<R, B>(&mut self, id: AttemptId, started: Instant, attempt: Option<Attempt<R, B>>)
+    where
+        R: Fn(Duration) -> Vec<u8> + 'static,
+        B: Fn() -> bool + 'static,
+    {
+        self.attempts_in_flight += 1;
+        let weak = self.weak.clone();
+        spawn_local(async move {
+            let call = spawn_local(async move {
+                match attempt {
+                    Some(attempt) => attempt.run().await,
+                    None => AttemptEnd::not_sent(),
+                }
+            });
+            // A panic there ends only that attempt; the message may have been executed.
+            let end = call.await.unwrap_or_else(|_| AttemptEnd::connection_reset());
+            if let Some(instance) = weak.upgrade() {
+                instance.borrow_mut().attempt_ended(&id, end, started.elapsed());
+            }
+        });
+    }
+
+    /// Records what an attempt's end says of its message.
+    pub(super) fn record_attempt(&mut self, id: &AttemptId, verdict: &Verdict) {
+        if !self.messages.contains(id.message) {
+            return;
+        }
+        if verdict.finished {
+            log_failed_write("an end", self.wal.finished(id.message));
+            if let Some(message) = self.messages.remove(id.message) {
+                self.messages.remember_client_id(self.now(), message.client_id);
+            }
+        } else if verdict.outcome.never_executed() {
+            log_failed_write("an outcome", self.wal.not_executed(id.message, id.attempt));
+        }
+    }
+}
+
+impl Driver for Instance {
+    fn start_attempt(&mut self, id: MessageId, endpoint: &str, timeout: Duration) {
+        let started = Instant::now();
+        let written = self.write_record(id);
+        let Some(message) = self.messages.get_mut(id) else { return };
+        let attempt = message.begin_attempt();
+        let address = self.pool.address(endpoint);
+        let request = delivery_request(message, address);
+        let recorded = written.is_ok();
+        log_failed_write("a message", written);
+        let pooled = self.pool.take(endpoint);
+        if pooled.is_none() {
+            let others = self.attempts_in_flight + 1;
+            self.pool.close_oldest_beyond(self.max_connections.saturating_sub(others));
+        }
+        tracing::debug!(
+            message = id,
+            send = attempt,
+            endpoint,
+            ?timeout,
+            kept = pooled.is_some(),
+            "call goes"
+        );
+        let id = AttemptId { message: id, attempt, endpoint: endpoint.to_owned() };
+        let (weak, asked) = (self.weak.clone(), id.clone());
+        let may_begin =
+            move || weak.upgrade().is_some_and(|instance| instance.borrow_mut().may_begin(&asked));
+        let connect_timeout = self.connect_timeout;
+        let attempt = address.filter(|_| recorded).map(|address| Attempt {
+            pooled,
+            address,
+            connect_timeout,
+            timeout,
+            request,
+            may_begin,
+        });
+        self.spawn_attempt(id, started, attempt);
+    }
+
+    fn reject(&mut self, id: MessageId, retry_after: Option<Duration>) {
+        self.finish(id, FinalResult::Rejected { retry_after });
+    }
+
+    fn abandon(&mut self, id: MessageId) {
+        self.finish(id, FinalResult::Abandoned);
+    }
+
+    fn close_idle_connections(&mut self, endpoint: &str) {
+        self.pool.close_idle(endpoint);
+    }
+
+    fn broadcast(&mut self, gossip: &[u8]) {
+        if let Some(peers) = &self.peers {
+            peers.tell(gossip);
+        }
+    }
+
+    fn set_timer(&mut self, wait: Duration) {
+        let weak = self.weak.clone();
+        spawn_local(async move {
+            tokio::time::sleep(wait).await;
+            if let Some(instance) = weak.upgrade() {
+                instance.borrow_mut().handle_event(Dispatcher::timer_fired);
+            }
+        });
+    }
+
+    fn watch_endpoints(&mut self) {
+        self.watch_requested.notify_one();
+    }
+
+    fn log(&mut self, line: &str) {
+        tracing::info!("{line}");
+    }
+}
--- a/crates/quillhub-server/src/instance_tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -1,13 +1,19 @@
+use super::messages::CLIENT_ID_REMEMBERED;
 use super::*;
-use crate::test_support::{Folder, OK, answering, full, instance, on_one_thread};
-use quillhub::{AttemptOutcome, EndpointState, EndpointUpdate};
+use crate::test_support::{OK, StateDirectory, answering, full, instance, on_one_thread};
+use crate::wal::{self, RecoveredMessage};
+use quillhub::{AttemptOutcome, Driver, EndpointState, EndpointUpdate};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
 use tokio::net::TcpListener;
 
 const LASTS: Duration = Duration::from_secs(9);
 
-/// Driver in a notice with an id of its own.
+fn is_rejected(outcome: &FinalOutcome) -> bool {
+    matches!(outcome.result, FinalResult::Rejected { .. })
+}
+
+/// Submits a message with an id of its own.
 fn take(instance: &RefCell<Instance>, grade: &str) -> SubmitOutcome {
     take_with(instance, grade, b"\0body")
 }
@@ -15,7 +21,15 @@
 fn take_with(instance: &RefCell<Instance>, grade: &str, body: &[u8]) -> SubmitOutcome {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let reference = format!("ab{}", NUMBER.fetch_add(1, Ordering::Relaxed));
-    instance.borrow_mut().submit(grade, None, LASTS, 9, reference.as_bytes(), Some(b"k"), body)
+    instance.borrow_mut().submit(Submission {
+        service_class: grade,
+        ordering_key: None,
+        time_to_live: LASTS,
+        destination: 9,
+        client_id: reference.as_bytes(),
+        idempotency_key: Some(b"k"),
+        body,
+    })
 }
 
 /// An address where connections are made and nothing is answered, as long as the listener is kept.
@@ -26,7 +40,7 @@
 
 #[test]
 fn a_message_is_forwarded_unchanged_and_finished_by_a_200() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (at, mut told) = answering(vec![OK]).await;
         let instance = instance(&folder, at);
@@ -45,7 +59,7 @@
 
 #[test]
 fn messages_in_flight_at_a_crash_are_recovered_and_an_at_most_once_one_is_not_retried() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (at, mut told) = answering(vec![b"HTTP/1.1 100 Continue\r\n\r\n"; 4]).await;
         let first = instance(&folder, at);
@@ -60,15 +74,19 @@
         let second = instance(&folder, at);
         second.borrow_mut().handle_event(|_| ());
         let second = second.borrow();
-        let ends: Vec<_> = second.outcomes.iter().map(|end| (end.id, end.rejected)).collect();
+        let ends: Vec<_> = second.outcomes.iter().map(|end| (end.message, is_rejected(end))).collect();
         assert_eq!(ends, [(1, false)], "the binding one is written off");
-        assert_eq!((second.messages[&2].attempts, second.attempts_in_flight), (2, 1), "the other goes again");
+        assert_eq!(
+            (second.messages.get(2).unwrap().attempts, second.attempts_in_flight),
+            (2, 1),
+            "the other goes again"
+        );
     });
 }
 
 #[test]
 fn a_recorded_outcome_is_final_across_a_restart() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (at, _listener) = silent().await;
         let first = instance(&folder, at);
@@ -78,8 +96,11 @@
         let second = instance(&folder, at);
         second.borrow_mut().handle_event(|_| ());
         let mut second = second.borrow_mut();
-        assert_eq!((second.attempts_in_flight, second.outcomes.len()), (0, 1));
-        assert_eq!(second.outcomes[0].retry_after, Some(Duration::from_millis(500)));
+        assert_eq!((second.attempts_in_flight, second.outcomes.iter().count()), (0, 1));
+        assert_eq!(
+            second.outcomes.iter().next().unwrap().result,
+            FinalResult::Rejected { retry_after: Some(Duration::from_millis(500)) }
+        );
         second.outcomes_confirmed(1);
     });
     assert!(Wal::open(&folder.0, 1 << 20).unwrap().1.is_empty());
@@ -87,7 +108,7 @@
 
 #[test]
 fn a_recovered_message_of_an_unknown_service_class_is_abandoned() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     let (mut wal, _) = Wal::open(&folder.0, 1 << 20).unwrap();
     let owed = RecoveredMessage {
         service_class: "unheard".into(),
@@ -98,15 +119,16 @@
     on_one_thread(async {
         let (at, _listener) = silent().await;
         let instance = instance(&folder, at);
-        let ends: Vec<_> = instance.borrow().outcomes.iter().map(|end| (end.id, end.rejected)).collect();
+        let ends: Vec<_> =
+            instance.borrow().outcomes.iter().map(|end| (end.message, is_rejected(end))).collect();
         assert_eq!((ends, instance.borrow().messages.len()), (vec![(1, false)], 0));
     });
-    assert_eq!(Wal::open(&folder.0, 1 << 20).unwrap().1[&1].outcome, Some((false, None)));
+    assert_eq!(Wal::open(&folder.0, 1 << 20).unwrap().1[&1].outcome, Some(FinalResult::Abandoned));
 }
 
 #[test]
 fn a_message_rejected_at_submission_leaves_nothing_pending() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (at, _listener) = silent().await;
         let instance = instance(&folder, at);
@@ -122,7 +144,7 @@
 
 #[test]
 fn a_full_state_directory_rejects_messages() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (at, _listener) = silent().await;
         let instance = instance(&folder, at);
@@ -137,7 +159,7 @@
 
 #[test]
 fn a_message_that_cannot_be_recorded_is_neither_accepted_nor_sent() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (at, mut told) = answering(vec![OK, OK, OK]).await;
         let instance = instance(&folder, at);
@@ -157,7 +179,7 @@
 
 #[test]
 fn a_withdrawn_message_leaves_nothing_pending() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (at, _listener) = silent().await;
         let instance = instance(&folder, at);
@@ -170,7 +192,7 @@
 
 #[test]
 fn a_panic_in_an_event_leaves_the_dispatcher_in_place() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (at, _listener) = silent().await;
         let instance = instance(&folder, at);
@@ -183,7 +205,7 @@
 
 #[test]
 fn after_stop_deciding_messages_are_accepted_but_not_attempted() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (at, _listener) = silent().await;
         let instance = instance(&folder, at);
@@ -200,7 +222,7 @@
 #[test]
 fn a_keyed_message_whose_attempt_lies_ahead_of_the_clock_is_not_retried() {
     for (ahead, calls) in [(false, 1), (true, 0)] {
-        let folder = Folder::new();
+        let folder = StateDirectory::new();
         let (mut wal, _) = Wal::open(&folder.0, 1 << 20).unwrap();
         let now = SystemTime::now();
         let owed = RecoveredMessage {
@@ -218,7 +240,7 @@
             let instance = instance(&folder, at);
             instance.borrow_mut().handle_event(|_| ());
             assert_eq!(
-                (instance.borrow().attempts_in_flight, instance.borrow().outcomes.len()),
+                (instance.borrow().attempts_in_flight, instance.borrow().outcomes.iter().count()),
                 (calls, 1 - calls)
             );
         });
@@ -228,7 +250,7 @@
 /// A call that begins while the process ends is cut off, and may have run.
 #[test]
 fn an_attempt_not_begun_at_shutdown_is_left_to_the_next_process() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (at, mut told) = answering(vec![OK, OK]).await;
         let first = instance(&folder, at);
@@ -289,7 +311,7 @@
         ("nothing", Box::new(|_| ())),
     ];
     for (what, change) in meanwhile {
-        let folder = Folder::new();
+        let folder = StateDirectory::new();
         on_one_thread(async {
             let (at, mut told) = answering(vec![OK; 9]).await;
             let instance = instance(&folder, at);
@@ -312,7 +334,7 @@
 /// Connections to an endpoint may take more than a second to come up; until then no call has begun on them.
 #[test]
 fn a_message_whose_connection_was_still_opening_at_a_crash_counts_as_unattempted() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (full, _queue) = full();
         let first = instance(&folder, full);
@@ -334,12 +356,20 @@
 
 #[test]
 fn a_duplicate_client_id_is_rejected_and_the_first_message_stays() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (at, _listener) = silent().await;
         let first = instance(&folder, at);
         let take = |instance: &RefCell<Instance>, id: &[u8], to| {
-            instance.borrow_mut().submit("free", None, LASTS, to, id, None, b"body")
+            instance.borrow_mut().submit(Submission {
+                service_class: "free",
+                ordering_key: None,
+                time_to_live: LASTS,
+                destination: to,
+                client_id: id,
+                idempotency_key: None,
+                body: b"body",
+            })
         };
         let held = SubmitOutcome::Invalid("the id is held already");
         assert_eq!(take(&first, b"a", 9), SubmitOutcome::Accepted(1));
@@ -354,14 +384,14 @@
         assert_eq!(take(&second, b"a", 9), held, "and for a while");
         second.borrow_mut().clock_offset += CLIENT_ID_REMEMBERED;
         assert!(matches!(take(&second, b"a", 9), SubmitOutcome::Accepted(_)));
-        assert!(second.borrow().recently_finished.is_empty());
+        assert!(second.borrow().messages.remembered() == 0);
     });
 }
 
 /// A process may end within any byte of a record: of each life, cut off there, exactly one thing is owed next.
 #[test]
 fn a_log_cut_off_at_any_byte_leaves_exactly_one_thing_to_do() {
-    let whole = Folder::new();
+    let whole = StateDirectory::new();
     let (mut wal, _) = Wal::open(&whole.0, 1 << 20).unwrap();
     let owed = RecoveredMessage {
         service_class: "once".into(),
@@ -382,13 +412,13 @@
     steps.push(size());
     wal.attempt_started(1, 1, SystemTime::now(), "e").unwrap();
     steps.push(size());
-    wal.outcome_decided(1, true, None).unwrap();
+    wal.outcome_decided(1, FinalResult::Rejected { retry_after: None }).unwrap();
     steps.push(size());
     wal.finished(1).unwrap();
     steps.push(size());
     let octets = std::fs::read(&path).unwrap();
     for cut in 0..=octets.len() {
-        let folder = Folder::new();
+        let folder = StateDirectory::new();
         std::fs::write(folder.0.join("wal-0000000000"), &octets[..cut]).unwrap();
         // Nothing; another send; written off, as it may have run; another send; written off; denied; nothing.
         let wanted = match steps.iter().filter(|end| **end <= cut as u64).count() {
@@ -402,7 +432,7 @@
             let instance = instance(&folder, at);
             instance.borrow_mut().handle_event(|_| ());
             let instance = instance.borrow();
-            let ends: Vec<_> = instance.outcomes.iter().map(|end| end.rejected).collect();
+            let ends: Vec<_> = instance.outcomes.iter().map(is_rejected).collect();
             assert!(ends.len() < 2, "after {cut} bytes");
             assert_eq!(
                 (instance.attempts_in_flight, ends.first().copied()),
@@ -416,7 +446,7 @@
 
 /// A instance with a window of 1 s for repeats, whose state directory holds message 1, first sent so long ago by an attempt
 /// that may have run, and behind it, with the same ordering key, the untried message 2.
-fn restarted(folder: &Folder, at: SocketAddr, ago: Duration) -> Rc<RefCell<Instance>> {
+fn restarted(folder: &StateDirectory, at: SocketAddr, ago: Duration) -> Rc<RefCell<Instance>> {
     let (mut wal, _) = Wal::open(&folder.0, 1 << 20).unwrap();
     for id in [1, 2] {
         let limit = Some(SystemTime::now() + LASTS);
@@ -445,11 +475,11 @@
 #[test]
 fn a_deduplication_window_that_passed_in_a_restart_finishes_its_message_at_once_and_blocks_none_behind_it() {
     for ago in [700, 1_000, 1_200, 60_000].map(Duration::from_millis) {
-        let folder = Folder::new();
+        let folder = StateDirectory::new();
         on_one_thread(async {
             let (at, mut told) = answering(vec![OK]).await;
             let instance = restarted(&folder, at, ago);
-            let ends: Vec<_> = instance.borrow().outcomes.iter().map(|end| end.id).collect();
+            let ends: Vec<_> = instance.borrow().outcomes.iter().map(|end| end.message).collect();
             assert_eq!(ends, [1], "{ago:?}: at once");
             let call = told.recv().await.unwrap();
             assert!(call.contains("X-Request-Id: ab2\r\n"), "{ago:?}: {call}");
@@ -468,7 +498,7 @@
 
 #[test]
 fn a_deduplication_window_that_fits_an_attempt_after_a_restart_lets_its_message_be_retried_first() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (at, mut told) = answering(vec![CLOSES; 2]).await;
         let instance = restarted(&folder, at, Duration::ZERO);
--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -1,13 +1,20 @@
 use super::*;
-use crate::test_support::{Folder, OK, answering, configuration, on_one_thread};
-use crate::wal::RecoveredMessage;
+use crate::reload::follow;
+use crate::test_support::{OK, StateDirectory, answering, configuration, on_one_thread};
+use crate::wal::{self, RecoveredMessage, Wal};
 use quillhub_fakes::clients::command;
 use serde_json::{Value, json};
 use std::future::pending;
-use std::time::SystemTime;
+use std::net::SocketAddr;
+use std::time::{Duration, SystemTime};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+/// Long enough for the tasks of an instance to run.
+const MOMENT: Duration = Duration::from_millis(5);
 
 #[test]
 fn an_unusable_configuration_is_reported_in_one_line() {
@@ -32,7 +39,7 @@
 
 #[test]
 fn an_idle_instance_stops_on_request() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     let ran = on_one_thread(serve(&configuration().to_string(), &folder.0, async {}, pending));
     assert_eq!(ran, Ok(()));
     let missing = folder.0.join("missing");
@@ -72,7 +79,7 @@
 /// What discovery has counts as told from the first moment of a new process on.
 #[test]
 fn recovered_messages_go_by_discoverys_list_at_startup() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     let (mut wal, _) = Wal::open(&folder.0, 1 << 20).unwrap();
     let limit = Some(SystemTime::now() + Duration::from_secs(9));
     let owed = RecoveredMessage {
@@ -108,7 +115,7 @@
 /// A command that has begun when the process is told to stop is owed its answer, and what it hands in its end.
 #[test]
 fn a_command_completed_late_in_a_shutdown_is_answered_and_its_message_left_to_the_next_process() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         tokio::time::pause();
         let listen = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -121,14 +128,14 @@
         let mut client = loop {
             match TcpStream::connect(listen).await {
                 Ok(client) => break client,
-                Err(_) => sleep(LOOK).await,
+                Err(_) => sleep(MOMENT).await,
             }
         };
         let parts = ["SUBMIT", "0", "ab", "c=once,d=8000,dest=9", "body"];
         let input = command(&parts.map(str::as_bytes));
         let (begin, rest) = input.split_at(9);
         client.write_all(begin).await.unwrap();
-        sleep(LOOK).await;
+        sleep(MOMENT).await;
         stop.send(()).unwrap();
         sleep(Duration::from_millis(2_400)).await; // nothing is decided any more
         client.write_all(rest).await.unwrap();
--- a/crates/quillhub-server/src/outcomes.rs
+++ b/crates/quillhub-server/src/outcomes.rs
@@ -1,100 +1,142 @@
-//! FinalOutcome answers on their way to the platform: each is sent until it is confirmed.
+//! Sends final outcomes to the platform, oldest first; each is sent until the platform has confirmed it.
 
 use crate::http;
 use crate::instance::{FinalOutcome, Instance};
 use crate::link::{Broken, Link};
+use crate::wal::FinalResult;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::watch;
+use tokio::time::error::Elapsed;
 use tokio::time::{sleep, timeout};
 
 const PATH: &str = "/v2/finals";
-/// Answers in one call: some kilobytes.
-const MAX_LINES: usize = 64;
-/// The platform answers at once; a call without an answer for so long is given up and made again, on a new
-/// connection: an answer has to be there 300 ms after its notice's time, also over a connection that has fallen silent.
+/// Outcomes in one request: some kilobytes.
+const MAX_OUTCOMES: usize = 64;
+/// The platform responds at once; a request without a response for so long is given up and made again, on a new
+/// connection: an outcome has to be there 300 ms after its message's deadline, also over a connection that has fallen
+/// silent.
 const TIMEOUT: Duration = Duration::from_millis(100);
-/// Up to which that doubles with each call in a row that gets none, for a platform that has become slow.
+/// Up to which that doubles with each request in a row that gets none, for a platform that has become slow.
 const MAX_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a call that failed.
+/// Pause after a request that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Bytes of the answer's body.
+/// Octets of the response's body.
 const MAX_BODY: usize = 64 * 1024;
+/// All outcomes of the request are confirmed.
+const CONFIRMED: u16 = 204;
+/// One of the request's outcomes cannot be read.
+const UNREADABLE: u16 = 400;
 
-/// The line that tells of one final answer.
-fn line(end: &FinalOutcome) -> String {
-    let reference = serde_json::Value::from(String::from_utf8_lossy(&end.client_id));
-    let result = if end.rejected { "bounced" } else { "dead" };
-    match end.retry_after {
-        Some(wait) if end.rejected => {
-            format!("{{\"ref\":{reference},\"result\":\"{result}\",\"wait_ms\":{}}}\n", wait.as_millis())
+/// The platform's response.
+struct Reply {
+    status: u16,
+    /// The connection, if it may be used again.
+    reusable: Option<Link>,
+}
+
+/// The line that tells the platform of one outcome.
+fn line(outcome: &FinalOutcome) -> String {
+    let reference = serde_json::Value::from(String::from_utf8_lossy(&outcome.client_id));
+    match outcome.result {
+        FinalResult::Rejected { retry_after: Some(wait) } => {
+            format!("{{\"ref\":{reference},\"result\":\"bounced\",\"wait_ms\":{}}}\n", wait.as_millis())
         }
-        _ => format!("{{\"ref\":{reference},\"result\":\"{result}\"}}\n"),
+        FinalResult::Rejected { retry_after: None } => {
+            format!("{{\"ref\":{reference},\"result\":\"bounced\"}}\n")
+        }
+        FinalResult::Abandoned => format!("{{\"ref\":{reference},\"result\":\"dead\"}}\n"),
     }
 }
 
-/// One call; its status, and the link if it may be used again.
-async fn post(link: Option<Link>, at: SocketAddr, body: &[u8]) -> Result<(u16, Option<Link>), Broken> {
-    let mut link = match link.filter(Link::quiet) {
-        Some(link) => link,
-        None => Link::open(at).await.map_err(Broken::Failed)?,
+/// Makes one request.
+async fn post(connection: Option<Link>, address: SocketAddr, body: &[u8]) -> Result<Reply, Broken> {
+    let mut connection = match connection.filter(Link::quiet) {
+        Some(connection) => connection,
+        None => Link::open(address).await.map_err(Broken::Failed)?,
     };
     let headers = [("Content-Type", &b"application/x-ndjson"[..])];
-    let request = http::request("POST", PATH, &at.to_string(), &headers, body);
-    link.write(&request).await.map_err(Broken::Failed)?;
-    let head = link.head().await?;
-    link.body(head.framing()?, MAX_BODY).await?;
-    Ok((head.status, head.keeps().then_some(link)))
+    let request = http::request("POST", PATH, &address.to_string(), &headers, body);
+    connection.write(&request).await.map_err(Broken::Failed)?;
+    let head = connection.head().await?;
+    connection.body(head.framing()?, MAX_BODY).await?;
+    Ok(Reply { status: head.status, reusable: head.keeps().then_some(connection) })
 }
 
-/// Sends what waits, oldest first, as long as the instance lives. Once the platform is elsewhere, a call that is
-/// out is made again there: one that the old address has not confirmed may never have been read.
-pub async fn flush(instance: Rc<RefCell<Instance>>, mut platform: watch::Receiver<SocketAddr>) {
-    let waits = instance.borrow().outcome_waits.clone();
-    let (mut link, mut max_lines, mut last_address) = (None, MAX_LINES, *platform.borrow());
-    let mut call_timeout = TIMEOUT;
-    loop {
-        let (count, body) = {
-            let instance = instance.borrow();
-            let lines: Vec<_> = instance.outcomes.iter().take(max_lines).map(line).collect();
-            (lines.len(), lines.concat())
-        };
-        if count == 0 {
-            waits.notified().await;
-            continue;
-        }
-        let at = *platform.borrow_and_update();
-        let ended = tokio::select! {
-            ended = timeout(call_timeout, post(link.take().filter(|_| at == last_address), at, body.as_bytes())) => ended,
-            Ok(()) = platform.changed() => {
-                max_lines = MAX_LINES;
-                continue;
-            }
-        };
-        last_address = at;
-        call_timeout = if ended.is_ok() { TIMEOUT } else { (call_timeout * 2).min(MAX_TIMEOUT) };
-        match ended {
-            Ok(Ok((204, kept))) => {
-                instance.borrow_mut().outcomes_confirmed(count);
-                (link, max_lines) = (kept, MAX_LINES);
+/// What is kept from one request to the platform to the next.
+struct Sender {
+    instance: Rc<RefCell<Instance>>,
+    connection: Option<Link>,
+    /// Where the last request went.
+    address: SocketAddr,
+    /// Outcomes in the next request.
+    max_outcomes: usize,
+    timeout: Duration,
+}
+
+impl Sender {
+    /// The lines of the next request, and how many.
+    fn next_lines(&self) -> (usize, String) {
+        let instance = self.instance.borrow();
+        let lines: Vec<_> = instance.unconfirmed_outcomes().take(self.max_outcomes).map(line).collect();
+        (lines.len(), lines.concat())
+    }
+
+    /// A connection to `address`, if there is one.
+    fn take_connection(&mut self, address: SocketAddr) -> Option<Link> {
+        let same_address = address == std::mem::replace(&mut self.address, address);
+        self.connection.take().filter(|_| same_address)
+    }
+
+    /// A request of `count` outcomes has ended.
+    async fn request_ended(&mut self, count: usize, body: &str, end: Result<Result<Reply, Broken>, Elapsed>) {
+        self.timeout = if end.is_ok() { TIMEOUT } else { (self.timeout * 2).min(MAX_TIMEOUT) };
+        match end {
+            Ok(Ok(Reply { status: CONFIRMED, reusable })) => {
+                self.instance.borrow_mut().outcomes_confirmed(count);
+                (self.connection, self.max_outcomes) = (reusable, MAX_OUTCOMES);
             }
             // One that cannot be read would hold up all others for ever: it is found by itself and given up.
-            Ok(Ok((400, _))) if max_lines == 1 => {
+            Ok(Ok(Reply { status: UNREADABLE, .. })) if self.max_outcomes == 1 => {
                 tracing::error!(body, "the platform cannot read this final answer; it is given up");
-                instance.borrow_mut().outcomes_confirmed(count);
+                self.instance.borrow_mut().outcomes_confirmed(count);
             }
-            Ok(Ok((status, _))) => {
+            Ok(Ok(Reply { status, .. })) => {
                 tracing::warn!(status, count, "final answers were not taken");
-                max_lines = if status == 400 { 1 } else { MAX_LINES };
+                self.max_outcomes = if status == UNREADABLE { 1 } else { MAX_OUTCOMES };
                 sleep(RETRY_PAUSE).await;
             }
             Ok(Err(error)) => {
                 tracing::debug!(%error, count, "final answers did not get through");
                 sleep(RETRY_PAUSE).await;
             }
-            Err(_) => tracing::debug!(count, "no answer to final answers"),
+            Err(Elapsed { .. }) => tracing::debug!(count, "no answer to final answers"),
+        }
+    }
+}
+
+/// Sends outcomes without end. Once the platform is elsewhere, a request that is out is made again there: one that
+/// the old address has not confirmed may never have been read.
+pub async fn flush(instance: Rc<RefCell<Instance>>, mut platform: watch::Receiver<SocketAddr>) {
+    let decided = instance.borrow().outcome_decided();
+    let address = *platform.borrow();
+    let mut sender =
+        Sender { instance, connection: None, address, max_outcomes: MAX_OUTCOMES, timeout: TIMEOUT };
+    loop {
+        let (count, body) = sender.next_lines();
+        if count == 0 {
+            decided.notified().await;
+            continue;
+        }
+        let address = *platform.borrow_and_update();
+        let connection = sender.take_connection(address);
+        tokio::select! {
+            end = timeout(sender.timeout, post(connection, address, body.as_bytes())) => {
+                sender.request_ended(count, &body, end).await;
+            }
+            Ok(()) = platform.changed() => sender.max_outcomes = MAX_OUTCOMES,
         }
     }
 }
--- a/crates/quillhub-server/src/outcomes_tests.rs
+++ b/crates/quillhub-server/src/outcomes_tests.rs
@@ -1,9 +1,10 @@
 use super::*;
-use crate::test_support::{Folder, answering, instance, on_one_thread};
+use crate::test_support::{StateDirectory, answering, instance, on_one_thread};
 use tokio::task::spawn_local;
 
-fn end(id: u64, reference: &str, rejected: bool, retry_after: Option<Duration>) -> FinalOutcome {
-    FinalOutcome { id, client_id: reference.as_bytes().into(), rejected, retry_after }
+fn end(message: u64, client_id: &str, rejected: bool, retry_after: Option<Duration>) -> FinalOutcome {
+    let result = if rejected { FinalResult::Rejected { retry_after } } else { FinalResult::Abandoned };
+    FinalOutcome { message, client_id: client_id.as_bytes().into(), result }
 }
 
 #[test]
@@ -19,14 +20,15 @@
 
 #[test]
 fn outcomes_are_resent_until_confirmed_and_an_unreadable_one_blocks_no_other() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let no = b"HTTP/1.1 400 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
         let yes = b"HTTP/1.1 204 x\r\nConnection: close\r\n\r\n";
         let down = b"HTTP/1.1 500 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
         let (at, mut told) = answering(vec![b"", down, no, no, yes]).await;
         let instance = instance(&folder, at);
-        instance.borrow_mut().outcomes.extend([end(1, "a", false, None), end(2, "b", false, None)]);
+        instance.borrow_mut().add_outcome(end(1, "a", false, None));
+        instance.borrow_mut().add_outcome(end(2, "b", false, None));
         let (_platform, seen) = watch::channel(at);
         spawn_local(flush(instance.clone(), seen));
         let mut refs = Vec::new();
@@ -36,7 +38,7 @@
         }
         let (both, first, second) = ([true, true], [true, false], [false, true]);
         assert_eq!(refs, [both, both, both, first, second]);
-        while !instance.borrow().outcomes.is_empty() {
+        while !instance.borrow().all_outcomes_confirmed() {
             tokio::task::yield_now().await;
         }
     });
@@ -44,18 +46,18 @@
 
 #[test]
 fn unconfirmed_outcomes_go_to_the_platforms_new_address() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         let (old, mut told_old) = answering(vec![b"HTTP/1.1 100 Continue\r\n\r\n"]).await;
         let (new, mut told_new) = answering(vec![b"HTTP/1.1 204 x\r\n\r\n"]).await;
         let instance = instance(&folder, old);
-        instance.borrow_mut().outcomes.push_back(end(1, "a", false, None));
+        instance.borrow_mut().add_outcome(end(1, "a", false, None));
         let (at, seen) = watch::channel(old);
         spawn_local(flush(instance.clone(), seen));
         assert!(told_old.recv().await.unwrap().contains("\"a\""));
         at.send_replace(new);
         assert!(told_new.recv().await.unwrap().contains("\"a\""));
-        while !instance.borrow().outcomes.is_empty() {
+        while !instance.borrow().all_outcomes_confirmed() {
             tokio::task::yield_now().await;
         }
     });
@@ -64,7 +66,7 @@
 /// An answer has to be there 300 ms after its notice's time, also where the connection kept has fallen silent.
 #[test]
 fn a_silent_platform_is_retried_soon_on_a_new_connection_and_then_with_backoff() {
-    let folder = Folder::new();
+    let folder = StateDirectory::new();
     on_one_thread(async {
         tokio::time::pause();
         let silence = &b"HTTP/1.1 100 Continue\r\n\r\n"[..];
@@ -72,7 +74,7 @@
         let answers = [vec![silence; 6], vec![confirmed], vec![silence; 2]].concat();
         let (at, mut told) = answering(answers).await;
         let instance = instance(&folder, at);
-        instance.borrow_mut().outcomes.push_back(end(1, "a", false, None));
+        instance.borrow_mut().add_outcome(end(1, "a", false, None));
         let (_platform, seen) = watch::channel(at);
         spawn_local(flush(instance.clone(), seen));
         let mut last = tokio::time::Instant::now();
@@ -86,11 +88,10 @@
             let gap = gap().await;
             assert!((wanted..wanted + 5).contains(&gap), "{gap} ms, not {wanted}");
         }
-        while !instance.borrow().outcomes.is_empty() {
+        while !instance.borrow().all_outcomes_confirmed() {
             tokio::task::yield_now().await;
         }
-        instance.borrow_mut().outcomes.push_back(end(2, "b", false, None));
-        instance.borrow().outcome_waits.notify_one();
+        instance.borrow_mut().add_outcome(end(2, "b", false, None));
         gap().await;
         assert!((100..105).contains(&gap().await), "once one is confirmed it is soon again");
     });
--- /dev/null
+++ b/crates/quillhub-server/src/startup.rs
@@ -0,0 +1,249 @@
+//! Startup: opens what an instance needs, recovers its messages, and serves until it is told to stop.
+//!
+//! Invariant: the first client is answered once what the log held is pending again.
+
+use crate::clients::{self, Phase};
+use crate::configuration;
+use crate::discovery;
+use crate::instance::{Instance, InstanceParts};
+use crate::outcomes;
+use crate::peers::Peers;
+use crate::pool::ConnectionPool;
+use crate::shutdown::{self, ClientConnections};
+use crate::wal::{RecoveredMessage, Wal};
+use quillhub::{Dispatcher, MessageId};
+use quillhub_settings::At;
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::future::Future;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::{Semaphore, watch};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+
+/// Descriptors for all that is neither a client's connection nor one to an endpoint.
+const OTHER_DESCRIPTORS: usize = 64;
+/// Part of the rest that clients' connections may take: a half, as each may bring an attempt.
+const CLIENTS_PART: usize = 2;
+/// Part of it that idle connections to endpoints may take; attempts in flight have the last quarter, and that of the
+/// idle ones as they need it.
+const IDLE_PART: usize = 4;
+/// How often closed idle connections are looked for: well within the time that one is pooled.
+const CLOSE_EXPIRED_INTERVAL: Duration = Duration::from_millis(500);
+/// How long a start waits for discovery's first response: it responds at once, unless it is down.
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Pause before a job that panicked is started again.
+const RESTART_PAUSE: Duration = Duration::from_millis(50);
+
+/// What the configuration says of an instance.
+struct Settings {
+    dispatcher: Dispatcher,
+    /// Whether responses hold load reports.
+    load_reports: bool,
+    /// Where clients connect.
+    listen: SocketAddr,
+    /// Octets that the state directory may hold.
+    state_budget: u64,
+    connections: ConnectionLimits,
+    connect_timeout: Duration,
+    /// When endpoints close idle connections.
+    idle_timeout: Duration,
+    /// Whether discovery tells of changes only when it is polled.
+    must_be_polled: bool,
+    gossip: Option<GossipAddresses>,
+}
+
+/// The addresses of gossip between instances.
+struct GossipAddresses {
+    listen: SocketAddr,
+    /// Reaches all instances.
+    all: SocketAddr,
+    /// This instance's own.
+    own: Option<SocketAddr>,
+}
+
+/// How many connections there may be, so that descriptors are left for the rest.
+struct ConnectionLimits {
+    clients: usize,
+    endpoints: usize,
+    /// Of those to endpoints.
+    idle: usize,
+}
+
+impl ConnectionLimits {
+    fn within(descriptors: usize) -> Self {
+        let free = descriptors.saturating_sub(OTHER_DESCRIPTORS);
+        Self {
+            clients: (free / CLIENTS_PART).max(1),
+            endpoints: free - free / CLIENTS_PART,
+            idle: free / IDLE_PART,
+        }
+    }
+}
+
+impl Settings {
+    fn read(top: &At) -> Result<Self, String> {
+        let (dispatcher, load_reports) = configuration::courier(top)?;
+        let listen = configuration::listen(top)?;
+        let (state_budget, descriptors) = configuration::bounds(top)?;
+        let (connect_timeout, idle_timeout) = configuration::connections(top)?;
+        let must_be_polled = configuration::must_be_asked(top)?;
+        let gossip = configuration::notes(top)?;
+        Ok(Self {
+            dispatcher,
+            load_reports,
+            listen,
+            state_budget,
+            connections: ConnectionLimits::within(descriptors),
+            connect_timeout,
+            idle_timeout,
+            must_be_polled,
+            gossip: gossip.map(|(listen, all, own)| GossipAddresses { listen, all, own }),
+        })
+    }
+}
+
+/// An instance that has not begun to work.
+struct Opened {
+    instance: Rc<RefCell<Instance>>,
+    peers: Option<Rc<Peers>>,
+    /// What its log held.
+    recovered: BTreeMap<MessageId, RecoveredMessage>,
+}
+
+/// Runs an instance until `stop` is done and its shutdown is over; `discovery` is where discovery and the platform
+/// are.
+///
+/// # Errors
+///
+/// If the instance cannot start.
+pub async fn run(
+    top: &At<'_>,
+    state: &Path,
+    discovery: watch::Receiver<SocketAddr>,
+    stop: impl Future<Output = ()>,
+) -> Result<(), String> {
+    let settings = Settings::read(top)?;
+    let (listen, max_clients) = (settings.listen, settings.connections.clients);
+    let must_be_polled = settings.must_be_polled;
+    let Opened { instance, peers, recovered } = open(settings, state).await?;
+    let revision = match top.get("known") {
+        Some(known) => Some(discovery::tell(&mut instance.borrow_mut(), known.value, false)?),
+        None => None,
+    };
+    flush_outcomes(&instance, &discovery);
+    follow_discovery(&instance, discovery, revision, must_be_polled);
+    recover(&instance, recovered).await;
+    if let Some(peers) = peers {
+        receive_gossip(&instance, peers);
+    }
+    close_expired_connections(&instance);
+    let listener = TcpListener::bind(listen).await.map_err(failed("the address cannot be listened on"))?;
+    tracing::info!(%listen, "serving");
+    let clients = accept_clients(&instance, listener, max_clients);
+    stop.await;
+    tracing::info!("stopping");
+    shutdown::shut_down(&instance, &clients).await;
+    tracing::info!("stopped");
+    Ok(())
+}
+
+fn failed(what: &'static str) -> impl Fn(io::Error) -> String {
+    move |error| format!("{what}: {error}")
+}
+
+/// Opens what the instance needs.
+async fn open(settings: Settings, state: &Path) -> Result<Opened, String> {
+    let peers = match settings.gossip {
+        Some(GossipAddresses { listen, all, own }) => {
+            let peers = Peers::open(listen, all, own).await;
+            Some(Rc::new(peers.map_err(failed("the address for notes cannot be used"))?))
+        }
+        None => None,
+    };
+    let opened = Wal::open(state, settings.state_budget);
+    let (wal, recovered) = opened.map_err(failed("the lasting folder cannot be used"))?;
+    let instance = Instance::new(InstanceParts {
+        dispatcher: settings.dispatcher,
+        wal,
+        pool: ConnectionPool::new(settings.idle_timeout, settings.connections.idle),
+        connect_timeout: settings.connect_timeout,
+        peers: peers.clone(),
+        load_reports: settings.load_reports,
+    });
+    instance.borrow_mut().limit_connections(settings.connections.endpoints);
+    Ok(Opened { instance, peers, recovered })
+}
+
+/// Recovers what the log held. Against attempts by the list that the last process had: what discovery has now counts
+/// as heard from the first moment on, and the messages go by it at once. Delays a start while discovery is silent.
+async fn recover(instance: &RefCell<Instance>, recovered: BTreeMap<MessageId, RecoveredMessage>) {
+    let responded = instance.borrow().discovery_responded();
+    instance.borrow_mut().handle_event(|_| ());
+    let _ = timeout(FIRST_RESPONSE_TIMEOUT, responded.notified()).await;
+    instance.borrow_mut().recover(recovered);
+}
+
+/// Keeps a job running that is to last as long as the process: a panic ends only what it was at.
+pub fn supervise<F: Future<Output = ()> + 'static>(job: impl Fn() -> F + 'static) {
+    spawn_local(async move {
+        while spawn_local(job()).await.is_err() {
+            sleep(RESTART_PAUSE).await;
+        }
+    });
+}
+
+fn flush_outcomes(instance: &Rc<RefCell<Instance>>, platform: &watch::Receiver<SocketAddr>) {
+    let (instance, platform) = (instance.clone(), platform.clone());
+    supervise(move || outcomes::flush(instance.clone(), platform.clone()));
+}
+
+fn follow_discovery(
+    instance: &Rc<RefCell<Instance>>,
+    discovery: watch::Receiver<SocketAddr>,
+    revision: Option<u64>,
+    must_be_polled: bool,
+) {
+    let (instance, progress) = (instance.clone(), discovery::Progress::new(revision));
+    supervise(move || {
+        discovery::follow(instance.clone(), discovery.clone(), progress.clone(), must_be_polled)
+    });
+}
+
+fn receive_gossip(instance: &Rc<RefCell<Instance>>, peers: Rc<Peers>) {
+    let instance = instance.clone();
+    supervise(move || {
+        let instance = instance.clone();
+        peers.clone().hear(move |gossip| {
+            instance.borrow_mut().handle_event(|dispatcher| dispatcher.gossip_received(gossip));
+        })
+    });
+}
+
+fn close_expired_connections(instance: &Rc<RefCell<Instance>>) {
+    let instance = instance.clone();
+    supervise(move || {
+        let instance = instance.clone();
+        async move {
+            loop {
+                sleep(CLOSE_EXPIRED_INTERVAL).await;
+                instance.borrow_mut().close_expired_connections();
+            }
+        }
+    });
+}
+
+fn accept_clients(instance: &Rc<RefCell<Instance>>, listener: TcpListener, max: usize) -> ClientConnections {
+    let (phase, seen) = watch::channel(Phase::Serving);
+    let permits = Arc::new(Semaphore::new(max));
+    let admission = clients::Admission::new(seen, permits.clone());
+    let (instance, listener) = (instance.clone(), Rc::new(listener));
+    supervise(move || clients::accept(instance.clone(), listener.clone(), admission.clone()));
+    ClientConnections { phase, permits, max }
+}
--- a/crates/quillhub-server/src/test_support.rs
+++ b/crates/quillhub-server/src/test_support.rs
@@ -1,10 +1,10 @@
 //! Helpers of the tests: a configuration, and a instance on it.
 
-use crate::instance::Instance;
+use crate::instance::{Instance, InstanceParts};
 use crate::pool::ConnectionPool;
 use crate::wal::Wal;
 use quillhub::{EndpointState, EndpointUpdate};
-pub use quillhub_fakes::scratch::{Folder, on_one_thread};
+pub use quillhub_fakes::scratch::{Folder, Folder as StateDirectory, on_one_thread};
 pub use quillhub_fakes::scripted::{OK, answering, full};
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -14,7 +14,7 @@
 
 pub const LONG: Duration = Duration::from_secs(60);
 
-/// A configuration for a courier with a lasting folder of 1 MB; all its addresses are picked by the system.
+/// A configuration of an instance with a state directory of 1 MB; all its addresses are picked by the system.
 pub fn configuration() -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
         "limits": {"sockets": 256, "disk_mb": 1},
@@ -24,18 +24,30 @@
             {"name": "marked", "effect": "guarded", "memorySpanUs": 3000000, "aimUs": 1000000, "giveUpUs": 9000000}]}})
 }
 
-/// A instance on `folder` with destination 9 at `at`, which has taken back what the folder held.
-pub fn instance(folder: &Folder, at: SocketAddr) -> Rc<RefCell<Instance>> {
-    instance_with(7, &configuration()["settings"], folder, at)
+/// An instance on a state directory, whose messages it has recovered, with the endpoint `e` of destination 9 at `at`.
+pub fn instance(directory: &StateDirectory, at: SocketAddr) -> Rc<RefCell<Instance>> {
+    instance_with(7, &configuration()["settings"], directory, at)
 }
 
 /// The same with another seed and other settings.
-pub fn instance_with(seed: u64, settings: &Value, folder: &Folder, at: SocketAddr) -> Rc<RefCell<Instance>> {
+pub fn instance_with(
+    seed: u64,
+    settings: &Value,
+    directory: &StateDirectory,
+    at: SocketAddr,
+) -> Rc<RefCell<Instance>> {
     let (dispatcher, _) = quillhub_settings::read(seed, settings).unwrap();
-    let (wal, recovered) = Wal::open(&folder.0, 1 << 20).unwrap();
-    let instance = Instance::new(dispatcher, wal, ConnectionPool::new(LONG, 8), LONG, None, false);
+    let (wal, recovered) = Wal::open(&directory.0, 1 << 20).unwrap();
+    let instance = Instance::new(InstanceParts {
+        dispatcher,
+        wal,
+        pool: ConnectionPool::new(LONG, 8),
+        connect_timeout: LONG,
+        peers: None,
+        load_reports: false,
+    });
     let mut new = instance.borrow_mut();
-    new.pool.listed("e", at);
+    new.endpoint_listed("e", at);
     new.handle_event(|dispatcher| {
         dispatcher.endpoint_updated(EndpointUpdate {
             name: "e",
--- a/crates/quillhub-server/src/wal_format_tests.rs
+++ b/crates/quillhub-server/src/wal/format_tests.rs
@@ -2,8 +2,11 @@
 //! by it and is kept under `tests/fixtures`. A change that breaks one of these cannot read what an older instance
 //! left behind.
 
+use super::record::{RecordedAttempt, from_millis};
 use super::*;
-use crate::test_support::Folder;
+use crate::test_support::StateDirectory;
+use std::fs::OpenOptions;
+use std::time::Duration;
 
 /// Bytes that the directories of these tests may hold.
 const BUDGET: u64 = 1 << 20;
@@ -38,10 +41,10 @@
 
 /// What `append` adds to an empty directory.
 fn appended(append: impl FnOnce(&mut Wal) -> io::Result<()>) -> Vec<u8> {
-    let folder = Folder::new();
-    let (mut wal, _) = Wal::open(&folder.0, BUDGET).unwrap();
+    let directory = StateDirectory::new();
+    let (mut wal, _) = Wal::open(&directory.0, BUDGET).unwrap();
     append(&mut wal).unwrap();
-    fs::read(folder.0.join(FIRST_SEGMENT)).unwrap()
+    fs::read(directory.0.join(FIRST_SEGMENT)).unwrap()
 }
 
 #[test]
@@ -68,7 +71,7 @@
 }
 
 #[test]
-fn an_attempt_that_may_have_run_is_recorded_in_these_octets() {
+fn the_start_of_an_attempt_is_recorded_in_these_octets() {
     let octets = appended(|wal| wal.attempt_started(MESSAGE, 3, from_millis(YEAR_2020), "e1"));
     let expected = [
         &b"\x17\0\0\0\xaa\x8b\xcb\x3b\x02\x02\x01\0\0\0\0\0\0"[..], // length, checksum, kind, message
@@ -78,24 +81,22 @@
 }
 
 #[test]
-fn an_attempt_that_did_not_run_is_recorded_in_these_octets() {
+fn an_attempt_that_did_not_execute_its_message_is_recorded_in_these_octets() {
     let octets = appended(|wal| wal.not_executed(MESSAGE, 3));
     assert_eq!(octets, b"\x0d\0\0\0\xfd\xc4\xbe\x8d\x03\x02\x01\0\0\0\0\0\0\x03\0\0\0");
 }
 
 #[test]
-fn each_final_answer_is_recorded_in_these_octets() {
-    let answered = |denied, wait| appended(|wal| wal.outcome_decided(MESSAGE, denied, wait));
+fn each_final_outcome_is_recorded_in_these_octets() {
+    let decided = |result| appended(|wal| wal.outcome_decided(MESSAGE, result));
+    let rejected = |retry_after| decided(FinalResult::Rejected { retry_after });
     assert_eq!(
-        answered(true, Some(Duration::from_millis(1_500))),
+        rejected(Some(Duration::from_millis(1_500))),
         b"\x12\0\0\0\xaa\x41\x16\x02\x04\x02\x01\0\0\0\0\0\0\x01\xdc\x05\0\0\0\0\0\0"
     );
+    assert_eq!(rejected(None), b"\x12\0\0\0\x5e\x0d\x9c\x01\x04\x02\x01\0\0\0\0\0\0\x01\0\0\0\0\0\0\0\0");
     assert_eq!(
-        answered(true, None),
-        b"\x12\0\0\0\x5e\x0d\x9c\x01\x04\x02\x01\0\0\0\0\0\0\x01\0\0\0\0\0\0\0\0"
-    );
-    assert_eq!(
-        answered(false, None),
+        decided(FinalResult::Abandoned),
         b"\x12\0\0\0\x1d\x19\xe7\x16\x04\x02\x01\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0"
     );
 }
@@ -111,13 +112,13 @@
     file.set_len(file.metadata().unwrap().len() - octets).unwrap();
 }
 
-/// Writes what the kept directory holds: every kind of record, by two processes that were killed while they wrote.
-fn write_directory(folder: &Path) -> io::Result<()> {
-    let (mut wal, _) = Wal::open(folder, BUDGET)?;
+/// Writes what the directory under `tests/fixtures` holds: every kind of record, by two processes that were killed while they wrote.
+fn write_directory(directory: &Path) -> io::Result<()> {
+    let (mut wal, _) = Wal::open(directory, BUDGET)?;
     let mut accept = |id, message: RecoveredMessage| wal.accepted(id, &accepted_payload(&message));
     accept(1, message("once", "untried-once", b"one"))?;
-    let untried = with_key(message("free", "untried-free", b"\0\r\n\xff"), "key-2");
-    accept(2, RecoveredMessage { ordering_key: Some(0x1a2b), ..untried })?;
+    let unattempted = with_key(message("free", "untried-free", b"\0\r\n\xff"), "key-2");
+    accept(2, RecoveredMessage { ordering_key: Some(0x1a2b), ..unattempted })?;
     accept(3, message("once", "once-that-may-have-run", b"three"))?;
     accept(4, message("once", "once-that-did-not-run", b"four"))?;
     accept(5, message("free", "idempotent-that-may-have-run", b"five"))?;
@@ -136,78 +137,87 @@
         wal.attempt_started(id, 0, from_millis(YEAR_2020), "e1")?;
     }
     wal.not_executed(14, 0)?;
-    wal.outcome_decided(8, true, Some(Duration::from_millis(1_500)))?;
-    wal.outcome_decided(9, true, None)?;
-    wal.outcome_decided(15, true, None)?;
+    wal.outcome_decided(8, FinalResult::Rejected { retry_after: Some(Duration::from_millis(1_500)) })?;
+    wal.outcome_decided(9, FinalResult::Rejected { retry_after: None })?;
+    wal.outcome_decided(15, FinalResult::Rejected { retry_after: None })?;
     wal.accepted(16, &accepted_payload(&message("free", "torn", b"sixteen")))?;
     drop(wal);
-    tear(&folder.join(FIRST_SEGMENT), 5);
+    tear(&directory.join(FIRST_SEGMENT), 5);
 
-    let (mut wal, _) = Wal::open(folder, BUDGET)?;
+    let (mut wal, _) = Wal::open(directory, BUDGET)?;
     wal.not_executed(4, 0)?;
     wal.attempt_started(5, 0, from_millis(YEAR_2020), "e1")?;
     wal.attempt_started(6, 0, from_millis(YEAR_2020), "e1")?;
     wal.attempt_started(7, 0, from_millis(YEAR_2020), "e1")?;
     wal.attempt_started(14, 1, from_millis(YEAR_2020 + 1_000), "e2")?;
-    wal.outcome_decided(10, false, None)?;
+    wal.outcome_decided(10, FinalResult::Abandoned)?;
     wal.finished(12)?;
     wal.finished(15)?;
     wal.finished(1)?;
     drop(wal);
-    tear(&folder.join(SECOND_SEGMENT), 1);
+    tear(&directory.join(SECOND_SEGMENT), 1);
     Ok(())
 }
 
 #[test]
 fn a_state_directory_is_written_in_the_octets_of_the_first_version() {
-    let folder = Folder::new();
-    write_directory(&folder.0).unwrap();
+    let directory = StateDirectory::new();
+    write_directory(&directory.0).unwrap();
     for segment in [FIRST_SEGMENT, SECOND_SEGMENT] {
         let expected = fs::read(fixture().join(segment)).unwrap();
-        assert_eq!(fs::read(folder.0.join(segment)).unwrap(), expected, "{segment}");
+        assert_eq!(fs::read(directory.0.join(segment)).unwrap(), expected, "{segment}");
     }
-    assert_eq!(fs::read_dir(&folder.0).unwrap().count(), 2);
+    assert_eq!(fs::read_dir(&directory.0).unwrap().count(), 2);
 }
 
 #[test]
 fn a_state_directory_of_the_first_version_is_read_back_to_the_letter() {
-    let folder = Folder::new();
+    let directory = StateDirectory::new();
     for segment in [FIRST_SEGMENT, SECOND_SEGMENT] {
-        fs::write(folder.0.join(segment), fs::read(fixture().join(segment)).unwrap()).unwrap();
+        fs::write(directory.0.join(segment), fs::read(fixture().join(segment)).unwrap()).unwrap();
     }
-    let (mut wal, owed) = Wal::open(&folder.0, BUDGET).unwrap();
-    let ran = |attempt, milliseconds, endpoint: &str| {
-        (attempt, Some((from_millis(milliseconds), endpoint.to_owned())))
+    let (mut wal, pending) = Wal::open(&directory.0, BUDGET).unwrap();
+    let started = |attempt, milliseconds, endpoint: &str| {
+        let (started, endpoint) = (from_millis(milliseconds), endpoint.to_owned());
+        (attempt, RecordedAttempt::PossiblyExecuted { started, endpoint })
     };
-    let sends = |attempts: &[(u32, Option<(SystemTime, String)>)]| attempts.iter().cloned().collect();
-    let ran_once = || sends(&[ran(0, YEAR_2020, "e1")]);
+    let not_executed = |attempt| (attempt, RecordedAttempt::NotExecuted);
+    let attempts = |attempts: &[(u32, RecordedAttempt)]| attempts.iter().cloned().collect();
+    let started_once = || attempts(&[started(0, YEAR_2020, "e1")]);
     let free = |request, body| message("free", request, body);
     let once = |request, body| message("once", request, body);
-    let untried = with_key(free("untried-free", b"\0\r\n\xff"), "key-2");
+    let unattempted = with_key(free("untried-free", b"\0\r\n\xff"), "key-2");
     let keyed = with_key(message("keyed", "keyed-that-may-have-run", b"six"), "key-6");
     let forgotten = with_key(message("keyed-briefly", "key-forgotten", b"seven"), "key-7");
     let wait = Duration::from_millis(1_500);
+    let rejected = |retry_after| Some(FinalResult::Rejected { retry_after });
     let expected = BTreeMap::from([
         (1, once("untried-once", b"one")),
-        (2, RecoveredMessage { ordering_key: Some(0x1a2b), ..untried }),
-        (3, RecoveredMessage { attempts: ran_once(), ..once("once-that-may-have-run", b"three") }),
-        (4, RecoveredMessage { attempts: sends(&[(0, None)]), ..once("once-that-did-not-run", b"four") }),
-        (5, RecoveredMessage { attempts: ran_once(), ..free("idempotent-that-may-have-run", b"five") }),
-        (6, RecoveredMessage { attempts: ran_once(), ..keyed }),
-        (7, RecoveredMessage { attempts: ran_once(), ..forgotten }),
-        (8, RecoveredMessage { outcome: Some((true, Some(wait))), ..free("denied-with-wait", b"eight") }),
-        (9, RecoveredMessage { outcome: Some((true, None)), ..free("denied", b"nine") }),
-        (10, RecoveredMessage { outcome: Some((false, None)), ..once("dead", b"ten") }),
+        (2, RecoveredMessage { ordering_key: Some(0x1a2b), ..unattempted }),
+        (3, RecoveredMessage { attempts: started_once(), ..once("once-that-may-have-run", b"three") }),
+        (
+            4,
+            RecoveredMessage {
+                attempts: attempts(&[not_executed(0)]),
+                ..once("once-that-did-not-run", b"four")
+            },
+        ),
+        (5, RecoveredMessage { attempts: started_once(), ..free("idempotent-that-may-have-run", b"five") }),
+        (6, RecoveredMessage { attempts: started_once(), ..keyed }),
+        (7, RecoveredMessage { attempts: started_once(), ..forgotten }),
+        (8, RecoveredMessage { outcome: rejected(Some(wait)), ..free("denied-with-wait", b"eight") }),
+        (9, RecoveredMessage { outcome: rejected(None), ..free("denied", b"nine") }),
+        (10, RecoveredMessage { outcome: Some(FinalResult::Abandoned), ..once("dead", b"ten") }),
         (13, message("unheard", "of-unknown-class", b"thirteen")),
         (
             14,
             RecoveredMessage {
-                attempts: sends(&[(0, None), ran(1, YEAR_2020 + 1_000, "e2")]),
+                attempts: attempts(&[not_executed(0), started(1, YEAR_2020 + 1_000, "e2")]),
                 ..once("once-of-two-attempts", b"fourteen")
             },
         ),
     ]);
-    assert_eq!(owed, expected);
+    assert_eq!(pending, expected);
     assert_eq!(wal.next_id(), 16, "the torn record's id is free, those of finished messages are not");
-    assert!(folder.0.join("wal-0000000002").exists(), "new records go to a segment of their own");
+    assert!(directory.0.join("wal-0000000002").exists(), "new records go to a segment of their own");
 }
