--- a/crates/quillhub-server/src/clients.rs
+++ b/crates/quillhub-server/src/clients.rs
@@ -51,7 +51,7 @@
     Answer(Vec<u8>),
     /// An answer for a notice that is taken on once it is written.
     Confirm(u64),
-    Error(&'static str),
+    Error(String),
     ErrorAndClose(&'static str),
 }
 
@@ -90,8 +90,8 @@
         }) {
             SubmitOutcome::Accepted(id) => Next::Confirm(id),
             SubmitOutcome::Busy { retry_after: come_back } => Next::Answer(resp::busy(come_back)),
-            SubmitOutcome::Failed(why) => Next::Answer(resp::error(why)),
-            SubmitOutcome::Invalid(why) => Next::Error(why),
+            SubmitOutcome::Failed(why) => Next::Answer(resp::error(&why.to_string())),
+            SubmitOutcome::Invalid(why) => Next::Error(why.to_string()),
         },
     )
 }
@@ -104,7 +104,7 @@
     match parts {
         [] if name.eq_ignore_ascii_case(b"PING") => Next::Answer(resp::PONG.to_vec()),
         [text] if name.eq_ignore_ascii_case(b"PING") => Next::Answer(resp::bulk(text)),
-        _ => Next::Error("unknown command"),
+        _ => Next::Error("unknown command".to_owned()),
     }
 }
 
@@ -338,7 +338,8 @@
                 error = resp::error(why);
                 (&error[..], None)
             }
-            Next::Error(why) | Next::ErrorAndClose(why) => return dismiss(stream, why).await,
+            Next::Error(why) => return dismiss(stream, why).await,
+            Next::ErrorAndClose(why) => return dismiss(stream, why).await,
         };
         let written = timeout(WRITING, stream.write_all(octets)).await;
         if !matches!(written, Ok(Ok(()))) {
--- a/crates/quillhub-server/src/command.rs
+++ b/crates/quillhub-server/src/command.rs
@@ -77,7 +77,7 @@
             Some(()) => text(config),
             None => std::future::pending().await,
         };
-        crate::serve(&text(config)?, state, stop, next).await
+        crate::serve(&text(config)?, state, stop, next).await.map_err(|error| error.to_string())
     })
 }
 
--- /dev/null
+++ b/crates/quillhub-server/src/error.rs
@@ -0,0 +1,20 @@
+//! Why an instance cannot start.
+
+use std::io;
+
+/// Why [`serve`](crate::serve) cannot run an instance; the text is one line.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// The configuration cannot be used; the text says where, what was expected and what was found.
+    #[error("{0}")]
+    Configuration(String),
+    /// The address for gossip with other instances cannot be used.
+    #[error("the address for notes cannot be used: {0}")]
+    GossipAddress(#[source] io::Error),
+    /// The state directory cannot be read, or no segment can be created in it.
+    #[error("the lasting folder cannot be used: {0}")]
+    StateDirectory(#[source] io::Error),
+    /// The clients' address cannot be listened on.
+    #[error("the address cannot be listened on: {0}")]
+    Listen(#[source] io::Error),
+}
--- a/crates/quillhub-server/src/instance/mod.rs
+++ b/crates/quillhub-server/src/instance/mod.rs
@@ -18,7 +18,7 @@
 use crate::attempts::{AttemptEnd, Verdict};
 use crate::peers::Peers;
 use crate::pool::ConnectionPool;
-use crate::wal::{FinalResult, Wal};
+use crate::wal::{AppendError, FinalResult, Wal};
 use messages::Messages;
 use outcome_queue::OutcomeQueue;
 use quillhub::{AttemptResult, Dispatcher, MessageId};
@@ -83,7 +83,7 @@
 }
 
 /// Logs that `record` could not be written. The instance goes on: what is only in memory is lost with the process.
-fn log_failed_write(record: &str, result: std::io::Result<()>) {
+fn log_failed_write(record: &str, result: Result<(), AppendError>) {
     if let Err(error) = result {
         tracing::error!(%error, "{record} could not be written to the lasting folder");
     }
@@ -216,7 +216,7 @@
     }
 
     /// Writes the record of a message's acceptance, if that is still to be done.
-    fn write_record(&mut self, id: MessageId) -> std::io::Result<()> {
+    fn write_record(&mut self, id: MessageId) -> Result<(), AppendError> {
         let Some(message) = self.messages.get_mut(id) else { return Ok(()) };
         if let Some(record) = &message.unwritten_record {
             self.wal.accepted(id, record)?;
--- a/crates/quillhub-server/src/instance/submission.rs
+++ b/crates/quillhub-server/src/instance/submission.rs
@@ -38,9 +38,34 @@
         retry_after: Option<Duration>,
     },
     /// It could not be accepted.
-    Failed(&'static str),
+    Failed(SubmitFailure),
     /// What was handed in cannot be a message.
-    Invalid(&'static str),
+    Invalid(InvalidSubmission),
+}
+
+/// Why a message could not be accepted; clients are told these texts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SubmitFailure {
+    /// Its record cannot be written; the cause is in the log.
+    #[error("the lasting folder cannot be written")]
+    StateDirectory,
+    /// The dispatcher gave it up at once, and its service class does not allow a rejection.
+    #[error("written off")]
+    Abandoned,
+}
+
+/// Why a submission cannot be a message; clients are told these texts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidSubmission {
+    /// A message of the same client id is pending or was finished a short while ago.
+    #[error("the id is held already")]
+    DuplicateClientId,
+    /// Discovery lists no endpoint of the destination.
+    #[error("unknown destination")]
+    UnknownDestination,
+    /// The settings have no such service class.
+    #[error("unknown grade")]
+    UnknownServiceClass,
 }
 
 impl From<FinalResult> for SubmitOutcome {
@@ -48,7 +73,7 @@
     fn from(result: FinalResult) -> Self {
         match result {
             FinalResult::Rejected { retry_after } => Self::Busy { retry_after },
-            FinalResult::Abandoned => Self::Failed("written off"),
+            FinalResult::Abandoned => Self::Failed(SubmitFailure::Abandoned),
         }
     }
 }
@@ -59,11 +84,11 @@
         self.messages.forget_old_client_ids(self.now());
         // Against ids of pending messages: two of one id could not be told apart at their endpoints.
         if self.messages.knows_client_id(submission.client_id) {
-            return SubmitOutcome::Invalid("the id is held already");
+            return SubmitOutcome::Invalid(InvalidSubmission::DuplicateClientId);
         }
         let knows = |destination| self.dispatcher.as_ref().is_some_and(|d| d.knows_destination(destination));
         if !knows(submission.destination) {
-            return SubmitOutcome::Invalid("unknown destination");
+            return SubmitOutcome::Invalid(InvalidSubmission::UnknownDestination);
         }
         let id = self.wal.next_id();
         let recorded = recorded(&submission);
@@ -94,7 +119,7 @@
         });
         if accepted.is_err() {
             self.messages.remove(id);
-            return Some(SubmitOutcome::Invalid("unknown grade"));
+            return Some(SubmitOutcome::Invalid(InvalidSubmission::UnknownServiceClass));
         }
         self.immediate_outcome.take()
     }
@@ -108,7 +133,7 @@
         if let Err(error) = self.write_record(id) {
             tracing::error!(%error, "a message could not be taken on");
             self.withdraw(id);
-            return SubmitOutcome::Failed("the lasting folder cannot be written");
+            return SubmitOutcome::Failed(SubmitFailure::StateDirectory);
         }
         SubmitOutcome::Accepted(id)
     }
--- a/crates/quillhub-server/src/instance/tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -1,4 +1,5 @@
 use super::messages::CLIENT_ID_REMEMBERED;
+use super::submission::{InvalidSubmission, SubmitFailure};
 use super::*;
 use crate::test_support::{OK, StateDirectory, answering, full, instance, on_one_thread};
 use crate::wal::{self, RecoveredMessage};
@@ -132,7 +133,10 @@
     on_one_thread(async {
         let (at, _listener) = silent().await;
         let instance = instance(&folder, at);
-        assert_eq!(take(&instance, "unheard"), SubmitOutcome::Invalid("unknown grade"));
+        assert_eq!(
+            take(&instance, "unheard"),
+            SubmitOutcome::Invalid(InvalidSubmission::UnknownServiceClass)
+        );
         for _ in 0..8 {
             assert!(matches!(take(&instance, "once"), SubmitOutcome::Accepted(_)));
         }
@@ -168,7 +172,7 @@
         let take = || take_with(&instance, "free", &body);
         assert_eq!(take(), SubmitOutcome::Accepted(1));
         for _ in 0..2 {
-            assert_eq!(take(), SubmitOutcome::Failed("the lasting folder cannot be written"));
+            assert_eq!(take(), SubmitOutcome::Failed(SubmitFailure::StateDirectory));
         }
         while !instance.borrow().is_idle() {
             tokio::task::yield_now().await;
@@ -371,10 +375,10 @@
                 body: b"body",
             })
         };
-        let held = SubmitOutcome::Invalid("the id is held already");
+        let held = SubmitOutcome::Invalid(InvalidSubmission::DuplicateClientId);
         assert_eq!(take(&first, b"a", 9), SubmitOutcome::Accepted(1));
         assert_eq!(take(&first, b"a", 9), held);
-        assert_eq!(take(&first, b"b", 404), SubmitOutcome::Invalid("unknown destination"));
+        assert_eq!(take(&first, b"b", 404), SubmitOutcome::Invalid(InvalidSubmission::UnknownDestination));
         assert_eq!((first.borrow().messages.len(), first.borrow().attempts_in_flight), (1, 1));
         drop(first);
         let second = instance(&folder, at);
--- a/crates/quillhub-server/src/lib.rs
+++ b/crates/quillhub-server/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod command;
 mod configuration;
 mod discovery;
+mod error;
 pub mod http;
 mod instance;
 pub mod link;
@@ -24,6 +25,7 @@
 mod wal;
 
 pub use discovery::MOST_LINE;
+pub use error::ServeError;
 
 use quillhub_settings::At;
 use std::future::Future;
@@ -43,10 +45,11 @@
     state: &Path,
     stop: impl Future<Output = ()>,
     next: impl AsyncFnMut() -> Result<String, String>,
-) -> Result<(), String> {
-    let value = configuration::parse(text)?;
+) -> Result<(), ServeError> {
+    let value = configuration::parse(text).map_err(ServeError::Configuration)?;
     let top = At::top(&value);
-    let (address, discovery) = watch::channel(configuration::discovery(&top)?);
+    let (address, discovery) =
+        watch::channel(configuration::discovery(&top).map_err(ServeError::Configuration)?);
     LocalSet::new()
         .run_until(async {
             tokio::select! {
--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -41,10 +41,11 @@
 fn an_idle_instance_stops_on_request() {
     let folder = StateDirectory::new();
     let ran = on_one_thread(serve(&configuration().to_string(), &folder.0, async {}, pending));
-    assert_eq!(ran, Ok(()));
+    ran.unwrap();
     let missing = folder.0.join("missing");
-    let trouble =
-        on_one_thread(serve(&configuration().to_string(), &missing, async {}, pending)).unwrap_err();
+    let trouble = on_one_thread(serve(&configuration().to_string(), &missing, async {}, pending))
+        .unwrap_err()
+        .to_string();
     assert!(trouble.starts_with("the lasting folder cannot be used"), "{trouble}");
 }
 
@@ -142,7 +143,7 @@
         let mut answer = String::new();
         client.read_to_string(&mut answer).await.unwrap();
         assert_eq!(answer, "+OK\r\n");
-        assert_eq!(ran.await.unwrap(), Ok(()));
+        ran.await.unwrap().unwrap();
     });
     assert_eq!(Wal::open(&folder.0, 1 << 20).unwrap().1[&1].body, b"body");
 }
--- a/crates/quillhub-server/src/startup.rs
+++ b/crates/quillhub-server/src/startup.rs
@@ -5,6 +5,7 @@
 use crate::clients::{self, Phase};
 use crate::configuration;
 use crate::discovery;
+use crate::error::ServeError;
 use crate::instance::{Instance, InstanceParts};
 use crate::outcomes;
 use crate::peers::Peers;
@@ -16,7 +17,6 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::future::Future;
-use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::rc::Rc;
@@ -128,15 +128,12 @@
     state: &Path,
     discovery: watch::Receiver<SocketAddr>,
     stop: impl Future<Output = ()>,
-) -> Result<(), String> {
-    let settings = Settings::read(top)?;
+) -> Result<(), ServeError> {
+    let settings = Settings::read(top).map_err(ServeError::Configuration)?;
     let (listen, max_clients) = (settings.listen, settings.connections.clients);
     let must_be_polled = settings.must_be_polled;
     let Opened { instance, peers, recovered } = open(settings, state).await?;
-    let revision = match top.get("known") {
-        Some(known) => Some(discovery::tell(&mut instance.borrow_mut(), known.value, false)?),
-        None => None,
-    };
+    let revision = list_at_start(top, &instance)?;
     flush_outcomes(&instance, &discovery);
     follow_discovery(&instance, discovery, revision, must_be_polled);
     recover(&instance, recovered).await;
@@ -144,7 +141,7 @@
         receive_gossip(&instance, peers);
     }
     close_expired_connections(&instance);
-    let listener = TcpListener::bind(listen).await.map_err(failed("the address cannot be listened on"))?;
+    let listener = TcpListener::bind(listen).await.map_err(ServeError::Listen)?;
     tracing::info!(%listen, "serving");
     let clients = accept_clients(&instance, listener, max_clients);
     stop.await;
@@ -154,21 +151,17 @@
     Ok(())
 }
 
-fn failed(what: &'static str) -> impl Fn(io::Error) -> String {
-    move |error| format!("{what}: {error}")
-}
-
 /// Opens what the instance needs.
-async fn open(settings: Settings, state: &Path) -> Result<Opened, String> {
+async fn open(settings: Settings, state: &Path) -> Result<Opened, ServeError> {
     let peers = match settings.gossip {
         Some(GossipAddresses { listen, all, own }) => {
             let peers = Peers::open(listen, all, own).await;
-            Some(Rc::new(peers.map_err(failed("the address for notes cannot be used"))?))
+            Some(Rc::new(peers.map_err(ServeError::GossipAddress)?))
         }
         None => None,
     };
     let opened = Wal::open(state, settings.state_budget);
-    let (wal, recovered) = opened.map_err(failed("the lasting folder cannot be used"))?;
+    let (wal, recovered) = opened.map_err(ServeError::StateDirectory)?;
     let instance = Instance::new(InstanceParts {
         dispatcher: settings.dispatcher,
         wal,
@@ -181,6 +174,13 @@
     Ok(Opened { instance, peers, recovered })
 }
 
+/// Takes over the endpoint list that the configuration holds, if it does, and gives its revision.
+fn list_at_start(top: &At, instance: &RefCell<Instance>) -> Result<Option<u64>, ServeError> {
+    let Some(known) = top.get("known") else { return Ok(None) };
+    let revision = discovery::tell(&mut instance.borrow_mut(), known.value, false);
+    revision.map(Some).map_err(ServeError::Configuration)
+}
+
 /// Recovers what the log held. Against attempts by the list that the last process had: what discovery has now counts
 /// as heard from the first moment on, and the messages go by it at once. Delays a start while discovery is silent.
 async fn recover(instance: &RefCell<Instance>, recovered: BTreeMap<MessageId, RecoveredMessage>) {
--- a/crates/quillhub-server/src/wal/format_tests.rs
+++ b/crates/quillhub-server/src/wal/format_tests.rs
@@ -40,7 +40,7 @@
 }
 
 /// What `append` adds to an empty directory.
-fn appended(append: impl FnOnce(&mut Wal) -> io::Result<()>) -> Vec<u8> {
+fn appended(append: impl FnOnce(&mut Wal) -> Result<(), AppendError>) -> Vec<u8> {
     let directory = StateDirectory::new();
     let (mut wal, _) = Wal::open(&directory.0, BUDGET).unwrap();
     append(&mut wal).unwrap();
@@ -113,7 +113,7 @@
 }
 
 /// Writes what the directory under `tests/fixtures` holds: every kind of record, by two processes that were killed while they wrote.
-fn write_directory(directory: &Path) -> io::Result<()> {
+fn write_directory(directory: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let (mut wal, _) = Wal::open(directory, BUDGET)?;
     let mut accept = |id, message: RecoveredMessage| wal.accepted(id, &accepted_payload(&message));
     accept(1, message("once", "untried-once", b"one"))?;
--- a/crates/quillhub-server/src/wal/mod.rs
+++ b/crates/quillhub-server/src/wal/mod.rs
@@ -4,11 +4,13 @@
 //! A row of append-only segments, each a row of frames with one record each. The oldest segment is compacted by
 //! writing again what is still pending of it, so the directory stays within its budget at every moment.
 
+mod error;
 mod frame;
 mod record;
 mod replay;
 mod segment;
 
+pub use error::AppendError;
 pub use record::{FinalResult, RecoveredMessage, accepted_payload};
 
 use frame::frames;
@@ -85,7 +87,7 @@
     }
 
     /// Records that a message is accepted; `payload` is its [`accepted_payload`].
-    pub fn accepted(&mut self, message: MessageId, payload: &[u8]) -> io::Result<()> {
+    pub fn accepted(&mut self, message: MessageId, payload: &[u8]) -> Result<(), AppendError> {
         self.append(RecordKind::Accepted, message, payload)
     }
 
@@ -96,23 +98,23 @@
         attempt: u32,
         started: SystemTime,
         endpoint: &str,
-    ) -> io::Result<()> {
+    ) -> Result<(), AppendError> {
         let payload = record::attempt_started_payload(attempt, started, endpoint);
         self.append(RecordKind::AttemptStarted, message, &payload)
     }
 
     /// Records that an attempt ended without executing the message.
-    pub fn not_executed(&mut self, message: MessageId, attempt: u32) -> io::Result<()> {
+    pub fn not_executed(&mut self, message: MessageId, attempt: u32) -> Result<(), AppendError> {
         self.append(RecordKind::NotExecuted, message, &record::not_executed_payload(attempt))
     }
 
     /// Records a message's final outcome, which the platform is yet to confirm.
-    pub fn outcome_decided(&mut self, message: MessageId, result: FinalResult) -> io::Result<()> {
+    pub fn outcome_decided(&mut self, message: MessageId, result: FinalResult) -> Result<(), AppendError> {
         self.append(RecordKind::OutcomeDecided, message, &record::outcome_payload(result))
     }
 
     /// Records that nothing is left to do for a message. Its space counts as free even if that cannot be written.
-    pub fn finished(&mut self, message: MessageId) -> io::Result<()> {
+    pub fn finished(&mut self, message: MessageId) -> Result<(), AppendError> {
         let result = self.append(RecordKind::Finished, message, &[]);
         self.pending_octets -= self.record_sizes.remove(&message).map_or(0, |octets| octets + LATER_RECORDS);
         result
@@ -128,12 +130,13 @@
         full + self.active.segment().size_on_disk()
     }
 
-    fn append(&mut self, kind: RecordKind, message: MessageId, payload: &[u8]) -> io::Result<()> {
+    fn append(&mut self, kind: RecordKind, message: MessageId, payload: &[u8]) -> Result<(), AppendError> {
         let frame = frame::encode(kind as u8, message, payload);
         let length = frame.len() as u64;
         self.compact(length)?;
-        if self.used() + length + BLOCK > self.budget {
-            return Err(io::Error::new(io::ErrorKind::StorageFull, "the lasting folder is full"));
+        let (used, budget) = (self.used(), self.budget);
+        if used + length + BLOCK > budget {
+            return Err(AppendError::Full { needed: length, used, budget });
         }
         self.write(&frame)?;
         let octets = self.record_sizes.entry(message).or_default();
@@ -144,7 +147,7 @@
 
     /// Compacts full segments, each once at the most, until `length` more octets leave the directory as small as it
     /// should be.
-    fn compact(&mut self, length: u64) -> io::Result<()> {
+    fn compact(&mut self, length: u64) -> Result<(), AppendError> {
         let target = self.budget.min(MAX_FINISHED + 2 * self.pending_octets + 2 * self.reserve());
         for _ in 0..self.full.len() {
             if self.used() + length + self.reserve() <= target {
@@ -156,28 +159,31 @@
     }
 
     /// Writes again what is pending of the oldest segment, and removes it.
-    fn compact_oldest(&mut self) -> io::Result<()> {
-        let Some(oldest) = self.full.front() else { return Ok(()) };
-        let path = segment::path(&self.directory, oldest.number);
-        let octets = fs::read(&path)?;
+    fn compact_oldest(&mut self) -> Result<(), AppendError> {
+        let Some(segment) = self.full.front().map(|oldest| oldest.number) else { return Ok(()) };
+        let path = segment::path(&self.directory, segment);
+        let octets = fs::read(&path).map_err(|source| AppendError::Compact { segment, source })?;
         for frame in frames(&octets) {
             if self.record_sizes.contains_key(&frame.message) {
                 self.write(frame.octets)?;
             }
         }
-        fs::remove_file(path)?;
+        fs::remove_file(path).map_err(|source| AppendError::Compact { segment, source })?;
         self.full.pop_front();
         Ok(())
     }
 
     /// Writes one frame as it is, in a new segment if the active one is full.
-    fn write(&mut self, frame: &[u8]) -> io::Result<()> {
+    fn write(&mut self, frame: &[u8]) -> Result<(), AppendError> {
         let active = self.active.segment();
         if active.size > 0 && active.size + frame.len() as u64 > self.max_segment {
-            self.active = ActiveSegment::create(&self.directory, active.number + 1)?;
+            let segment = active.number + 1;
+            self.active = ActiveSegment::create(&self.directory, segment)
+                .map_err(|source| AppendError::Write { segment, source })?;
             self.full.push_back(active);
         }
-        self.active.append(frame)
+        let segment = self.active.segment().number;
+        self.active.append(frame).map_err(|source| AppendError::Write { segment, source })
     }
 }
 
--- a/crates/quillhub-server/tests/day.rs
+++ b/crates/quillhub-server/tests/day.rs
@@ -129,7 +129,7 @@
         let handled = book.orders.iter().filter(|o| matches!(o.end, Some((_, Answered::Handled)))).count();
         assert!(book.orders.len() == count && handled * 2 > count, "{handled} of {count} handled");
         drop(stop);
-        assert_eq!(courier.join().unwrap(), Ok(()));
+        courier.join().unwrap().unwrap();
         // Repeats of a mark may come, as its destination drops them; of most there is none.
         assert!(ran.values().filter(|runs| **runs > 1).count() * 10 < ran.len().max(10));
     });
--- a/crates/quillhub-server/tests/instance/mod.rs
+++ b/crates/quillhub-server/tests/instance/mod.rs
@@ -4,6 +4,7 @@
 #![allow(dead_code)]
 
 use quillhub_fakes::scratch::Folder;
+use quillhub_server::ServeError;
 use serde_json::{Value, json};
 use std::future::pending;
 use std::net::SocketAddr;
@@ -21,7 +22,7 @@
 pub struct Instance {
     pub listen: SocketAddr,
     stop: oneshot::Sender<()>,
-    ended: JoinHandle<Result<(), String>>,
+    ended: JoinHandle<Result<(), ServeError>>,
 }
 
 impl Instance {
@@ -42,7 +43,7 @@
     /// Stops it, and waits until what it still works on is finished.
     pub async fn stop(self) {
         self.stop.send(()).unwrap();
-        assert_eq!(self.ended.await.unwrap(), Ok(()));
+        self.ended.await.unwrap().unwrap();
     }
 }
 
