--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -61,12 +61,12 @@
             return;
         }
         if verdict.finished {
-            log_failed_write("an end", self.wal.finished(id.message));
+            log_failed_write(id.message, "finished", self.wal.finished(id.message));
             if let Some(message) = self.messages.remove(id.message) {
                 self.messages.remember_client_id(self.now(), message.client_id);
             }
         } else if verdict.outcome.never_executed() {
-            log_failed_write("an outcome", self.wal.not_executed(id.message, id.attempt));
+            log_failed_write(id.message, "not executed", self.wal.not_executed(id.message, id.attempt));
         }
     }
 }
@@ -80,19 +80,19 @@
         let address = self.pool.address(endpoint);
         let request = delivery_request(message, address);
         let recorded = written.is_ok();
-        log_failed_write("a message", written);
+        log_failed_write(id, "accepted", written);
         let pooled = self.pool.take(endpoint);
         if pooled.is_none() {
             let others = self.attempts_in_flight + 1;
             self.pool.close_oldest_beyond(self.max_connections.saturating_sub(others));
         }
         tracing::debug!(
-            message = id,
-            send = attempt,
+            message_id = id,
+            attempt,
             endpoint,
             ?timeout,
-            kept = pooled.is_some(),
-            "call goes"
+            pooled_connection = pooled.is_some(),
+            "attempt starts"
         );
         let id = AttemptId { message: id, attempt, endpoint: endpoint.to_owned() };
         let (weak, asked) = (self.weak.clone(), id.clone());
--- a/crates/quillhub-server/src/instance/mod.rs
+++ b/crates/quillhub-server/src/instance/mod.rs
@@ -82,10 +82,10 @@
     endpoint: String,
 }
 
-/// Logs that `record` could not be written. The instance goes on: what is only in memory is lost with the process.
-fn log_failed_write(record: &str, result: Result<(), AppendError>) {
+/// Logs that a record could not be written. The instance goes on: what is only in memory is lost with the process.
+fn log_failed_write(message_id: MessageId, record: &'static str, result: Result<(), AppendError>) {
     if let Err(error) = result {
-        tracing::error!(%error, "{record} could not be written to the lasting folder");
+        tracing::error!(message_id, record, %error, "record could not be written to the state directory");
     }
 }
 
@@ -199,7 +199,7 @@
     /// The platform has the oldest `count` outcomes: nothing is left to do for their messages.
     pub fn outcomes_confirmed(&mut self, count: usize) {
         for outcome in self.outcomes.take_oldest(count) {
-            log_failed_write("an end", self.wal.finished(outcome.message));
+            log_failed_write(outcome.message, "finished", self.wal.finished(outcome.message));
             self.messages.remember_client_id(self.now(), outcome.client_id);
         }
     }
@@ -209,7 +209,7 @@
         if let Some(message) = self.messages.remove(id) {
             self.messages.release_client_id(&message.client_id);
             if message.unwritten_record.is_none() {
-                log_failed_write("an end", self.wal.finished(id));
+                log_failed_write(id, "finished", self.wal.finished(id));
             }
         }
         self.handle_event(|dispatcher| dispatcher.finish(id));
@@ -229,12 +229,17 @@
     /// else the platform.
     fn finish(&mut self, id: MessageId, result: FinalResult) {
         let Some(message) = self.messages.remove(id) else { return };
-        tracing::debug!(message = id, ?result, attempts = message.attempts, "given up");
+        tracing::debug!(
+            message_id = id,
+            ?result,
+            attempts = message.attempts,
+            "message finished undelivered"
+        );
         if message.unwritten_record.is_some() {
             self.immediate_outcome = Some(result.into());
             return;
         }
-        log_failed_write("an answer", self.wal.outcome_decided(id, result));
+        log_failed_write(id, "outcome decided", self.wal.outcome_decided(id, result));
         self.outcomes.add(FinalOutcome { message: id, client_id: message.client_id, result });
     }
 
@@ -249,7 +254,7 @@
         }
         let written = self.wal.attempt_started(id.message, id.attempt, SystemTime::now(), &id.endpoint);
         let recorded = written.is_ok();
-        log_failed_write("a send", written);
+        log_failed_write(id.message, "attempt started", written);
         recorded
     }
 
@@ -265,7 +270,15 @@
         let load_report = end.result.ok().and_then(|response| response.load_report);
         let load_report = load_report.filter(|_| self.load_reports);
         let outcome = verdict.outcome;
-        tracing::debug!(message, send = attempt, endpoint, ?outcome, took = ?duration, ?load_report, "call ended");
+        tracing::debug!(
+            message_id = message,
+            attempt,
+            endpoint,
+            ?outcome,
+            ?duration,
+            ?load_report,
+            "attempt ended"
+        );
         self.record_attempt(id, &verdict);
         let finished = verdict.finished;
         self.handle_event(|dispatcher| {
--- a/crates/quillhub-server/src/instance/recovery.rs
+++ b/crates/quillhub-server/src/instance/recovery.rs
@@ -64,7 +64,7 @@
         let oldest = executions.map(|(started, _)| elapsed_since(started, wall_clock)).max();
         self.clock_offset = oldest.unwrap_or_default();
         let now = self.now();
-        tracing::info!(messages = messages.len(), "owed from before");
+        tracing::info!(messages = messages.len(), "messages recovered");
         let mut undecided = Vec::new();
         for (id, message) in messages {
             self.messages.reserve_client_id(&message.client_id);
@@ -105,7 +105,11 @@
             messages
         });
         for Recovered { id, service_class, .. } in unknown {
-            tracing::error!(message = id, service_class, "owed, but of no known grade: written off");
+            tracing::error!(
+                message_id = id,
+                service_class,
+                "recovered message of unknown service class is abandoned"
+            );
             self.abandon(id);
         }
     }
--- a/crates/quillhub-server/src/instance/submission.rs
+++ b/crates/quillhub-server/src/instance/submission.rs
@@ -127,11 +127,18 @@
     /// Makes the acceptance last: from here on the message has a final outcome, whatever happens to the process.
     fn commit(&mut self, id: MessageId, submission: &Submission) -> SubmitOutcome {
         let Submission { service_class, destination, time_to_live, client_id, .. } = *submission;
-        let name = String::from_utf8_lossy(client_id);
-        tracing::debug!(message = id, %name, service_class, destination, ?time_to_live, "taken on");
+        let shown_id = String::from_utf8_lossy(client_id);
+        tracing::debug!(
+            message_id = id,
+            client_id = %shown_id,
+            service_class,
+            destination,
+            ?time_to_live,
+            "message accepted"
+        );
         self.messages.reserve_client_id(client_id);
         if let Err(error) = self.write_record(id) {
-            tracing::error!(%error, "a message could not be taken on");
+            tracing::error!(message_id = id, %error, "message could not be accepted");
             self.withdraw(id);
             return SubmitOutcome::Failed(SubmitFailure::StateDirectory);
         }
--- a/crates/quillhub-server/src/outcomes.rs
+++ b/crates/quillhub-server/src/outcomes.rs
@@ -100,19 +100,19 @@
             }
             // One that cannot be read would hold up all others for ever: it is found by itself and given up.
             Ok(Ok(Reply { status: UNREADABLE, .. })) if self.max_outcomes == 1 => {
-                tracing::error!(body, "the platform cannot read this final answer; it is given up");
+                tracing::error!(body, "platform cannot read this final outcome, which is dropped");
                 self.instance.borrow_mut().outcomes_confirmed(count);
             }
             Ok(Ok(Reply { status, .. })) => {
-                tracing::warn!(status, count, "final answers were not taken");
+                tracing::warn!(status, count, "platform did not confirm final outcomes");
                 self.max_outcomes = if status == UNREADABLE { 1 } else { MAX_OUTCOMES };
                 sleep(RETRY_PAUSE).await;
             }
             Ok(Err(error)) => {
-                tracing::debug!(%error, count, "final answers did not get through");
+                tracing::debug!(%error, count, "final outcomes could not be sent");
                 sleep(RETRY_PAUSE).await;
             }
-            Err(Elapsed { .. }) => tracing::debug!(count, "no answer to final answers"),
+            Err(Elapsed { .. }) => tracing::debug!(count, "no response to final outcomes"),
         }
     }
 }
--- a/crates/quillhub-server/src/reload.rs
+++ b/crates/quillhub-server/src/reload.rs
@@ -39,12 +39,12 @@
         match next().await.and_then(|text| Reload::read(started_with, &text)) {
             Ok(Reload { discovery, at_next_start }) => {
                 let moved = address.send_if_modified(|old| std::mem::replace(old, discovery) != discovery);
-                tracing::info!(%discovery, moved, "a new configuration");
+                tracing::info!(%discovery, moved, "configuration reloaded");
                 if !at_next_start.is_empty() {
-                    tracing::warn!(later = ?at_next_start, "differs, and will only be heeded at the next start");
+                    tracing::warn!(parts = ?at_next_start, "changed parts of the configuration wait for the next start");
                 }
             }
-            Err(trouble) => tracing::error!(trouble, "a new configuration cannot be used; the old one stays"),
+            Err(error) => tracing::error!(error, "new configuration cannot be used, the old one stays"),
         }
     }
 }
--- a/crates/quillhub-server/src/wal/replay.rs
+++ b/crates/quillhub-server/src/wal/replay.rs
@@ -55,7 +55,7 @@
         }
         let message = self.messages.entry(frame.message).or_default();
         if record::apply(message, kind, frame.payload).is_none() {
-            tracing::warn!(message = frame.message, ?kind, "record cannot be read");
+            tracing::warn!(message_id = frame.message, ?kind, "record cannot be read");
         }
     }
 
