--- a/crates/quillhub-server/src/instance/mod.rs
+++ b/crates/quillhub-server/src/instance/mod.rs
@@ -13,7 +13,7 @@
 mod submission;
 
 pub use outcome_queue::FinalOutcome;
-pub use submission::{Submission, SubmitOutcome};
+pub use submission::{InvalidSubmission, Submission, SubmitOutcome};
 
 use crate::attempts::{AttemptEnd, Verdict};
 use crate::peers::Peers;
