--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -5,7 +5,7 @@
 use crate::attempts::{Attempt, AttemptEnd, Verdict};
 use crate::http;
 use crate::wal::FinalResult;
-use quillhub::{Dispatcher, Driver, MessageId};
+use quillhub::{Dispatcher, Driver, LogEvent, MessageId};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::task::spawn_local;
@@ -142,7 +142,14 @@
         self.watch_requested.notify_one();
     }
 
-    fn log(&mut self, line: &str) {
-        tracing::info!("{line}");
+    fn log(&mut self, event: &LogEvent) {
+        match event {
+            LogEvent::HealthChanged { endpoint, destination, before, after } => {
+                tracing::info!(endpoint, destination, %before, %after, "endpoint health changed");
+            }
+            LogEvent::QueueShort { pending, in_flight } => {
+                tracing::info!(pending, in_flight, "queue is short");
+            }
+        }
     }
 }
