--- a/crates/quillhub-simulator/src/site.rs
+++ b/crates/quillhub-simulator/src/site.rs
@@ -1,10 +1,10 @@
-//! All destinations of a day as one thing: what is where, who is struck, and what an endpoint does with a call that
-//! came. No events and no couriers: the world drives it in virtual time, stand-ins drive it on sockets.
+//! All destinations of a scenario as one thing: what is where, who is struck, and what an endpoint does with a call that
+//! came. No events and no instances: the simulation drives it in virtual time, fakes drive it on sockets.
 
 use crate::conditions::ServerFault;
-use crate::day::Day;
-use crate::faults::{Drain, Injection, Whom, chance_of_fault};
-use crate::limit::Limit;
+use crate::faults::{Drain, Injection, Target, chance_of_fault};
+use crate::rate_limit::RateLimit;
+use crate::scenario::Scenario;
 use crate::server::{Route, Server, warmth};
 use quillhub::LoadReport;
 use rand::{RngExt, SeedableRng};
@@ -14,7 +14,7 @@
 
 /// Part of its usual time after which a call fails that is to fail.
 const ERROR_PART: f64 = 0.1;
-/// A fault that is not of the day's: the end of one pushed over.
+/// A fault that is not of the scenario's: the end of one pushed over.
 const FALL: usize = usize::MAX;
 
 /// A seed of its own for each use of chance, so that one use more does not shift the others.
@@ -24,13 +24,13 @@
 
 /// What an endpoint does with a call that came.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
+pub enum Admission {
     /// Its connection breaks.
     Breaks,
     /// Nothing comes back.
     Hangs,
     /// Turned away unseen, with the wait that is told, if one is.
-    TurnedAway(Option<Duration>),
+    Rejected(Option<Duration>),
     /// It fails, after so long.
     Fails(Duration),
     /// A worker takes it up at once; [`Site::begins`] tells for how long.
@@ -39,12 +39,12 @@
     Queues,
 }
 
-/// What stand-ins on sockets have to do for a fault of a day.
+/// What fakes on sockets have to do for a fault of a scenario.
 #[derive(Clone, Copy, Debug)]
-pub enum Shown<'a> {
+pub enum SocketFault<'a> {
     /// Nothing but [`Site::begins_fault`].
     ByEndpoints,
-    /// The register is out of reach.
+    /// Service discovery is out of reach.
     ByRegister,
     /// These servers drain, one after the other.
     ByDrain(&'a Drain),
@@ -56,14 +56,14 @@
 
 /// What changed for a route by a fault's begin or end.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Turn {
-    Out,
-    Back,
+pub(crate) enum RouteChange {
+    Down,
+    Recovered,
 }
 
-/// The destinations of a day with their servers.
+/// The destinations of a scenario with their servers.
 pub struct Site<'a> {
-    pub(crate) day: &'a Day,
+    pub(crate) scenario: &'a Scenario,
     seed: u64,
     pub(crate) servers: Vec<Server>,
     pub(crate) routes: Vec<Route>,
@@ -74,12 +74,12 @@
 }
 
 impl<'a> Site<'a> {
-    /// The destinations of the day's kinds, in their order; numbers of servers and destinations begin at 0.
-    pub fn new(day: &'a Day, seed: u64) -> Self {
+    /// The destinations of the scenario's kinds, in their order; numbers of servers and destinations begin at 0.
+    pub fn new(scenario: &'a Scenario, seed: u64) -> Self {
         let (servers, routes, of_destination, rough) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        let mut site = Self { day, seed, servers, routes, of_destination, rough };
+        let mut site = Self { scenario, seed, servers, routes, of_destination, rough };
         let mut rng = chance(seed, 2);
-        for (kind, of) in day.destinations.iter().enumerate() {
+        for (kind, of) in scenario.destinations.iter().enumerate() {
             for _ in 0..of.count {
                 let destination = site.of_destination.len();
                 site.of_destination.push(Vec::new());
@@ -87,14 +87,14 @@
                 site.rough.push(rng.random_range(0.5..1.5));
                 for nth in 0..of.endpoints {
                     if nth == 0 || of.routes_apart {
-                        let limit = of.limit.map(Limit::new);
+                        let rate_limit = of.rate_limit.map(RateLimit::new);
                         let (servers, out, fell, back) = (Vec::new(), false, false, None);
                         let came = VecDeque::new();
-                        site.routes.push(Route { limit, servers, out, fell, back, per_s: 0.0, came });
+                        site.routes.push(Route { rate_limit, servers, out, fell, back, per_s: 0.0, came });
                     }
                     let route = site.routes.len() - 1;
                     let server = site.servers.len();
-                    let zone = server % day.couriers.zones.len();
+                    let zone = server % scenario.instances.zones.len();
                     site.servers.push(Server::new(destination, kind, zone, route, pace));
                     site.of_destination[destination].push(server);
                     site.routes[route].servers.push(server);
@@ -113,13 +113,13 @@
     /// Number, kind and zone of the destination that a server belongs to.
     pub fn whose(&self, server: usize) -> (usize, &str, &str) {
         let of = &self.servers[server];
-        let kind = &self.day.destinations[of.kind];
-        (of.destination, &kind.kind, &self.day.couriers.zones[of.zone])
+        let kind = &self.scenario.destinations[of.kind];
+        (of.destination, &kind.kind, &self.scenario.instances.zones[of.zone])
     }
 
     /// Calls a second that a route's limit lets in, or that its servers work off when warm.
     pub(crate) fn rate(&self, route: usize) -> f64 {
-        self.routes[route].limit.as_ref().map_or(self.routes[route].per_s, Limit::per_s)
+        self.routes[route].rate_limit.as_ref().map_or(self.routes[route].per_s, RateLimit::per_s)
     }
 
     /// A new server that does an old one's work; what the old one still has ends there.
@@ -137,8 +137,8 @@
     }
 
     /// What a server does with a call that came; it is counted. True with it if that pushed its route over.
-    pub fn takes(&mut self, at: usize, now: Duration, rng: &mut Pcg64Mcg) -> (Taken, bool) {
-        let rules = &self.day.returns;
+    pub fn admit(&mut self, at: usize, now: Duration, rng: &mut Pcg64Mcg) -> (Admission, bool) {
+        let rules = &self.scenario.rules;
         let route = self.servers[at].route;
         let falls = !self.routes[route].fell && self.routes[route].pushed(now, rules);
         if falls {
@@ -148,29 +148,32 @@
             }
         }
         let (server, route) = (&mut self.servers[at], &mut self.routes[route]);
-        let kind = &self.day.destinations[server.kind];
-        let turned_away = match server.shut() {
+        let kind = &self.scenario.destinations[server.kind];
+        let rejection = match server.shut() {
             Some(until) => Some(until.map(|until| until.saturating_sub(now))),
-            None => match route.limit.as_mut().map(|limit| (limit.take(now), limit.tells())) {
-                Some((Err(wait), tells)) => Some((rng.random::<f64>() < tells).then_some(wait)),
+            None => match route.rate_limit.as_mut().map(|limit| (limit.take(now), limit.retry_after_share()))
+            {
+                Some((Err(wait), retry_after_share)) => {
+                    Some((rng.random::<f64>() < retry_after_share).then_some(wait))
+                }
                 _ => None,
             },
         };
         let taken = if server.refuses() {
-            Taken::Breaks
+            Admission::Breaks
         } else if server.hangs() {
-            Taken::Hangs
-        } else if let Some(wait) = turned_away {
-            Taken::TurnedAway(wait)
+            Admission::Hangs
+        } else if let Some(wait) = rejection {
+            Admission::Rejected(wait)
         } else if rng.random::<f64>() < server.errs() {
-            Taken::Fails(kind.service.draw(rng).mul_f64(server.pace * ERROR_PART))
+            Admission::Fails(kind.service.draw(rng).mul_f64(server.pace * ERROR_PART))
         } else if server.busy < kind.workers {
             server.busy += 1;
-            Taken::Begins
+            Admission::Begins
         } else if server.queue.len() < kind.queue {
-            Taken::Queues
+            Admission::Queues
         } else {
-            Taken::TurnedAway(None)
+            Admission::Rejected(None)
         };
         (taken, falls)
     }
@@ -178,8 +181,8 @@
     /// A worker takes up a call: for so long.
     pub fn begins(&mut self, at: usize, now: Duration, rng: &mut Pcg64Mcg) -> Duration {
         let server = &self.servers[at];
-        let warm = self.routes[server.route].capacity(now, &self.day.returns).max(0.01);
-        let kind = &self.day.destinations[server.kind];
+        let warm = self.routes[server.route].capacity(now, &self.scenario.rules).max(0.01);
+        let kind = &self.scenario.destinations[server.kind];
         kind.service.draw(rng).mul_f64(server.pace * server.slow() / warm)
     }
 
@@ -203,18 +206,18 @@
     }
 
     /// Shares of answers that are lost, and of kept connections that are dead.
-    pub fn spoils(&self, at: usize) -> (f64, f64) {
-        (self.servers[at].mutes(), self.servers[at].stale())
+    pub fn response_faults(&self, at: usize) -> (f64, f64) {
+        (self.servers[at].response_loss(), self.servers[at].stale())
     }
 
     /// Connections that a server takes, idle ones counted, where it has a bound.
     pub fn connections(&self, at: usize) -> Option<usize> {
-        self.day.destinations[self.servers[at].kind].connections
+        self.scenario.destinations[self.servers[at].kind].connections
     }
 
     /// How long endpoints let a connection idle.
     pub fn idle_close(&self) -> Duration {
-        self.day.network.idle_close
+        self.scenario.network.idle_close
     }
 
     /// How often a server began anew: what it worked on before an outage is gone.
@@ -230,76 +233,76 @@
     /// The report in an answer, where there are reports.
     pub fn load_report(&mut self, at: usize, now: Duration) -> Option<LoadReport> {
         let server = &self.servers[at];
-        let kind = &self.day.destinations[server.kind];
-        kind.reports.then(|| match &mut self.routes[server.route].limit {
+        let kind = &self.scenario.destinations[server.kind];
+        kind.reports.then(|| match &mut self.routes[server.route].rate_limit {
             Some(limit) => limit.load_report(now, kind.report_age),
             None => LoadReport { remaining_share: 1.0, rate_limit: 0.0 },
         })
     }
 
     /// Calls that a server could begin at once, and its route would let in.
-    pub(crate) fn room(&self, at: usize, now: Duration) -> usize {
+    pub(crate) fn free_capacity(&self, at: usize, now: Duration) -> usize {
         let server = &self.servers[at];
         let route = &self.routes[server.route];
         if server.is_out() || route.fell {
             return 0;
         }
-        let workers = self.day.destinations[server.kind].workers;
+        let workers = self.scenario.destinations[server.kind].workers;
         let free = workers.saturating_sub(server.busy + server.queue.len());
         let cold = route.back.map_or(free, |back| {
-            let warm = warmth(&self.day.returns, now - back);
-            let may = (self.day.returns.factor * route.per_s * warm * 0.9) as usize;
+            let warm = warmth(&self.scenario.rules, now - back);
+            let may = (self.scenario.rules.overload_factor * route.per_s * warm * 0.9) as usize;
             may.saturating_sub(route.came.iter().filter(|at| **at + Duration::from_secs(1) > now).count())
         });
-        let limit = route.limit.clone().map_or(free, |mut limit| limit.has_room(now));
+        let limit = route.rate_limit.clone().map_or(free, |mut limit| limit.free_capacity(now));
         free.min(limit).min(cold)
     }
 
     /// The servers that a fault strikes; `open` says which may be struck. The choice is the same whatever was
     /// decided before.
-    pub fn struck(&self, number: usize, whom: &Whom, open: impl Fn(usize) -> bool) -> Vec<usize> {
-        let kind = |at: usize| &self.day.destinations[self.servers[at].kind].kind;
-        let zone = |at: usize| &self.day.couriers.zones[self.servers[at].zone];
+    pub fn struck(&self, number: usize, target: &Target, open: impl Fn(usize) -> bool) -> Vec<usize> {
+        let kind = |at: usize| &self.scenario.destinations[self.servers[at].kind].kind;
+        let zone = |at: usize| &self.scenario.instances.zones[self.servers[at].zone];
         let of_kind = |id: usize| {
             let first = self.of_destination[id].first();
-            first.is_some_and(|at| whom.kind.as_ref().is_none_or(|wanted| wanted == kind(*at)))
+            first.is_some_and(|at| target.kind.as_ref().is_none_or(|wanted| wanted == kind(*at)))
         };
-        let ids = whom.choose(self.of_destination.len(), of_kind, &mut chance_of_fault(self.seed, number));
+        let ids = target.choose(self.of_destination.len(), of_kind, &mut chance_of_fault(self.seed, number));
         let mut struck = Vec::new();
         for id in ids {
             let open = self.of_destination[id].iter().copied().filter(|at| open(*at));
-            let in_zone = open.filter(|at| whom.zone.as_ref().is_none_or(|wanted| wanted == zone(*at)));
-            struck.extend(in_zone.take(whom.endpoints.unwrap_or(usize::MAX)));
+            let in_zone = open.filter(|at| target.zone.as_ref().is_none_or(|wanted| wanted == zone(*at)));
+            struck.extend(in_zone.take(target.endpoints.unwrap_or(usize::MAX)));
         }
         struck
     }
 
-    /// What a fault of the day is on sockets. A new endpoint at a new address is more than stand-ins do.
-    pub fn shown(&self, number: usize) -> Shown<'a> {
-        let scheduled = &self.day.faults[number];
-        match scheduled.what.injection(scheduled) {
-            Injection::Servers(_) => Shown::ByEndpoints,
-            Injection::Discovery(None) => Shown::ByRegister,
-            Injection::Drain(by) if by.same_address || !by.replaced => Shown::ByDrain(by),
-            Injection::Crowd { .. } => Shown::ByArrivals,
-            _ => Shown::Not,
+    /// What a fault of the scenario is on sockets. A new endpoint at a new address is more than fakes do.
+    pub fn socket_fault(&self, number: usize) -> SocketFault<'a> {
+        let scheduled = &self.scenario.faults[number];
+        match scheduled.fault.injection(scheduled) {
+            Injection::Servers(_) => SocketFault::ByEndpoints,
+            Injection::Discovery(None) => SocketFault::ByRegister,
+            Injection::Drain(by) if by.same_address || !by.replaced => SocketFault::ByDrain(by),
+            Injection::TrafficSurge { .. } => SocketFault::ByArrivals,
+            _ => SocketFault::Not,
         }
     }
 
-    /// A fault of the day begins, as far as it strikes endpoints.
+    /// A fault of the scenario begins, as far as it strikes endpoints.
     pub fn begins_fault(&mut self, number: usize, now: Duration) {
-        let scheduled = &self.day.faults[number];
-        let Injection::Servers(fault) = scheduled.what.injection(scheduled) else { return };
-        for at in self.struck(number, &scheduled.whom, |_| true) {
+        let scheduled = &self.scenario.faults[number];
+        let Injection::Servers(fault) = scheduled.fault.injection(scheduled) else { return };
+        for at in self.struck(number, &scheduled.target, |_| true) {
             self.strike(at, number, fault);
-            self.turns(self.servers[at].route, now);
+            self.update_route(self.servers[at].route, now);
         }
     }
 
-    /// A fault of the day ends, as far as it struck endpoints.
+    /// A fault of the scenario ends, as far as it struck endpoints.
     pub fn ends_fault(&mut self, number: usize, now: Duration) {
         for at in self.relieve(number) {
-            self.turns(self.servers[at].route, now);
+            self.update_route(self.servers[at].route, now);
         }
     }
 
@@ -332,7 +335,7 @@
     }
 
     /// A route is out once all its endpoints are, and back once one is not; whether that is new.
-    pub(crate) fn turns(&mut self, route: usize, now: Duration) -> Option<Turn> {
+    pub(crate) fn update_route(&mut self, route: usize, now: Duration) -> Option<RouteChange> {
         let out = self.routes[route].servers.iter().all(|server| self.servers[*server].is_out());
         let route = &mut self.routes[route];
         if out == route.out || route.fell {
@@ -340,7 +343,7 @@
         }
         (route.out, route.back) = (out, (!out).then_some(now));
         route.came.clear();
-        Some(if out { Turn::Out } else { Turn::Back })
+        Some(if out { RouteChange::Down } else { RouteChange::Recovered })
     }
 
     /// The servers of the route of one that was pushed over.
--- a/crates/quillhub-simulator/tests/cold_return.rs
+++ b/crates/quillhub-simulator/tests/cold_recovery.rs
@@ -1,16 +1,16 @@
-//! The sum of what many couriers send to a destination that returns cold, call by call, against what it can bear: in
+//! The sum of what many instances send to a destination that returns cold, call by call, against what it can bear: in
 //! every window of the settings' length no more than N + 2 root N + 2 calls, N being what the settings allow it then.
-//! Beyond that a cold destination falls, and it is the couriers' doing where two thirds of the calls came from couriers
+//! Beyond that a cold destination falls, and it is the instances' doing where two thirds of the calls came from instances
 //! that had seen a call fail, or be refused, there during the outage.
 
 use quillhub::{AttemptOutcome, MessageId};
-use quillhub_simulator::{Day, Fact, Start, World, module};
+use quillhub_simulator::{Fact, Scenario, Simulation, Start, dispatcher};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 const SEEDS: u64 = 20;
 const FLEETS: [u32; 3] = [20, 30, 100];
-/// The share of the calls that couriers which knew of the outage must have sent for it to be their doing.
+/// The share of the calls that instances which knew of the outage must have sent for it to be their doing.
 const KNEW: f64 = 2.0 / 3.0;
 /// A factor that no fleet reaches: destinations do not fall here, so that every window is seen to its end.
 const NEVER: f64 = 1e6;
@@ -21,9 +21,9 @@
     out: bool,
     /// When it came back, and the calls a second that it works off when warm.
     back: Option<(Duration, f64)>,
-    /// Couriers that saw a call fail, or be refused, there during the outage.
+    /// Instances that saw a call fail, or be refused, there during the outage.
     told: BTreeSet<usize>,
-    /// The calls of the current window: when, and whether their courier had been told.
+    /// The calls of the current window: when, and whether their instance had been told.
     window: VecDeque<(Duration, bool)>,
     fell: bool,
 }
@@ -31,8 +31,8 @@
 /// What came out over all seeds of a case.
 #[derive(Debug, Default)]
 struct Found {
-    returns: usize,
-    /// First falls of a route after its return, and those of them that are the couriers' doing.
+    recoveries: usize,
+    /// First falls of a route after its return, and those of them that are the instances' doing.
     falls: usize,
     blamed: usize,
     calls: usize,
@@ -40,7 +40,7 @@
 
 /// Looks at the facts of one run.
 struct Watch<'a> {
-    day: &'a Day,
+    scenario: &'a Scenario,
     routes: BTreeMap<usize, Route>,
     placed: BTreeMap<String, usize>,
     attempts: BTreeMap<(usize, MessageId, u32), usize>,
@@ -48,58 +48,58 @@
 }
 
 impl<'a> Watch<'a> {
-    fn new(day: &'a Day) -> Self {
+    fn new(scenario: &'a Scenario) -> Self {
         let (routes, placed, attempts) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Self { day, routes, placed, attempts, found: Found::default() }
+        Self { scenario, routes, placed, attempts, found: Found::default() }
     }
 
-    fn sees(&mut self, now: Duration, fact: &Fact) {
+    fn observe_capacity(&mut self, now: Duration, fact: &Fact) {
         match fact {
-            Fact::Placed { endpoint, route, .. } => {
+            Fact::EndpointPlaced { endpoint, route, .. } => {
                 self.placed.insert((*endpoint).into(), *route);
                 self.routes.entry(*route).or_default();
             }
-            Fact::Out { route } => self.routes.entry(*route).or_default().out = true,
-            Fact::Back { route, milli_per_s } => {
+            Fact::RouteDown { route } => self.routes.entry(*route).or_default().out = true,
+            Fact::RouteRecovered { route, milli_per_s } => {
                 let route = self.routes.entry(*route).or_default();
                 route.out = false;
                 route.back = Some((now, *milli_per_s as f64 / 1_000.0));
-                self.found.returns += 1;
+                self.found.recoveries += 1;
             }
-            Fact::Sent { courier, notice, send, endpoint, .. } => {
-                self.attempts.insert((*courier, *notice, *send), self.placed[*endpoint]);
+            Fact::AttemptStarted { instance, message_id, attempt, endpoint, .. } => {
+                self.attempts.insert((*instance, *message_id, *attempt), self.placed[*endpoint]);
             }
-            Fact::Reached { courier, notice, send } => {
-                let route = self.attempts[&(*courier, *notice, *send)];
-                self.call_reaches(now, *courier, route);
+            Fact::AttemptArrived { instance, message_id, attempt } => {
+                let route = self.attempts[&(*instance, *message_id, *attempt)];
+                self.call_reaches(now, *instance, route);
             }
-            Fact::Ended { courier, notice, send, outcome, .. } => {
-                let Some(route) = self.attempts.get(&(*courier, *notice, *send)) else { return };
+            Fact::AttemptEnded { instance, message_id, attempt, outcome, .. } => {
+                let Some(route) = self.attempts.get(&(*instance, *message_id, *attempt)) else { return };
                 let route = self.routes.entry(*route).or_default();
                 if route.out && !matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::NotSent) {
-                    route.told.insert(*courier);
+                    route.told.insert(*instance);
                 }
             }
             _ => {}
         }
     }
 
-    fn call_reaches(&mut self, now: Duration, courier: usize, route: usize) {
-        let rules = &self.day.returns;
+    fn call_reaches(&mut self, now: Duration, instance: usize, route: usize) {
+        let rules = &self.scenario.rules;
         let route = self.routes.entry(route).or_default();
         let Some((back, per_s)) = route.back.filter(|(back, _)| now < *back + rules.warm_up) else { return };
         self.found.calls += 1;
-        route.window.push_back((now, route.told.contains(&courier)));
-        while route.window.front().is_some_and(|(at, _)| *at + rules.push < now) {
+        route.window.push_back((now, route.told.contains(&instance)));
+        while route.window.front().is_some_and(|(at, _)| *at + rules.overload_span < now) {
             route.window.pop_front();
         }
-        if route.fell || now < back + rules.push {
+        if route.fell || now < back + rules.overload_span {
             return;
         }
         // Capacity grows evenly, so the middle of the window tells its mean.
-        let middle = (now - rules.push / 2 - back).as_secs_f64() / rules.warm_up.as_secs_f64();
-        let share = rules.start + (1.0 - rules.start) * middle.min(1.0);
-        let allowed = rules.factor * share * per_s * rules.push.as_secs_f64();
+        let middle = (now - rules.overload_span / 2 - back).as_secs_f64() / rules.warm_up.as_secs_f64();
+        let share = rules.initial_share + (1.0 - rules.initial_share) * middle.min(1.0);
+        let allowed = rules.overload_factor * share * per_s * rules.overload_span.as_secs_f64();
         let calls = route.window.len() as f64;
         if calls > allowed + 2.0 * allowed.sqrt() + 2.0 {
             route.fell = true;
@@ -111,12 +111,12 @@
 }
 
 /// Twelve destinations with two endpoints each, handed four fifths of what they take, half of them out for 10 s.
-fn day(couriers: u32, kind: &str, rates: &str, factor: f64, faults: &str) -> Day {
+fn scenario(instances: u32, kind: &str, rates: &str, factor: f64, faults: &str) -> Scenario {
     let text = format!(
         r#"
         length = "32 s"
         [couriers]
-        count = {couriers}
+        count = {instances}
         slots = 8
         room = 60
         skew = 0.5
@@ -150,21 +150,26 @@
         {faults}
         "#
     );
-    let day: Day = toml::from_str(&text).unwrap();
-    day.check().unwrap();
-    day
+    let scenario: Scenario = toml::from_str(&text).unwrap();
+    scenario.check().unwrap();
+    scenario
 }
 
-fn returns(day: &Day) -> Found {
-    let mut site = day.clone();
-    site.returns.factor = NEVER;
+fn recoveries(scenario: &Scenario) -> Found {
+    let mut site = scenario.clone();
+    site.rules.overload_factor = NEVER;
     let mut all = Found::default();
     for seed in 0..SEEDS {
-        let mut watch = Watch::new(day);
-        World::run(&site, seed, &|start: &Start| module(&Start { day, ..*start }), |now, fact| {
-            watch.sees(now, fact);
-        });
-        all.returns += watch.found.returns;
+        let mut watch = Watch::new(scenario);
+        Simulation::run(
+            &site,
+            seed,
+            &|start: &Start| dispatcher(&Start { scenario, ..*start }),
+            |now, fact| {
+                watch.observe_capacity(now, fact);
+            },
+        );
+        all.recoveries += watch.found.recoveries;
         all.falls += watch.found.falls;
         all.blamed += watch.found.blamed;
         all.calls += watch.found.calls;
@@ -172,12 +177,12 @@
     all
 }
 
-/// The settings let a fleet of `couriers` send so much, and it does not push a returning destination over.
-fn none_is_pushed_over(couriers: u32, kind: &str, rates: &str, factor: f64, faults: &str) {
-    let found = returns(&day(couriers, kind, rates, factor, faults));
-    println!("{couriers} couriers: {found:?}");
-    assert!(found.returns >= 5 * SEEDS as usize && found.calls > 1_000, "{couriers} couriers: {found:?}");
-    assert_eq!(found.blamed, 0, "{couriers} couriers: {found:?}");
+/// The settings let a fleet of `instances` send so much, and it does not push a returning destination over.
+fn assert_none_is_overloaded(instances: u32, kind: &str, rates: &str, factor: f64, faults: &str) {
+    let found = recoveries(&scenario(instances, kind, rates, factor, faults));
+    println!("{instances} instances: {found:?}");
+    assert!(found.recoveries >= 5 * SEEDS as usize && found.calls > 1_000, "{instances} instances: {found:?}");
+    assert_eq!(found.blamed, 0, "{instances} instances: {found:?}");
 }
 
 /// Half of the destinations are out for 10 s, in one way.
@@ -188,7 +193,7 @@
 const SERVICE: &str = r#"service = { mean = "200 ms", law = "lognormal", cv = 0.5 }"#;
 
 #[test]
-fn destinations_that_fail_all_calls_and_have_an_endpoint_replaced_meanwhile() {
+fn destinations_that_failed_all_calls_while_an_endpoint_was_replaced_are_not_overloaded() {
     let faults = outage("{ errors = { share = 1.0 } }")
         + r#"
         [[faults]]
@@ -197,48 +202,48 @@
         what = { drain = { gone_after = "2 s" } }
         whom = { endpoints = 1 }
     "#;
-    for couriers in FLEETS {
-        none_is_pushed_over(couriers, SERVICE, "rough", 1.5, &faults);
+    for instances in FLEETS {
+        assert_none_is_overloaded(instances, SERVICE, "rough", 1.5, &faults);
     }
 }
 
 /// Small routes apart that are shut, and whose refusals tell nothing of their limit.
-fn shut_routes(couriers: u32) {
+fn shut_routes(instances: u32) {
     let kind = format!(
         "{SERVICE}\nroutes_apart = true\nlimit = {{ per_s = 4.0, span = \"2 s\", refused_count = true }}"
     );
     let faults = outage("{ shut = {} }");
-    none_is_pushed_over(couriers, &kind, "rough", 1.5, &faults);
+    assert_none_is_overloaded(instances, &kind, "rough", 1.5, &faults);
 }
 
 #[test]
-fn small_routes_that_were_shut_are_not_pushed_over_by_20_couriers() {
+fn small_routes_that_were_shut_are_not_overloaded_by_20_instances() {
     shut_routes(20);
 }
 
 #[test]
-fn small_routes_that_were_shut_are_not_pushed_over_by_30_couriers() {
+fn small_routes_that_were_shut_are_not_overloaded_by_30_instances() {
     shut_routes(30);
 }
 
 #[test]
-fn small_routes_that_were_shut_are_not_pushed_over_by_100_couriers() {
+fn small_routes_that_were_shut_are_not_overloaded_by_100_instances() {
     shut_routes(100);
 }
 
 #[test]
-fn destinations_that_refuse_connections_and_tell_their_limit_when_they_answer() {
+fn destinations_that_refused_connections_and_report_their_rate_limit_are_not_overloaded() {
     let kind = format!("{SERVICE}\nreports = true\nlimit = {{ per_s = 8.0 }}");
     let faults = outage(r#""refuse""#);
-    for couriers in FLEETS {
-        none_is_pushed_over(couriers, &kind, "absent", 2.0, &faults);
+    for instances in FLEETS {
+        assert_none_is_overloaded(instances, &kind, "absent", 2.0, &faults);
     }
 }
 
 /// Endpoints that hang refuse by their full queues, and what they tell of their limit looks like any other's.
 #[test]
-fn small_destinations_that_hung_and_tell_their_limit_are_not_pushed_over_by_200_couriers() {
+fn small_destinations_that_hung_and_report_their_rate_limit_are_not_overloaded_by_200_instances() {
     let kind = format!("{SERVICE}\nreports = true\nlimit = {{ per_s = 5.0, refused_count = true }}");
     let faults = outage(r#""hang""#);
-    none_is_pushed_over(200, &kind, "exact", 2.0, &faults);
+    assert_none_is_overloaded(200, &kind, "exact", 2.0, &faults);
 }
