--- a/crates/quillhub-fakes/src/endpoints.rs
+++ b/crates/quillhub-fakes/src/endpoints.rs
@@ -3,7 +3,7 @@
 
 use crate::accept::accept_each;
 use crate::http::Served;
-use quillhub_simulator::{Admission, Scenario, Site, SocketFault};
+use quillhub_simulator::{Admission, ConnectionFaults, Scenario, Site, SocketFault};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
@@ -92,8 +92,8 @@
         let at = listener.local_addr()?;
         let (destination, kind, zone) = {
             let place = place.borrow();
-            let (destination, kind, zone) = place.site.whose(server);
-            (destination as u64 + 1, kind.to_owned(), zone.to_owned())
+            let owner = place.site.owner(server);
+            (owner.destination as u64 + 1, owner.kind.to_owned(), owner.zone.to_owned())
         };
         listed.push(Listed { id: format!("e{}", server + 1), at, zone, kind, destination });
         let place = place.clone();
@@ -136,7 +136,7 @@
 
 /// Serves one connection until it ends.
 async fn connection(place: Shared, server: usize, link: Served) {
-    let (refuses, silent) = place.borrow().site.refuses(server);
+    let ConnectionFaults { refuses, silent } = place.borrow().site.connection_faults(server);
     let full = {
         let mut place = place.borrow_mut();
         place.open[server] += 1;
@@ -166,7 +166,7 @@
         let (taken, call, report) = {
             let place = &mut *place.borrow_mut();
             let now = place.started.elapsed();
-            let (taken, _) = place.site.admit(server, now, &mut place.rng);
+            let taken = place.site.admit(server, now, &mut place.rng).admission;
             place.calls += 1;
             let report = place.site.load_report(server, now).map_or(String::new(), |report| {
                 format!("X-Load: x0={:.3},x1={:.3}\r\n", report.remaining_share, report.rate_limit)
@@ -225,10 +225,10 @@
                     {
                         let _ = tell.send(());
                     }
-                    let mute = place.site.response_faults(server).0;
+                    let mute = place.site.response_faults(server).lost;
                     place.rng.random::<f64>() >= mute
                 };
-                let silent = place.borrow().site.refuses(server).1;
+                let silent = place.borrow().site.connection_faults(server).silent;
                 if !heard || silent {
                     seen(place, id, mark, What::RanUnheard);
                     std::future::pending::<()>().await;
--- a/crates/quillhub-simulator/src/audit/mod.rs
+++ b/crates/quillhub-simulator/src/audit/mod.rs
@@ -175,7 +175,7 @@
     }
 
     fn instance_died(&mut self, instance: usize, state_kept: bool) {
-        // A retry-after was told to the process that is gone; so were drains, but its list outlasts it.
+        // A retry-after was known to the process that is gone; so were drains, but its list outlasts it.
         self.instance(instance).retry_after.clear();
         self.ordering.retain(|(of, _), _| state_kept || *of != instance);
         let mut lost = Vec::new();
--- a/crates/quillhub-simulator/src/audit/records.rs
+++ b/crates/quillhub-simulator/src/audit/records.rs
@@ -109,7 +109,7 @@
     pub(super) until: Duration,
 }
 
-/// What an instance was told.
+/// What an instance learned.
 #[derive(Default)]
 pub(super) struct Instance {
     /// By endpoint: since when it is known to drain.
--- a/crates/quillhub-simulator/src/clients_tests.rs
+++ b/crates/quillhub-simulator/src/clients_tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn arrivals_are_those_that_the_world_has() {
+fn arrivals_are_those_of_the_simulation() {
     let text = "length = '20 s'
         couriers = {}
         grades = [{ name = 'g', effect = 'retriable', contract = '1 s', limit = '5 s' },
@@ -52,6 +52,6 @@
         }
     });
     let name = |a: &Arrival| (a.at, a.destination, scenario.service_classes[a.service_class].name.clone());
-    let told: Vec<_> = arrivals(&scenario, 3).iter().map(name).collect();
-    assert!(told.len() > 400 && told == seen, "{} and {}", told.len(), seen.len());
+    let expected: Vec<_> = arrivals(&scenario, 3).iter().map(name).collect();
+    assert!(expected.len() > 400 && expected == seen, "{} and {}", expected.len(), seen.len());
 }
--- a/crates/quillhub-simulator/src/conditions.rs
+++ b/crates/quillhub-simulator/src/conditions.rs
@@ -13,7 +13,7 @@
     Silent,
     /// Such a share of the calls fails at once.
     Errs(f64),
-    /// All are rejected; told when it opens or not.
+    /// All calls are rejected, with a retry-after until then if there is one.
     Shut { until: Option<Duration> },
     /// Calls take so many times as long.
     Slow(f64),
@@ -39,7 +39,7 @@
 /// What is wrong with the path from zone to zone.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PathFault {
-    /// Nothing gets through, and nobody is told.
+    /// Nothing gets through, and nobody hears of it.
     Cut,
     /// Such a share of what is sent does not arrive.
     Loses(f64),
--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -48,7 +48,8 @@
     }
     /// Carries out what follows from the inputs since the last call.
     fn apply_rules(&mut self, driver: &mut dyn Driver);
-    /// Whether [`Decider::observe_capacity`] is to be called before each [`Decider::apply_rules`]; only an oracle wants it.
+    /// Whether [`Decider::observe_capacity`] is to be called before each [`Decider::apply_rules`]; only an oracle
+    /// wants it.
     fn wants_capacity(&self) -> bool {
         false
     }
--- a/crates/quillhub-simulator/src/fact.rs
+++ b/crates/quillhub-simulator/src/fact.rs
@@ -10,17 +10,19 @@
     Delivered,
     /// Rejected: a retry is harmless.
     Rejected {
-        /// How long to wait before it, if that is told.
+        /// How long to wait before it, if that is known.
         retry_after: Option<Duration>,
     },
     /// Abandoned: it may have taken effect or not.
     Abandoned,
 }
 
-/// One fact; `instance` counts from 0, and `message` names one submission, which survives a restart with a state directory.
+/// One fact; `instance` counts from 0, and `message` names one submission, which survives a restart with a state
+/// directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fact<'a> {
-    /// A message was submitted and accepted; `request` is the client's own number for it, the same at each submission.
+    /// A message was submitted and accepted; `request` is the client's own number for it, the same at each
+    /// submission.
     Accepted {
         /// The instance that accepted it.
         instance: usize,
@@ -68,7 +70,8 @@
         /// The attempt's number.
         attempt: u32,
     },
-    /// Its effect took place; `deduplicated` if the destination knew its idempotency key and dropped it; `duplicate_effect` if the same request had
+    /// Its effect took place; `deduplicated` if the destination knew its idempotency key and
+    /// dropped it; `duplicate_effect` if the same request had
     /// its effect before, and must not, but the destination had forgotten its idempotency key.
     Executed {
         /// The message.
@@ -82,9 +85,9 @@
         /// Whether the request had its effect before, and must not have it again.
         duplicate_effect: bool,
     },
-    /// The instance was told how its attempt ended.
+    /// The instance learned the outcome of its attempt.
     AttemptEnded {
-        /// The instance that was told.
+        /// The instance that learned of it.
         instance: usize,
         /// The message.
         message_id: MessageId,
@@ -95,23 +98,23 @@
     },
     /// A message had its final outcome.
     Finished {
-        /// The instance that held it.
+        /// The instance that had accepted it.
         instance: usize,
         /// The message.
         message_id: MessageId,
         /// Its final outcome.
         outcome: FinalOutcome,
     },
-    /// An instance was told what service discovery says of an endpoint.
+    /// An instance learned the state of an endpoint from service discovery.
     EndpointLearned {
-        /// The instance that was told.
+        /// The instance that learned of it.
         instance: usize,
         /// The endpoint's name.
         endpoint: &'a str,
         /// What the list says of it.
         state: EndpointState,
     },
-    /// An instance died; without `state_kept` all that it held is forgotten.
+    /// An instance died; without `state_kept` all its pending messages are lost.
     InstanceDied {
         /// The instance that died.
         instance: usize,
@@ -129,7 +132,7 @@
     InstanceStarted {
         /// The instance that began.
         instance: usize,
-        /// Whether its state directory held anything.
+        /// Whether it recovered pending messages from its state directory.
         state_recovered: bool,
     },
     /// An endpoint appeared at a route: a destination, or one endpoint of it where routes are apart.
--- a/crates/quillhub-simulator/src/faults/cut.rs
+++ b/crates/quillhub-simulator/src/faults/cut.rs
@@ -1,4 +1,4 @@
-//! The way from one zone to another is cut, in that direction only: nothing arrives, and nobody is told.
+//! The way from one zone to another is cut, in that direction only: nothing arrives, and nobody hears of it.
 
 use super::{FaultKind, Injection, ScheduledFault};
 use crate::conditions::PathFault;
--- a/crates/quillhub-simulator/src/faults/discovery_outage.rs
+++ b/crates/quillhub-simulator/src/faults/discovery_outage.rs
@@ -1,4 +1,4 @@
-//! Service discovery is out of reach, or so much later than usual; what changes then is told when it is back.
+//! Service discovery is out of reach, or so much later than usual; changes meanwhile are sent when it is back.
 
 use super::{FaultKind, Injection, ScheduledFault};
 use serde::{Deserialize, Serialize};
--- a/crates/quillhub-simulator/src/faults/mod.rs
+++ b/crates/quillhub-simulator/src/faults/mod.rs
@@ -1,5 +1,5 @@
-//! Faults of a scenario, as data: when, what, at which target, how much. They compose; each kind is one file here, which says how
-//! it begins and how it ends, and one line in [`Fault`].
+//! Faults of a scenario, as data: when, what, at which target, how much. They compose; each kind is one file here,
+//! which says how it begins and how it ends, and one line in [`Fault`].
 
 mod crash;
 mod cut;
@@ -154,7 +154,7 @@
     },
     /// Service discovery is so much later, or out of reach.
     Discovery(Option<Duration>),
-    /// A list without such a share of the endpoints struck is told, and the true one at the end.
+    /// A snapshot without such a share of the target endpoints is sent, and the true one at the end.
     PartialSnapshot(f64),
     Drain(&'a Drain),
     Crash {
--- a/crates/quillhub-simulator/src/faults/shut.rs
+++ b/crates/quillhub-simulator/src/faults/shut.rs
@@ -1,4 +1,4 @@
-//! Destinations are shut: every call is rejected unseen, with the wait told or without.
+//! Destinations are shut: every call is rejected unseen, with a retry-after or without.
 
 use super::{FaultKind, Injection, ScheduledFault};
 use crate::conditions::ServerFault;
--- a/crates/quillhub-simulator/src/lib.rs
+++ b/crates/quillhub-simulator/src/lib.rs
@@ -1,8 +1,9 @@
-//! A discrete-event simulation of what gateway instances serve, in virtual time: destinations, the network, service discovery, clients, and the
-//! faults of all of these. It has no I/O and no threads, and one seed settles a run to the last bit.
+//! A discrete-event simulation of what gateway instances serve, in virtual time: destinations, the network,
+//! service discovery, clients, and the faults of all of these. It has no I/O and no threads, and one seed settles a
+//! run to the last bit.
 //!
-//! A [`Scenario`] says what there is and what happens to it. [`Simulation::run`] plays it: for each instance it starts one
-//! [`Decider`], the real [`dispatcher`] or whatever is to be compared with it, hands it its inputs and
+//! A [`Scenario`] says what there is and what happens to it. [`Simulation::run`] plays it: for each instance it
+//! starts one [`Decider`], the real [`dispatcher`] or whatever is to be compared with it, hands it its inputs and
 //! carries out its actions. What happens comes out as [`Fact`]s, from which an [`Auditor`] judges the six rules
 //! without knowing the dispatcher, and a [`Tally`] counts. All figures of the simulator are simulated.
 //!
@@ -64,5 +65,5 @@
     Tenant,
 };
 pub use simulation::{Report, Simulation};
-pub use site::{Admission, Site, SocketFault};
+pub use site::{Admission, Arrived, ConnectionFaults, Owner, ResponseFaults, Site, SocketFault};
 pub use tally::{Second, Tally};
--- a/crates/quillhub-simulator/src/rate_limit.rs
+++ b/crates/quillhub-simulator/src/rate_limit.rs
@@ -11,13 +11,13 @@
     /// Calls that may still come: in this span, or saved up by the rate.
     left: f64,
     since: Duration,
-    /// As of when it was last told, for reports that lag.
-    told: (Duration, f64),
+    /// The share left when it was last read, for reports that lag.
+    reported: (Duration, f64),
 }
 
 impl RateLimit {
     pub(crate) fn new(of: RateLimitSpec) -> Self {
-        let mut limit = Self { of, left: 0.0, since: Duration::ZERO, told: (Duration::ZERO, 1.0) };
+        let mut limit = Self { of, left: 0.0, since: Duration::ZERO, reported: (Duration::ZERO, 1.0) };
         limit.left = limit.most();
         limit
     }
@@ -34,8 +34,8 @@
             Some(span) => {
                 let begun = span * (now.as_nanos() / span.as_nanos()) as u32;
                 if begun > self.since {
-                    let owed = self.left.min(0.0); // what was refused and counts is made up for by the next span
-                    (self.left, self.since) = (self.most() + owed, begun);
+                    let debt = self.left.min(0.0); // what was refused and counts is made up for by the next span
+                    (self.left, self.since) = (self.most() + debt, begun);
                 }
             }
             None => {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Counts one call, or says after which wait there is room again.
+    /// Counts one call, or says after which wait the next one fits.
     pub(crate) fn take(&mut self, now: Duration) -> Result<(), Duration> {
         self.fill(now);
         // A hair under one counts as one: shares of a second do not add up to the last bit.
@@ -78,11 +78,11 @@
 
     /// The share left and the limit, as they were up to `age` ago.
     pub(crate) fn load_report(&mut self, now: Duration, age: Duration) -> LoadReport {
-        if now >= self.told.0 + age {
+        if now >= self.reported.0 + age {
             self.fill(now);
-            self.told = (now, (self.left / self.most()).clamp(0.0, 1.0));
+            self.reported = (now, (self.left / self.most()).clamp(0.0, 1.0));
         }
-        LoadReport { remaining_share: self.told.1, rate_limit: self.of.per_s }
+        LoadReport { remaining_share: self.reported.1, rate_limit: self.of.per_s }
     }
 }
 
--- a/crates/quillhub-simulator/src/scenario/clients.rs
+++ b/crates/quillhub-simulator/src/scenario/clients.rs
@@ -10,7 +10,7 @@
     /// Times that a rejected message is submitted again.
     #[serde(rename = "tries")]
     pub retries: u32,
-    /// Before it, by chance from half of it; what a rejection told is a floor.
+    /// Longest wait before a retry, drawn from half of it on; the retry-after of a rejection is a floor.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "wait")]
     pub backoff: Duration,
--- a/crates/quillhub-simulator/src/scenario/discovery.rs
+++ b/crates/quillhub-simulator/src/scenario/discovery.rs
@@ -20,7 +20,7 @@
 pub struct DiscoverySpec {
     /// How it tells of changes.
     pub form: DiscoveryForm,
-    /// From a change to when it is told; as much again by chance.
+    /// From a change to when instances hear of it; up to as much again by chance.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "late")]
     pub delay: Duration,
@@ -38,7 +38,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Rates {
+    /// No rate.
     Absent,
+    /// The true rate.
     Exact,
     /// Up to half too high or too low.
     Rough,
--- a/crates/quillhub-simulator/src/scenario/instances.rs
+++ b/crates/quillhub-simulator/src/scenario/instances.rs
@@ -11,13 +11,13 @@
     pub count: u32,
     /// Calls out at once.
     pub slots: usize,
-    /// messages held at once.
+    /// Messages pending at once.
     #[serde(rename = "room")]
     pub capacity: usize,
     /// Attempts for one message at most.
     #[serde(rename = "most_sends")]
     pub max_attempts: u32,
-    /// Longest wait told with a rejection.
+    /// Longest retry-after of a rejection.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "longest_wait")]
     pub max_retry_after: Duration,
@@ -25,7 +25,7 @@
     pub zones: Vec<String>,
     /// The front sends the k-th instance 1/k^skew of what it sends the first; 0 spreads evenly.
     pub skew: f64,
-    /// Whether what is held outlasts an instance's death.
+    /// Whether pending messages outlast an instance's death.
     #[serde(rename = "folder")]
     pub state_directory: bool,
     /// Whether instances may tell each other of returns.
--- a/crates/quillhub-simulator/src/scenario/mod.rs
+++ b/crates/quillhub-simulator/src/scenario/mod.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// From the first arrival to the last; what is held then still gets its end.
+    /// From the first arrival to the last; messages pending then still get their final outcome.
     #[serde(with = "humantime_serde")]
     pub length: Duration,
     /// The instances, and the front that deals messages out to them.
@@ -64,13 +64,15 @@
     pub faults: Vec<ScheduledFault>,
 }
 
-/// A tenant and what it bought, in messages a second for all instances; no limit is enforced, what comes over it
-/// earns `over_share`.
+/// A tenant and what it bought, in messages a second for all instances; the quota is not enforced.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
+    /// Its name.
     pub name: String,
+    /// Its quota.
     pub per_s: f64,
+    /// Share of their value that messages over the quota have.
     #[serde(default = "one")]
     pub over_share: f64,
 }
--- a/crates/quillhub-simulator/src/scenario/rules.rs
+++ b/crates/quillhub-simulator/src/scenario/rules.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RuleSettings {
-    /// Nothing new goes to an endpoint so long after its drain was told.
+    /// Nothing new goes to an endpoint so long after its drain was known.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "grace")]
     pub drain_grace: Duration,
@@ -17,14 +17,14 @@
     /// From a destination's return until it is warm; its capacity grows evenly until then.
     #[serde(with = "humantime_serde")]
     pub warm_up: Duration,
-    /// Sent more than `factor` times what it can do, for `push`, it falls over and stays down.
+    /// Sent more than this many times what it can do for `overload_span`, it fails and stays down.
     #[serde(rename = "factor")]
     pub overload_factor: f64,
     /// How long it stands more than that.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "push")]
     pub overload_span: Duration,
-    /// A key rests so long after a time-out, reset or cancel.
+    /// An ordering key pauses so long after a timeout, reset or cancellation.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "key_rest")]
     pub ordering_pause: Duration,
--- a/crates/quillhub-simulator/src/scenario/service_class.rs
+++ b/crates/quillhub-simulator/src/scenario/service_class.rs
@@ -5,13 +5,17 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
+/// What a retry of a message may do at its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RepeatSafetyKind {
+    /// A retry does no harm.
     #[serde(rename = "retriable")]
     Idempotent,
+    /// A retry is dropped for as long as its idempotency key is remembered.
     #[serde(rename = "fingerprinted")]
     Deduplicated,
+    /// It must not run twice, and its destination cannot tell.
     #[serde(rename = "binding")]
     AtMostOnce,
 }
@@ -22,10 +26,10 @@
 pub struct ServiceClassSpec {
     /// Its name.
     pub name: String,
-    /// What a repeat may do at its destination.
+    /// What a retry may do at its destination.
     #[serde(rename = "effect")]
     pub repeat_safety: RepeatSafetyKind,
-    /// How long a destination remembers a mark, for fingerprinted ones.
+    /// How long a destination remembers an idempotency key, for deduplicated ones.
     #[serde(default, with = "humantime_serde")]
     #[serde(rename = "memory")]
     pub deduplication_window: Duration,
--- a/crates/quillhub-simulator/src/server.rs
+++ b/crates/quillhub-simulator/src/server.rs
@@ -1,5 +1,5 @@
 //! Destinations as they are: routes with their limits, outages and returns, and the servers behind endpoints with
-//! workers, queues, connections and whatever faults strike them. Nothing here knows of events or instances' minds.
+//! workers, queues, connections and whatever faults strike them. Nothing here knows of events or instances.
 
 use crate::conditions::ServerFault;
 use crate::rate_limit::RateLimit;
@@ -11,14 +11,14 @@
 pub(crate) struct Route {
     pub(crate) rate_limit: Option<RateLimit>,
     pub(crate) servers: Vec<usize>,
-    pub(crate) out: bool,
-    pub(crate) fell: bool,
+    pub(crate) is_down: bool,
+    pub(crate) is_overloaded: bool,
     /// Since when it is back, while it is cold.
-    pub(crate) back: Option<Duration>,
+    pub(crate) recovered_at: Option<Duration>,
     /// Calls a second that it works off when warm.
     pub(crate) per_s: f64,
-    /// When calls came while it is cold; emptied with the span that pushes it over.
-    pub(crate) came: VecDeque<Duration>,
+    /// When calls came while it is cold; emptied with the overload span.
+    pub(crate) calls: VecDeque<Duration>,
 }
 
 /// The share of its capacity that a route has `age` after its return.
@@ -28,23 +28,36 @@
 }
 
 impl Route {
+    /// A route without servers, warm.
+    pub(crate) fn new(rate_limit: Option<RateLimit>) -> Self {
+        Self {
+            rate_limit,
+            servers: Vec::new(),
+            is_down: false,
+            is_overloaded: false,
+            recovered_at: None,
+            per_s: 0.0,
+            calls: VecDeque::new(),
+        }
+    }
+
     /// The share of its capacity that it has now.
     pub(crate) fn capacity(&mut self, now: Duration, rules: &RuleSettings) -> f64 {
-        let Some(back) = self.back else { return 1.0 };
+        let Some(back) = self.recovered_at else { return 1.0 };
         if now >= back + rules.warm_up {
-            self.back = None;
-            self.came.clear();
+            self.recovered_at = None;
+            self.calls.clear();
             return 1.0;
         }
         warmth(rules, now - back)
     }
 
     /// A call came. True if, with it, the route was sent too much for too long while it is cold.
-    pub(crate) fn pushed(&mut self, now: Duration, rules: &RuleSettings) -> bool {
-        let Some(back) = self.back else { return false };
-        self.came.push_back(now);
-        while self.came.front().is_some_and(|at| *at + rules.overload_span < now) {
-            self.came.pop_front();
+    pub(crate) fn is_overloaded_by_call(&mut self, now: Duration, rules: &RuleSettings) -> bool {
+        let Some(back) = self.recovered_at else { return false };
+        self.calls.push_back(now);
+        while self.calls.front().is_some_and(|at| *at + rules.overload_span < now) {
+            self.calls.pop_front();
         }
         if now < back + rules.overload_span {
             return false; // it has not been back for so long
@@ -53,7 +66,7 @@
         let could = self.per_s
             * rules.overload_span.as_secs_f64()
             * warmth(rules, now - rules.overload_span / 2 - back);
-        self.came.len() as f64 > rules.overload_factor * could
+        self.calls.len() as f64 > rules.overload_factor * could
     }
 }
 
@@ -72,7 +85,7 @@
     pub(crate) queue: VecDeque<u64>,
     /// Connections with a call, or being opened.
     pub(crate) open: usize,
-    /// Idle connections by instance, and since when; gone when used, hung up or closed for idleness.
+    /// Idle connections by instance, and since when; gone when used, closed by its instance or closed for idleness.
     pub(crate) idle: BTreeMap<usize, Vec<Duration>>,
     pub(crate) faults: Vec<(usize, ServerFault)>,
 }
@@ -99,7 +112,7 @@
         self.faults.iter().any(|(_, t)| matches!(t, ServerFault::Hangs | ServerFault::Silent))
     }
 
-    /// When it opens, if it is shut, and whether that is told.
+    /// When it opens, if it is shut, if that is known.
     pub(crate) fn shut(&self) -> Option<Option<Duration>> {
         let shut = |t: &ServerFault| if let ServerFault::Shut { until } = t { Some(*until) } else { None };
         self.faults.iter().filter_map(|(_, t)| shut(t)).max()
--- a/crates/quillhub-simulator/src/server_tests.rs
+++ b/crates/quillhub-simulator/src/server_tests.rs
@@ -1,26 +1,25 @@
-//! Routes that are cold, and faults of a server that compose.
+//! Routes that warm up, and faults of a server that compose.
 
 use super::*;
 
 fn route(rules: &RuleSettings, per_s: f64) -> Route {
-    let back = Some(rules.overload_span * 10);
-    let (out, fell, came) = (false, false, VecDeque::new());
-    Route { rate_limit: None, servers: vec![0], out, fell, back, per_s, came }
+    let recovered_at = Some(rules.overload_span * 10);
+    Route { servers: vec![0], recovered_at, per_s, ..Route::new(None) }
 }
 
-/// Whether a cold route that takes 10 calls a second when warm is pushed over by `per_s` for the warm-up.
-fn falls(per_s: u64) -> bool {
+/// Whether a cold route that takes 10 calls a second when warm is overloaded by `per_s` for the warm-up.
+fn is_overloaded_by(per_s: u64) -> bool {
     let rules = RuleSettings::default();
     let mut route = route(&rules, 10.0);
-    let from = route.back.unwrap();
+    let from = route.recovered_at.unwrap();
     let calls = (0..per_s * 10).map(|n| from + Duration::from_millis(1_000 * n / per_s));
-    calls.into_iter().any(|at| route.pushed(at, &rules))
+    calls.into_iter().any(|at| route.is_overloaded_by_call(at, &rules))
 }
 
 #[test]
-fn a_cold_route_falls_when_sent_more_than_its_multiple_for_the_span() {
+fn a_cold_route_is_overloaded_by_more_than_its_multiple_for_the_span() {
     // After 3 s it could do 20% to 44% of 10 a second: 9.6 in the span, and twice that may come.
-    assert!(!falls(6) && falls(7));
+    assert!(!is_overloaded_by(6) && is_overloaded_by(7));
 }
 
 #[test]
--- a/crates/quillhub-simulator/src/simulation/calls.rs
+++ b/crates/quillhub-simulator/src/simulation/calls.rs
@@ -19,7 +19,7 @@
     pub(super) attempt: u32,
     pub(super) server: usize,
     pub(super) started: Duration,
-    /// The instance has not been told of its end.
+    /// The instance has not learned of its end.
     pub(super) awaited: bool,
     /// It holds a connection of its server.
     pub(super) connected: bool,
--- a/crates/quillhub-simulator/src/simulation/clients.rs
+++ b/crates/quillhub-simulator/src/simulation/clients.rs
@@ -93,7 +93,7 @@
         reached.get(nth).copied().unwrap_or(0)
     }
 
-    /// An instance takes a message on, and its decider is told of it.
+    /// An instance accepts a message, and its decider gets it as an input.
     fn accept(&mut self, instance: usize, number: u64, request: &ClientRequest, deadline: Duration) {
         let service_class = &self.scenario.service_classes[request.service_class];
         let message_id = self.next_number();
--- a/crates/quillhub-simulator/src/simulation/clock.rs
+++ b/crates/quillhub-simulator/src/simulation/clock.rs
@@ -1,5 +1,5 @@
-//! The clock of a run: virtual time, and the queue of the events that are scheduled. Events come by instant, and those
-//! of one instant in the order in which they were scheduled.
+//! The clock of a run: virtual time, and the queue of the events that are scheduled. Events come by instant, and
+//! those of one instant in the order in which they were scheduled.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -131,14 +131,14 @@
         }
     }
 
-    /// How long it takes until a change is told.
-    fn told_after(&mut self) -> Duration {
+    /// How long it takes until an instance hears of a change.
+    fn notification_delay(&mut self) -> Duration {
         let usual = self.scenario.discovery.delay.mul_f64(1.0 + self.rng.random::<f64>());
         usual + self.discovery.faults.iter().filter_map(|fault| fault.delay).sum::<Duration>()
     }
 
-    /// Tells an instance that starts the list that it had, or the true one at its first start. Where changes are pushed
-    /// it counts as asked for, and the true list follows.
+    /// Tells an instance that starts the list that it had, or the true one at its first start. Where changes are
+    /// pushed it counts as asked for, and the true list follows.
     pub(super) fn tell_first_list(&mut self, instance: usize) {
         let submitted = self.pushes();
         let known = &self.instances[instance].known;
@@ -150,7 +150,7 @@
         };
         self.tell_endpoints(instance, ListChange::Snapshot(entries), submitted);
         if submitted && !first {
-            let wait = self.told_after();
+            let wait = self.notification_delay();
             if !self.discovery.is_out_of_reach() {
                 let update = ListChange::Snapshot(self.discovery.snapshot());
                 self.send_update(instance, wait, update);
@@ -170,7 +170,7 @@
             return self.after(CALL_FAILS_AFTER, Event::DiscoveryFails { instance, incarnation });
         }
         self.instances[instance].watches = true;
-        let wait = self.told_after();
+        let wait = self.notification_delay();
         let update = ListChange::Snapshot(self.discovery.snapshot());
         self.send_update(instance, wait, update);
     }
@@ -201,7 +201,7 @@
         known.filter(|entry| !named.contains(entry)).map(|entry| (*entry, EndpointState::Removed)).collect()
     }
 
-    /// An instance's host keeps what it is told; a fact for each change.
+    /// An instance's host keeps what it learns; a fact for each change.
     fn learn(&mut self, instance: usize, entries: &Entries) {
         for (entry, listing) in entries.iter().copied() {
             let known = &mut self.instances[instance].known;
@@ -216,7 +216,7 @@
         }
     }
 
-    /// An instance's decider is told of endpoints.
+    /// An instance's decider gets the endpoints as inputs.
     fn pass_on_endpoints(&mut self, instance: usize, entries: &Entries, whole: bool, submitted: bool) {
         let names: Vec<_> =
             entries.iter().map(|(entry, _)| self.discovery.entries[*entry].name.clone()).collect();
@@ -228,7 +228,7 @@
         self.hand_inputs(instance, &inputs);
     }
 
-    /// What an instance is told of one entry.
+    /// The input for one entry.
     fn listed<'s>(&self, endpoint: &'s str, entry: usize, listing: EndpointState) -> Input<'s>
     where
         'a: 's,
@@ -245,7 +245,7 @@
         })
     }
 
-    /// An entry's state changes, and instances are told of it.
+    /// An entry's state changes, and instances hear of it.
     fn change_listing(&mut self, entry: usize, listing: EndpointState) {
         self.discovery.entries[entry].listing = listing;
         if !self.discovery.is_out_of_reach() {
@@ -276,7 +276,7 @@
         for instance in 0..self.instances.len() {
             let host = &self.instances[instance];
             if host.alive && (self.pushes() || host.watches) {
-                let wait = self.told_after();
+                let wait = self.notification_delay();
                 self.send_update(instance, wait, update());
             }
         }
--- a/crates/quillhub-simulator/src/simulation/instances.rs
+++ b/crates/quillhub-simulator/src/simulation/instances.rs
@@ -38,7 +38,7 @@
     /// The instant at which the instance's own clock began.
     pub(super) epoch: Duration,
     pub(super) pending: BTreeMap<MessageId, PendingMessage>,
-    /// The endpoint list as last told; outlasts the process.
+    /// The endpoint list as last received; outlasts the process.
     pub(super) known: BTreeMap<usize, EndpointState>,
     /// Whether it has a watch on service discovery.
     pub(super) watches: bool,
--- a/crates/quillhub-simulator/src/simulation/mod.rs
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! Plays a scenario in virtual time. Each module beside this one extends [`Simulation`] by one job: the instances' hosts, the
-//! clients, both sides of a call, service discovery, and the faults. This one holds the state that they share, and
-//! hands each event to the module that it concerns.
+//! Plays a scenario in virtual time. Each module beside this one extends [`Simulation`] by one job: the instances'
+//! hosts, the clients, both sides of a call, service discovery, and the faults. This one holds the state that they
+//! share, and hands each event to the one that it concerns.
 
 mod actions;
 mod calls;
@@ -69,7 +69,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    /// Plays `day` with one decider of `make` for each instance, and shows each fact to `seen`.
+    /// Plays `scenario` with one decider of `make` for each instance, and shows each fact to `seen`.
     pub fn run(
         scenario: &Scenario,
         seed: u64,
--- a/crates/quillhub-simulator/src/simulation/restarts.rs
+++ b/crates/quillhub-simulator/src/simulation/restarts.rs
@@ -23,7 +23,7 @@
 }
 
 impl Recovered {
-    /// What its instance is told of it.
+    /// The inputs that tell the decider of it.
     fn inputs<'s>(&'s self, service_classes: &'s [ServiceClassSpec]) -> [Input<'s>; 2] {
         let Self { message_id: id, key, deadline, destination, attempts, .. } = *self;
         let service_class = &service_classes[self.service_class].name;
@@ -31,14 +31,8 @@
             .may_have_run
             .as_ref()
             .map(|(started, endpoint)| PossibleExecution { started: *started, endpoint });
-        let message = NewMessage {
-            id,
-            service_class: service_class,
-            ordering_key: key,
-            deadline,
-            tenant: None,
-            destination,
-        };
+        let message =
+            NewMessage { id, service_class, ordering_key: key, deadline, tenant: None, destination };
         let attempts = RecoveredAttempts { count: attempts, first_execution };
         [Input::Message(message), Input::Recovered { message: id, attempts }]
     }
@@ -67,7 +61,7 @@
         self.clock.at(until, Event::Restart { instance });
     }
 
-    /// Ends the process; what was held and does not outlast it.
+    /// Ends the process; the pending messages that do not outlast it.
     fn end_process(&mut self, instance: usize, state_kept: bool) -> BTreeMap<MessageId, PendingMessage> {
         let now = self.clock.now();
         let host = &mut self.instances[instance];
--- a/crates/quillhub-simulator/src/simulation/servers.rs
+++ b/crates/quillhub-simulator/src/simulation/servers.rs
@@ -20,11 +20,11 @@
         let Some(call) = self.calls.get(&number) else { return };
         let Call { instance, message_id, attempt, server, .. } = *call;
         self.fact(&Fact::AttemptArrived { instance, message_id, attempt });
-        let (taken, falls) = self.site.admit(server, self.clock.now(), &mut self.rng);
-        if falls {
-            self.route_falls(server);
+        let arrived = self.site.admit(server, self.clock.now(), &mut self.rng);
+        if arrived.overloads_route {
+            self.route_overloaded(server);
         }
-        match taken {
+        match arrived.admission {
             Admission::Breaks => self.answer_call(number, AttemptOutcome::ConnectionReset, false),
             Admission::Hangs => self.call_hangs(number),
             Admission::Rejected(wait) => {
@@ -37,11 +37,11 @@
         }
     }
 
-    /// A route that was sent too much while it was cold stays down.
-    fn route_falls(&mut self, server: usize) {
+    /// A route that got too many calls while it was cold stays down.
+    fn route_overloaded(&mut self, server: usize) {
         self.fact(&Fact::RouteOverloaded { route: self.site.servers[server].route });
-        for fallen in self.site.fallen(server) {
-            self.strike_server(fallen, Site::FALL, ServerFault::Refuses);
+        for server in self.site.route_servers(server) {
+            self.strike_server(server, Site::OVERLOAD, ServerFault::Refuses);
         }
     }
 
@@ -100,8 +100,8 @@
         if let Some(next) = self.site.ends(server) {
             self.begin(next, server);
         }
-        let (response_loss, _) = self.site.response_faults(server);
-        if self.rng.random::<f64>() < response_loss {
+        let lost = self.site.response_faults(server).lost;
+        if self.rng.random::<f64>() < lost {
             return self.leave_endpoint(number);
         }
         self.answer_call(number, AttemptOutcome::Delivered, true);
--- a/crates/quillhub-simulator/src/site.rs
+++ b/crates/quillhub-simulator/src/site.rs
@@ -1,5 +1,5 @@
-//! All destinations of a scenario as one thing: what is where, who is struck, and what an endpoint does with a call that
-//! came. No events and no instances: the simulation drives it in virtual time, fakes drive it on sockets.
+//! All destinations of a scenario as one thing: what is where, who is struck, and what an endpoint does with a call
+//! that came. No events and no instances: the simulation drives it in virtual time, fakes drive it on sockets.
 
 use crate::conditions::ServerFault;
 use crate::faults::{Drain, Injection, Target, chance_of_fault};
@@ -9,19 +9,57 @@
 use quillhub::LoadReport;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::collections::{BTreeSet, VecDeque};
+use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// Part of its usual time after which a call fails that is to fail.
 const ERROR_PART: f64 = 0.1;
-/// A fault that is not of the scenario's: the end of one pushed over.
-const FALL: usize = usize::MAX;
+/// A fault that is not of the scenario's: the failure of an overloaded route.
+const OVERLOAD: usize = usize::MAX;
 
 /// A seed of its own for each use of chance, so that one use more does not shift the others.
 pub(crate) fn chance(seed: u64, use_of: u64) -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(seed ^ use_of.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
+/// What became of a call that came to a server.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Arrived {
+    /// What the server does with it.
+    pub admission: Admission,
+    /// Whether it overloaded the route, which fails from now on.
+    pub overloads_route: bool,
+}
+
+/// The destination that a server belongs to.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Owner<'s> {
+    /// The destination's number, from 0.
+    pub destination: usize,
+    /// Its kind.
+    pub kind: &'s str,
+    /// The zone that the server stands in.
+    pub zone: &'s str,
+}
+
+/// What is wrong with new connections to a server.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ConnectionFaults {
+    /// None is let in.
+    pub refuses: bool,
+    /// Nothing at all comes back.
+    pub silent: bool,
+}
+
+/// What is wrong with responses and kept connections of a server, as shares.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ResponseFaults {
+    /// Share of the responses that are lost.
+    pub lost: f64,
+    /// Share of the kept connections that are dead.
+    pub stale: f64,
+}
+
 /// What an endpoint does with a call that came.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
@@ -29,7 +67,7 @@
     Breaks,
     /// Nothing comes back.
     Hangs,
-    /// Turned away unseen, with the wait that is told, if one is.
+    /// Rejected unseen, with the retry-after, if there is one.
     Rejected(Option<Duration>),
     /// It fails, after so long.
     Fails(Duration),
@@ -88,9 +126,7 @@
                 for nth in 0..of.endpoints {
                     if nth == 0 || of.routes_apart {
                         let rate_limit = of.rate_limit.map(RateLimit::new);
-                        let (servers, out, fell, back) = (Vec::new(), false, false, None);
-                        let came = VecDeque::new();
-                        site.routes.push(Route { rate_limit, servers, out, fell, back, per_s: 0.0, came });
+                        site.routes.push(Route::new(rate_limit));
                     }
                     let route = site.routes.len() - 1;
                     let server = site.servers.len();
@@ -110,11 +146,12 @@
         self.servers.len()
     }
 
-    /// Number, kind and zone of the destination that a server belongs to.
-    pub fn whose(&self, server: usize) -> (usize, &str, &str) {
+    /// The destination that a server belongs to.
+    pub fn owner(&self, server: usize) -> Owner<'_> {
         let of = &self.servers[server];
         let kind = &self.scenario.destinations[of.kind];
-        (of.destination, &kind.kind, &self.scenario.instances.zones[of.zone])
+        let zone = &self.scenario.instances.zones[of.zone];
+        Owner { destination: of.destination, kind: &kind.kind, zone }
     }
 
     /// Calls a second that a route's limit lets in, or that its servers work off when warm.
@@ -136,15 +173,16 @@
         new
     }
 
-    /// What a server does with a call that came; it is counted. True with it if that pushed its route over.
-    pub fn admit(&mut self, at: usize, now: Duration, rng: &mut Pcg64Mcg) -> (Admission, bool) {
+    /// What a server does with a call that came; it is counted.
+    pub fn admit(&mut self, at: usize, now: Duration, rng: &mut Pcg64Mcg) -> Arrived {
         let rules = &self.scenario.rules;
         let route = self.servers[at].route;
-        let falls = !self.routes[route].fell && self.routes[route].pushed(now, rules);
-        if falls {
-            self.routes[route].fell = true;
+        let overloads_route =
+            !self.routes[route].is_overloaded && self.routes[route].is_overloaded_by_call(now, rules);
+        if overloads_route {
+            self.routes[route].is_overloaded = true;
             for server in self.routes[route].servers.clone() {
-                self.servers[server].faults.push((FALL, ServerFault::Refuses));
+                self.servers[server].faults.push((OVERLOAD, ServerFault::Refuses));
             }
         }
         let (server, route) = (&mut self.servers[at], &mut self.routes[route]);
@@ -159,7 +197,7 @@
                 _ => None,
             },
         };
-        let taken = if server.refuses() {
+        let admission = if server.refuses() {
             Admission::Breaks
         } else if server.hangs() {
             Admission::Hangs
@@ -175,7 +213,7 @@
         } else {
             Admission::Rejected(None)
         };
-        (taken, falls)
+        Arrived { admission, overloads_route }
     }
 
     /// A worker takes up a call: for so long.
@@ -200,14 +238,14 @@
         next
     }
 
-    /// Whether a server lets no connection in, and whether it says nothing at all.
-    pub fn refuses(&self, at: usize) -> (bool, bool) {
-        (self.servers[at].refuses(), self.servers[at].silent())
+    /// What is wrong with new connections to a server.
+    pub fn connection_faults(&self, at: usize) -> ConnectionFaults {
+        ConnectionFaults { refuses: self.servers[at].refuses(), silent: self.servers[at].silent() }
     }
 
-    /// Shares of answers that are lost, and of kept connections that are dead.
-    pub fn response_faults(&self, at: usize) -> (f64, f64) {
-        (self.servers[at].response_loss(), self.servers[at].stale())
+    /// What is wrong with responses and kept connections of a server.
+    pub fn response_faults(&self, at: usize) -> ResponseFaults {
+        ResponseFaults { lost: self.servers[at].response_loss(), stale: self.servers[at].stale() }
     }
 
     /// Connections that a server takes, idle ones counted, where it has a bound.
@@ -244,15 +282,15 @@
     pub(crate) fn free_capacity(&self, at: usize, now: Duration) -> usize {
         let server = &self.servers[at];
         let route = &self.routes[server.route];
-        if server.is_out() || route.fell {
+        if server.is_out() || route.is_overloaded {
             return 0;
         }
         let workers = self.scenario.destinations[server.kind].workers;
         let free = workers.saturating_sub(server.busy + server.queue.len());
-        let cold = route.back.map_or(free, |back| {
+        let cold = route.recovered_at.map_or(free, |back| {
             let warm = warmth(&self.scenario.rules, now - back);
             let may = (self.scenario.rules.overload_factor * route.per_s * warm * 0.9) as usize;
-            may.saturating_sub(route.came.iter().filter(|at| **at + Duration::from_secs(1) > now).count())
+            may.saturating_sub(route.calls.iter().filter(|at| **at + Duration::from_secs(1) > now).count())
         });
         let limit = route.rate_limit.clone().map_or(free, |mut limit| limit.free_capacity(now));
         free.min(limit).min(cold)
@@ -310,7 +348,7 @@
     /// empty then, and its workers are free.
     pub(crate) fn strike(&mut self, at: usize, number: usize, fault: ServerFault) {
         let server = &mut self.servers[at];
-        if number != FALL {
+        if number != OVERLOAD {
             server.faults.push((number, fault));
         }
         if fault == ServerFault::Refuses {
@@ -336,20 +374,21 @@
 
     /// A route is out once all its endpoints are, and back once one is not; whether that is new.
     pub(crate) fn update_route(&mut self, route: usize, now: Duration) -> Option<RouteChange> {
-        let out = self.routes[route].servers.iter().all(|server| self.servers[*server].is_out());
+        let is_down = self.routes[route].servers.iter().all(|server| self.servers[*server].is_out());
         let route = &mut self.routes[route];
-        if out == route.out || route.fell {
+        if is_down == route.is_down || route.is_overloaded {
             return None;
         }
-        (route.out, route.back) = (out, (!out).then_some(now));
-        route.came.clear();
-        Some(if out { RouteChange::Down } else { RouteChange::Recovered })
+        route.is_down = is_down;
+        route.recovered_at = (!is_down).then_some(now);
+        route.calls.clear();
+        Some(if is_down { RouteChange::Down } else { RouteChange::Recovered })
     }
 
-    /// The servers of the route of one that was pushed over.
-    pub(crate) fn fallen(&self, at: usize) -> Vec<usize> {
+    /// The servers of the route of a server.
+    pub(crate) fn route_servers(&self, at: usize) -> Vec<usize> {
         self.routes[self.servers[at].route].servers.clone()
     }
 
-    pub(crate) const FALL: usize = FALL;
+    pub(crate) const OVERLOAD: usize = OVERLOAD;
 }
--- a/crates/quillhub-simulator/src/tally.rs
+++ b/crates/quillhub-simulator/src/tally.rs
@@ -1,4 +1,4 @@
-//! Counts what a run came to: value, sends, waits, and a row for each second.
+//! Counts what a run came to: value, attempts, waits, and a row for each second.
 
 use crate::fact::{Fact, FinalOutcome};
 use crate::scenario::Scenario;
@@ -27,12 +27,12 @@
     /// Messages abandoned.
     #[serde(rename = "written_off")]
     pub abandoned: u32,
-    /// Value of what was asked for in this second, and what was earned of them in the end.
+    /// Value of the messages that came in this second.
     #[serde(rename = "worth")]
     pub value: f64,
-    /// What was earned in the end of the value of what came in this second.
+    /// The part of that value that was delivered in the end.
     pub earned: f64,
-    /// Taken and not yet answered at its end.
+    /// Accepted and without a final outcome at its end.
     #[serde(rename = "held")]
     pub pending: i64,
 }
@@ -57,7 +57,7 @@
     pub earned: f64,
     /// Value of all messages that came.
     pub submitted_value: f64,
-    /// By service class: asked for, and earned.
+    /// By service class: value submitted, and value delivered.
     pub by_service_class: Vec<(f64, f64)>,
     /// First attempts.
     pub first_attempts: u64,
@@ -71,26 +71,26 @@
     pub rejections: u64,
     /// Messages abandoned.
     pub abandoned: u64,
-    /// Effects that took place, repeats that destinations dropped, and effects that came twice though they must not:
-    /// a repeat sent inside the deduplication window that took effect after it, or one submitted again after a loss.
+    /// Effects that took place.
     pub executed: u64,
-    /// Repeats that destinations dropped.
+    /// Calls that destinations dropped as duplicates.
     pub deduplicated: u64,
-    /// Effects that came twice though they must not.
+    /// Effects that came twice though they must not: a retry inside the deduplication window that took effect after
+    /// it, or a message submitted again after a loss.
     pub duplicate_effects: u64,
     /// From a message's first submission to when its client hears that it is delivered, in microseconds.
     pub latency: Histogram<u64>,
     /// From an attempt's decision to when a worker takes it up, in microseconds.
     pub queueing: Histogram<u64>,
-    /// Most messages held at once.
+    /// Most messages pending at once.
     pub max_pending: i64,
     pending: i64,
-    /// Sends by destination, for each second, where a scenario asks for it.
+    /// Attempts by destination.
     pub by_destination: Vec<u64>,
 }
 
-/// Rows of a run's course: a scenario of seconds.
-const MOST_ROWS: u64 = 100_000;
+/// Rows of a run's course: a day of seconds.
+const MAX_ROWS: u64 = 100_000;
 
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 24 * 3_600 * 1_000_000, 3).expect("the bounds are in order")
@@ -107,7 +107,7 @@
                 .map(|service_class| service_class.service_class())
                 .collect(),
             seconds: Vec::new(),
-            row_s: (scenario.length.as_secs() / MOST_ROWS).max(1),
+            row_s: (scenario.length.as_secs() / MAX_ROWS).max(1),
             submitted: 0,
             delivered: 0,
             within_soft_deadline: 0,
@@ -203,7 +203,7 @@
         self.second(now).pending = pending;
     }
 
-    /// Of the value asked for, the share earned.
+    /// The share of the submitted value that was delivered.
     pub fn share(&self) -> f64 {
         self.earned / self.submitted_value.max(f64::MIN_POSITIVE)
     }
@@ -228,7 +228,7 @@
         shares.min_by(f64::total_cmp).unwrap_or(1.0)
     }
 
-    /// Sends for each message asked for.
+    /// Attempts for each submitted message.
     pub fn attempts_each(&self) -> f64 {
         (self.first_attempts + self.retries) as f64 / self.submitted.max(1) as f64
     }
--- a/crates/quillhub-simulator/tests/auditor.rs
+++ b/crates/quillhub-simulator/tests/auditor.rs
@@ -1,5 +1,5 @@
-//! The auditor against deliberately wrong deciders: each wraps the real dispatcher, goes wrong in one way, and must be
-//! caught under exactly the rule that it breaks; the dispatcher itself is clean on the same scenarios.
+//! The auditor against deliberately wrong deciders: each wraps the real dispatcher, goes wrong in one way, and must
+//! be caught under exactly the rule that it breaks; the dispatcher itself is clean on the same scenarios.
 
 use quillhub::{
     AttemptOutcome, AttemptResult, DestinationId, Driver, EndpointState, EndpointUpdate, MessageId,
@@ -22,7 +22,7 @@
     ForgetsAtRestart,
     ForgetsAttemptsAtRestart,
     SeesNoOutage,
-    /// The dispatcher itself, told a scenario that is not quite the true one.
+    /// The dispatcher itself, with the settings of a scenario that is not quite the true one.
     OtherScenario,
 }
 
@@ -73,7 +73,7 @@
     numbers: BTreeMap<(MessageId, u32), Option<u32>>,
     attempts: BTreeMap<MessageId, (u32, u32)>,
     late: Vec<(Duration, Action)>,
-    /// Each message's destination, and a millisecond before the end of the wait that it told.
+    /// Each message's destination, and a millisecond before the end of its retry-after.
     to: BTreeMap<MessageId, DestinationId>,
     waits: BTreeMap<DestinationId, Duration>,
     now: Duration,
@@ -123,8 +123,8 @@
         }
     }
 
-    /// The inner one's number of an attempt that ended. A copy that is delivered ends the message: then the one that was
-    /// asked for has its end too.
+    /// The inner one's number of an attempt that ended. A copy that is delivered ends the message: then the one that
+    /// was asked for has its end too.
     fn inner_number(&mut self, id: MessageId, attempt: u32, over: bool) -> Option<u32> {
         let mine = self.numbers.remove(&(id, attempt)).flatten();
         let of_copy =
@@ -132,7 +132,7 @@
         mine.or_else(|| of_copy().filter(|_| over))
     }
 
-    /// The outcome that the inner one is told.
+    /// The outcome that the inner decider gets.
     fn falsified(&mut self, id: MessageId, outcome: AttemptOutcome) -> AttemptOutcome {
         match (self.flaw, outcome) {
             (Flaw::RetriesAtMostOnce, AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset)
@@ -140,7 +140,7 @@
             {
                 AttemptOutcome::ConnectFailed
             }
-            // What it then sends at the dispatcher's own time is held until just before the wait's end.
+            // The attempts that it then starts at the dispatcher's own time wait until just before the wait's end.
             (Flaw::ShortensRetryAfter, AttemptOutcome::Rejected { retry_after: Some(wait) }) => {
                 let end = self.now + wait.saturating_sub(Duration::from_millis(1));
                 let until = self.waits.entry(self.to[&id]).or_default();
@@ -242,21 +242,8 @@
     }
 }
 
-/// A scenario with service classes, destinations and faults for all six rules; `service classes` and `faults` pick what is played.
-fn scenario(service_classes: &[&str], faults: &str, more: &str) -> Scenario {
-    let streams: String = service_classes
-        .iter()
-        .map(|g| {
-            format!(
-                "[[arrivals]]\nper_s = {}\ngrade = '{g}'\nkeys = 12\n",
-                24.0 / service_classes.len() as f64
-            )
-        })
-        .collect();
-    let text = format!(
-        "length = '40 s'
-{more}
-[couriers]
+/// Instances, service classes and destinations of all scenarios here.
+const SURROUNDINGS: &str = "[couriers]
 count = 2
 slots = 40
 room = 400
@@ -296,16 +283,33 @@
 endpoints = 2
 workers = 4
 queue = 20
-service = {{ mean = '80 ms' }}
+service = { mean = '80 ms' }
 weight = 2.0
 [[destinations]]
 kind = 'limited'
 count = 2
 endpoints = 2
 workers = 4
-service = {{ mean = '40 ms' }}
-limit = {{ per_s = 4.0, span = '1 s', tells = 1.0 }}
-{streams}
+service = { mean = '40 ms' }
+limit = { per_s = 4.0, span = '1 s', tells = 1.0 }
+";
+
+/// A scenario with service classes, destinations and faults for all six rules; `service classes` and `faults` pick
+/// what is played.
+fn scenario(service_classes: &[&str], faults: &str, more: &str) -> Scenario {
+    let streams: String = service_classes
+        .iter()
+        .map(|g| {
+            format!(
+                "[[arrivals]]\nper_s = {}\ngrade = '{g}'\nkeys = 12\n",
+                24.0 / service_classes.len() as f64
+            )
+        })
+        .collect();
+    let text = format!(
+        "length = '40 s'
+{more}
+{SURROUNDINGS}{streams}
 {faults}
 "
     );
@@ -320,10 +324,10 @@
     "[[faults]]\nat = '8 s'\nlasts = '4 s'\nwhat = { drain = {} }\nwhom = { endpoints = 1 }\n";
 const CRASH: &str = "[[faults]]\nat = '12 s'\nlasts = '1 s'\nwhat = { crash = {} }\nwhom = { ids = [1] }\n";
 
-/// The breaches of a scenario played by the dispatcher told `told`, gone wrong by `flaw`.
-fn breaches(scenario: &Scenario, told: &Scenario, flaw: Flaw) -> Vec<Breach> {
+/// The breaches of a scenario played by the dispatcher with the settings of `configured`, gone wrong by `flaw`.
+fn breaches(scenario: &Scenario, configured: &Scenario, flaw: Flaw) -> Vec<Breach> {
     let make = |start: &Start| {
-        let inner = dispatcher(&Start { seed: start.seed, zone: start.zone, scenario: told });
+        let inner = dispatcher(&Start { seed: start.seed, zone: start.zone, scenario: configured });
         let (at_most_once, deadlines) = (BTreeSet::new(), BTreeMap::new());
         let (numbers, attempts, late) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
         let (to, waits, now) = (BTreeMap::new(), BTreeMap::new(), Duration::ZERO);
@@ -334,10 +338,10 @@
     Simulation::run(scenario, 7, &make, |_, _| {}).breaches
 }
 
-fn caught(scenario: &Scenario, told: &Scenario, flaw: Flaw, rule: Rule) {
+fn caught(scenario: &Scenario, configured: &Scenario, flaw: Flaw, rule: Rule) {
     let honest = Simulation::run(scenario, 7, &dispatcher, |_, _| {}).breaches;
     assert!(honest.is_empty(), "the dispatcher itself: {}", honest[0]);
-    let found = breaches(scenario, told, flaw);
+    let found = breaches(scenario, configured, flaw);
     assert!(!found.is_empty(), "{flaw:?} is not caught");
     let other = found.iter().find(|breach| breach.rule != rule);
     assert!(other.is_none(), "{flaw:?}: {}", other.unwrap());
@@ -402,17 +406,17 @@
 #[test]
 fn a_deduplicated_message_retried_after_its_window_is_caught() {
     let scenario = scenario(&["order"], &format!("{HANG}{LOST_RESPONSES}"), "");
-    let mut told = scenario.clone();
-    told.service_classes[0].deduplication_window = Duration::from_secs(60);
-    caught(&scenario, &told, Flaw::OtherScenario, Rule::OneEffect);
+    let mut configured = scenario.clone();
+    configured.service_classes[0].deduplication_window = Duration::from_secs(60);
+    caught(&scenario, &configured, Flaw::OtherScenario, Rule::OneEffect);
 }
 
 #[test]
 fn a_deduplicated_message_retried_in_another_zone_is_caught() {
     let scenario = scenario(&["zoned"], LOST_RESPONSES, "");
-    let mut told = scenario.clone();
-    told.service_classes[1].per_zone = false;
-    caught(&scenario, &told, Flaw::OtherScenario, Rule::OneEffect);
+    let mut configured = scenario.clone();
+    configured.service_classes[1].per_zone = false;
+    caught(&scenario, &configured, Flaw::OtherScenario, Rule::OneEffect);
 }
 
 #[test]
@@ -444,17 +448,17 @@
 #[test]
 fn messages_of_one_ordering_key_out_of_order_are_caught() {
     let scenario = scenario(&["turns"], LOST_RESPONSES, "");
-    let mut told = scenario.clone();
-    told.service_classes[4].ordered = false;
-    caught(&scenario, &told, Flaw::OtherScenario, Rule::Order);
+    let mut configured = scenario.clone();
+    configured.service_classes[4].ordered = false;
+    caught(&scenario, &configured, Flaw::OtherScenario, Rule::Order);
 }
 
 #[test]
 fn an_ordering_key_that_does_not_pause_is_caught() {
     let scenario = scenario(&["turns"], LOST_RESPONSES, "");
-    let mut told = scenario.clone();
-    told.rules.ordering_pause = Duration::ZERO;
-    caught(&scenario, &told, Flaw::OtherScenario, Rule::Order);
+    let mut configured = scenario.clone();
+    configured.rules.ordering_pause = Duration::ZERO;
+    caught(&scenario, &configured, Flaw::OtherScenario, Rule::Order);
 }
 
 /// All faults at once, on several seeds: the dispatcher keeps all rules.
--- a/crates/quillhub-simulator/tests/cold_recovery.rs
+++ b/crates/quillhub-simulator/tests/cold_recovery.rs
@@ -1,7 +1,7 @@
-//! The sum of what many instances send to a destination that returns cold, call by call, against what it can bear: in
-//! every window of the settings' length no more than N + 2 root N + 2 calls, N being what the settings allow it then.
-//! Beyond that a cold destination falls, and it is the instances' doing where two thirds of the calls came from instances
-//! that had seen a call fail, or be refused, there during the outage.
+//! The sum of what many instances send to a destination that recovers cold, call by call, against what it can bear:
+//! in every window of the settings' length no more than N + 2 root N + 2 calls, N being what the settings allow it
+//! then. Beyond that a cold destination falls, and it is the instances' doing where two thirds of the calls came
+//! from instances that had seen a call fail, or be refused, there during the outage.
 
 use quillhub::{AttemptOutcome, MessageId};
 use quillhub_simulator::{Fact, Scenario, Simulation, Start, dispatcher};
@@ -11,7 +11,7 @@
 const SEEDS: u64 = 20;
 const FLEETS: [u32; 3] = [20, 30, 100];
 /// The share of the calls that instances which knew of the outage must have sent for it to be their doing.
-const KNEW: f64 = 2.0 / 3.0;
+const INFORMED_SHARE: f64 = 2.0 / 3.0;
 /// A factor that no fleet reaches: destinations do not fall here, so that every window is seen to its end.
 const NEVER: f64 = 1e6;
 
@@ -22,8 +22,8 @@
     /// When it came back, and the calls a second that it works off when warm.
     back: Option<(Duration, f64)>,
     /// Instances that saw a call fail, or be refused, there during the outage.
-    told: BTreeSet<usize>,
-    /// The calls of the current window: when, and whether their instance had been told.
+    informed: BTreeSet<usize>,
+    /// The calls of the current window: when, and whether their instance was informed.
     window: VecDeque<(Duration, bool)>,
     fell: bool,
 }
@@ -77,7 +77,7 @@
                 let Some(route) = self.attempts.get(&(*instance, *message_id, *attempt)) else { return };
                 let route = self.routes.entry(*route).or_default();
                 if route.out && !matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::NotSent) {
-                    route.told.insert(*instance);
+                    route.informed.insert(*instance);
                 }
             }
             _ => {}
@@ -89,7 +89,7 @@
         let route = self.routes.entry(route).or_default();
         let Some((back, per_s)) = route.back.filter(|(back, _)| now < *back + rules.warm_up) else { return };
         self.found.calls += 1;
-        route.window.push_back((now, route.told.contains(&instance)));
+        route.window.push_back((now, route.informed.contains(&instance)));
         while route.window.front().is_some_and(|(at, _)| *at + rules.overload_span < now) {
             route.window.pop_front();
         }
@@ -104,8 +104,8 @@
         if calls > allowed + 2.0 * allowed.sqrt() + 2.0 {
             route.fell = true;
             self.found.falls += 1;
-            let told = route.window.iter().filter(|(_, told)| *told).count() as f64;
-            self.found.blamed += usize::from(told >= KNEW * calls);
+            let informed = route.window.iter().filter(|(_, informed)| *informed).count() as f64;
+            self.found.blamed += usize::from(informed >= INFORMED_SHARE * calls);
         }
     }
 }
@@ -177,11 +177,14 @@
     all
 }
 
-/// The settings let a fleet of `instances` send so much, and it does not push a returning destination over.
+/// The settings let a fleet of `instances` start so many attempts, and it does not overload a recovering destination.
 fn assert_none_is_overloaded(instances: u32, kind: &str, rates: &str, factor: f64, faults: &str) {
     let found = recoveries(&scenario(instances, kind, rates, factor, faults));
     println!("{instances} instances: {found:?}");
-    assert!(found.recoveries >= 5 * SEEDS as usize && found.calls > 1_000, "{instances} instances: {found:?}");
+    assert!(
+        found.recoveries >= 5 * SEEDS as usize && found.calls > 1_000,
+        "{instances} instances: {found:?}"
+    );
     assert_eq!(found.blamed, 0, "{instances} instances: {found:?}");
 }
 
