--- a/crates/quillhub-simulator/src/conditions.rs
+++ b/crates/quillhub-simulator/src/conditions.rs
@@ -13,12 +13,12 @@
     Silent,
     /// Such a share of the calls fails at once.
     Errs(f64),
-    /// All are turned away; told when it opens or not.
+    /// All calls are rejected, with a retry-after until then if there is one.
     Shut { until: Option<Duration> },
     /// Calls take so many times as long.
     Slow(f64),
     /// Such a share of the answers is lost after their calls ran.
-    Mutes(f64),
+    LosesResponses(f64),
     /// Such a share of the kept connections is dead when used.
     Stale(f64),
     /// Opening a connection takes so much longer.
@@ -39,7 +39,7 @@
 /// What is wrong with the path from zone to zone.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PathFault {
-    /// Nothing gets through, and nobody is told.
+    /// Nothing gets through, and nobody hears of it.
     Cut,
     /// Such a share of what is sent does not arrive.
     Loses(f64),
