--- a/crates/quillhub-server/src/error.rs
+++ b/crates/quillhub-server/src/error.rs
@@ -1,13 +1,15 @@
-//! Why an instance cannot start.
+//! Why an instance cannot start, or go by a new configuration.
 
+use crate::configuration::ConfigurationError;
 use std::io;
+use std::path::PathBuf;
 
 /// Why [`serve`](crate::serve) cannot run an instance; the text is one line.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The configuration cannot be used; the text says where, what was expected and what was found.
-    #[error("{0}")]
-    Configuration(String),
+    /// The configuration cannot be used.
+    #[error(transparent)]
+    Configuration(#[from] ConfigurationError),
     /// The address for gossip with other instances cannot be used.
     #[error("the address for notes cannot be used: {0}")]
     GossipAddress(#[source] io::Error),
@@ -18,3 +20,13 @@
     #[error("the address cannot be listened on: {0}")]
     Listen(#[source] io::Error),
 }
+
+/// A file cannot be read.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: {source}", path.display())]
+pub struct ReadError {
+    /// The file.
+    pub path: PathBuf,
+    /// Why not.
+    pub source: io::Error,
+}
--- a/crates/quillhub-server/src/lib.rs
+++ b/crates/quillhub-server/src/lib.rs
@@ -24,10 +24,11 @@
 mod test_support;
 mod wal;
 
+pub use configuration::ConfigurationError;
 pub use discovery::MOST_LINE;
-pub use error::ServeError;
+pub use error::{ReadError, ServeError};
 
-use quillhub_settings::At;
+use quillhub_settings::Setting;
 use std::future::Future;
 use std::path::Path;
 use tokio::sync::watch;
@@ -44,16 +45,15 @@
     text: &str,
     state: &Path,
     stop: impl Future<Output = ()>,
-    next: impl AsyncFnMut() -> Result<String, String>,
+    next: impl AsyncFnMut() -> Result<String, ReadError>,
 ) -> Result<(), ServeError> {
-    let value = configuration::parse(text).map_err(ServeError::Configuration)?;
-    let top = At::top(&value);
-    let (address, discovery) =
-        watch::channel(configuration::discovery(&top).map_err(ServeError::Configuration)?);
+    let value = configuration::parse(text)?;
+    let root = Setting::root(&value);
+    let (address, discovery) = watch::channel(configuration::discovery(&root)?);
     LocalSet::new()
         .run_until(async {
             tokio::select! {
-                ended = startup::run(&top, state, discovery, stop) => ended,
+                ended = startup::run(&root, state, discovery, stop) => ended,
                 never = reload::follow(&value, &address, next) => match never {},
             }
         })
@@ -65,8 +65,8 @@
 /// # Errors
 ///
 /// What is wrong with it, in one line.
-pub fn check(text: &str) -> Result<(), String> {
-    configuration::check(&At::top(&configuration::parse(text)?))
+pub fn check(text: &str) -> Result<(), ConfigurationError> {
+    configuration::check(&Setting::root(&configuration::parse(text)?))
 }
 
 #[cfg(test)]
--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -6,6 +6,7 @@
 use quillhub_fakes::clients::command;
 use serde_json::{Value, json};
 use std::future::pending;
+use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -31,11 +32,11 @@
     ] {
         let mut settings = configuration();
         settings[name] = value;
-        let error = check(&settings.to_string()).unwrap_err();
+        let error = check(&settings.to_string()).unwrap_err().to_string();
         assert!(error.contains(expected) && !error.contains('\n'), "{error}");
     }
     assert!(check("{").is_err());
-    assert_eq!(check(&configuration().to_string()), Ok(()));
+    assert!(check(&configuration().to_string()).is_ok());
 }
 
 #[test]
@@ -59,7 +60,8 @@
     moved["discovery"] = json!("127.0.0.1:3");
     moved["listen"] = json!("127.0.0.1:4");
     assert_eq!(configuration::differing(&started_with, &moved), ["listen"]);
-    let mut texts = vec![Ok(moved.to_string()), Ok(unusable.to_string()), Err("no such file".to_owned())];
+    let missing = ReadError { path: "configuration.json".into(), source: ErrorKind::NotFound.into() };
+    let mut texts = vec![Ok(moved.to_string()), Ok(unusable.to_string()), Err(missing)];
     on_one_thread(async {
         let (at, mut seen) = watch::channel("127.0.0.1:1".parse().unwrap());
         let seen_first = async {
