--- a/crates/quillhub-server/src/clients/commands.rs
+++ b/crates/quillhub-server/src/clients/commands.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: a command that cannot be parsed changes nothing.
 
-use crate::host::{Host as Instance, Taken as SubmitOutcome};
+use crate::instance::{Instance, InvalidSubmission, Submission, SubmitOutcome};
 use crate::resp;
 use quillhub::MessageId;
 use std::cell::RefCell;
@@ -40,8 +40,8 @@
     #[error("an id or key that cannot be passed on")]
     NotForwardable,
     /// The instance cannot take it for a message.
-    #[error("{0}")]
-    InvalidMessage(&'static str),
+    #[error(transparent)]
+    InvalidMessage(#[from] InvalidSubmission),
     #[error("not a command, or too long")]
     Malformed,
     #[error("too long")]
@@ -63,25 +63,14 @@
     Ping {
         text: Option<&'a [u8]>,
     },
-    Submit(Submit<'a>),
-}
-
-/// A message as its client hands it in.
-struct Submit<'a> {
-    service_class: &'a str,
-    ordering_key: Option<u64>,
-    time_limit: Duration,
-    destination: u64,
-    reference: &'a [u8],
-    idempotency_key: Option<&'a [u8]>,
-    body: &'a [u8],
+    Submit(Submission<'a>),
 }
 
 impl<'a> Command<'a> {
     fn parse(parts: &[&'a [u8]]) -> Result<Self, CommandError> {
         let Some((name, arguments)) = parts.split_first() else { return Ok(Self::Empty) };
         if name.eq_ignore_ascii_case(b"SUBMIT") {
-            return Submit::parse(arguments).map(Self::Submit);
+            return parse_submission(arguments).map(Self::Submit);
         }
         match arguments {
             [] if name.eq_ignore_ascii_case(b"PING") => Ok(Self::Ping { text: None }),
@@ -91,50 +80,40 @@
     }
 }
 
-impl<'a> Submit<'a> {
-    fn parse(arguments: &[&'a [u8]]) -> Result<Self, CommandError> {
-        let &[ordering_key, reference, list, body] = arguments else {
-            return Err(CommandError::ArgumentCount);
-        };
-        let value = |name| resp::named(list, name);
-        let ordering_key = parse_number(ordering_key, 16).ok_or(CommandError::OrderingKey)?;
-        let service_class = value("c").and_then(|class| std::str::from_utf8(class).ok());
-        let service_class = service_class.ok_or(CommandError::NoServiceClass)?;
-        let time_limit = value("d").and_then(|milliseconds| parse_number(milliseconds, 10));
-        let time_limit = time_limit.ok_or(CommandError::NoDeadline)?;
-        let destination = value("dest").and_then(|destination| parse_number(destination, 10));
-        let destination = destination.ok_or(CommandError::NoDestination)?;
-        let idempotency_key = value("k");
-        if !is_forwardable(reference) || !idempotency_key.is_none_or(is_forwardable) {
-            return Err(CommandError::NotForwardable);
-        }
-        Ok(Self {
-            service_class,
-            ordering_key: (ordering_key != 0).then_some(ordering_key),
-            time_limit: Duration::from_millis(time_limit.min(u64::from(u32::MAX))),
-            destination,
-            reference,
-            idempotency_key,
-            body,
-        })
+/// Reads a message from the arguments of `SUBMIT`.
+fn parse_submission<'a>(arguments: &[&'a [u8]]) -> Result<Submission<'a>, CommandError> {
+    let &[ordering_key, reference, list, body] = arguments else {
+        return Err(CommandError::ArgumentCount);
+    };
+    let value = |name| resp::named(list, name);
+    let ordering_key = parse_number(ordering_key, 16).ok_or(CommandError::OrderingKey)?;
+    let service_class = value("c").and_then(|class| std::str::from_utf8(class).ok());
+    let service_class = service_class.ok_or(CommandError::NoServiceClass)?;
+    let time_limit = value("d").and_then(|milliseconds| parse_number(milliseconds, 10));
+    let time_limit = time_limit.ok_or(CommandError::NoDeadline)?;
+    let destination = value("dest").and_then(|destination| parse_number(destination, 10));
+    let destination = destination.ok_or(CommandError::NoDestination)?;
+    let idempotency_key = value("k");
+    if !is_forwardable(reference) || !idempotency_key.is_none_or(is_forwardable) {
+        return Err(CommandError::NotForwardable);
     }
+    Ok(Submission {
+        service_class,
+        ordering_key: (ordering_key != 0).then_some(ordering_key),
+        time_to_live: Duration::from_millis(time_limit.min(u64::from(u32::MAX))),
+        destination,
+        client_id: reference,
+        idempotency_key,
+        body,
+    })
+}
 
-    fn execute(self, instance: &RefCell<Instance>) -> Reply {
-        let outcome = instance.borrow_mut().take_on(
-            self.service_class,
-            self.ordering_key,
-            self.time_limit,
-            self.destination,
-            self.reference,
-            self.idempotency_key,
-            self.body,
-        );
-        match outcome {
-            SubmitOutcome::On(message) => Reply::Accepted(message),
-            SubmitOutcome::Denied(retry_after) => Reply::Answer(resp::busy(retry_after)),
-            SubmitOutcome::Failed(error) => Reply::Answer(resp::error(error)),
-            SubmitOutcome::Unusable(error) => Reply::Error(CommandError::InvalidMessage(error)),
-        }
+fn submit(instance: &RefCell<Instance>, submission: Submission) -> Reply {
+    match instance.borrow_mut().submit(submission) {
+        SubmitOutcome::Accepted(message) => Reply::Accepted(message),
+        SubmitOutcome::Busy { retry_after } => Reply::Answer(resp::busy(retry_after)),
+        SubmitOutcome::Failed(failure) => Reply::Answer(resp::error(failure)),
+        SubmitOutcome::Invalid(reason) => Reply::Error(reason.into()),
     }
 }
 
@@ -144,7 +123,7 @@
         Ok(Command::Empty) => Reply::Answer(Vec::new()),
         Ok(Command::Ping { text: None }) => Reply::Answer(resp::PONG.to_vec()),
         Ok(Command::Ping { text: Some(text) }) => Reply::Answer(resp::bulk(text)),
-        Ok(Command::Submit(submit)) => submit.execute(instance),
+        Ok(Command::Submit(submission)) => submit(instance, submission),
         Err(error) => Reply::Error(error),
     }
 }
--- a/crates/quillhub-server/src/clients/connection.rs
+++ b/crates/quillhub-server/src/clients/connection.rs
@@ -6,7 +6,7 @@
 use super::admission::{Activity, Admission, EVICTION_TIMEOUT, Phase, Registration};
 use super::commands::{self, CommandError, Reply};
 use super::socket;
-use crate::host::Host as Instance;
+use crate::instance::Instance;
 use crate::resp;
 use std::borrow::Cow;
 use std::cell::RefCell;
@@ -220,7 +220,7 @@
         let written = timeout(WRITE_TIMEOUT, self.stream.write_all(&octets)).await;
         if !matches!(written, Ok(Ok(()))) {
             if let Some(message) = accepted {
-                self.instance.borrow_mut().gone(message);
+                self.instance.borrow_mut().withdraw(message);
             }
             let failed = written.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
             return failed.map(|()| Some(End::ByClient));
--- a/crates/quillhub-server/src/clients/mod.rs
+++ b/crates/quillhub-server/src/clients/mod.rs
@@ -10,7 +10,7 @@
 
 pub use admission::{Admission, Phase};
 
-use crate::host::Host as Instance;
+use crate::instance::Instance;
 use connection::Connection;
 use std::cell::RefCell;
 use std::io;
--- a/crates/quillhub-server/src/clients/tests.rs
+++ b/crates/quillhub-server/src/clients/tests.rs
@@ -1,7 +1,7 @@
 use super::admission::{EVICTION_TIMEOUT, Resource};
 use super::connection::{COMMAND_TIMEOUT, MAX_CONSECUTIVE_ERRORS, MAX_PART_BYTES};
 use super::*;
-use crate::stand_in::{Folder, host, on_one_thread};
+use crate::test_support::{Folder, instance, on_one_thread};
 use quillhub_fakes::clients::command;
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -25,7 +25,7 @@
         let at = listener.local_addr().unwrap();
         let (phase, seen) = watch::channel(came);
         let permits = Arc::new(Semaphore::new(2));
-        spawn_local(accept(host(&folder, at), Rc::new(listener), Admission::new(seen, permits.clone())));
+        spawn_local(accept(instance(&folder, at), Rc::new(listener), Admission::new(seen, permits.clone())));
         let mut client = TcpStream::connect(at).await.unwrap();
         client.write_all(input).await.unwrap();
         if leave {
@@ -102,7 +102,7 @@
         let at = listener.local_addr().unwrap();
         let (_phase, seen) = watch::channel(Phase::Serving);
         let admission = Admission::new(seen, Arc::new(Semaphore::new(1)));
-        spawn_local(accept(host(&folder, at), Rc::new(listener), admission));
+        spawn_local(accept(instance(&folder, at), Rc::new(listener), admission));
         let mut answer = [0; 7];
         let mut first = TcpStream::connect(at).await.unwrap();
         first.write_all(PING).await.unwrap();
@@ -151,7 +151,7 @@
         let (phase, seen) = watch::channel(Phase::Serving);
         let permits = Arc::new(Semaphore::new(1));
         let admission = Admission::new(seen, permits.clone());
-        let host = host(&folder, at);
+        let host = instance(&folder, at);
         spawn_local(accept(host.clone(), Rc::new(listener), admission.clone()));
         let mut client = TcpStream::connect(at).await.unwrap();
         if end != End::NoCommand {
@@ -185,7 +185,7 @@
         while permits.available_permits() == 0 {
             tokio::task::yield_now().await;
         }
-        let accepted = !host.borrow().at_rest();
+        let accepted = !host.borrow().is_idle();
         (read, after, accepted)
     })
 }
--- a/crates/quillhub-server/src/command.rs
+++ b/crates/quillhub-server/src/command.rs
@@ -2,6 +2,7 @@
 //!
 //! Invariant: what fails is printed in one line, with exit status 2.
 
+use crate::{ConfigurationError, ReadError, ServeError};
 use argh::FromArgs;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -66,16 +67,16 @@
 enum CommandError {
     #[error("expected {} or ${}, found neither", .0.option, .0.variable)]
     MissingPath(PathSource),
-    #[error("{}: {source}", path.display())]
-    Read { path: PathBuf, source: io::Error },
+    #[error(transparent)]
+    Read(#[from] ReadError),
     #[error("the runtime cannot start: {0}")]
     Runtime(#[source] io::Error),
     #[error("signals cannot be caught: {0}")]
     Signals(#[source] io::Error),
-    #[error("{0}")]
-    Check(String),
-    #[error("{0}")]
-    Serve(String),
+    #[error(transparent)]
+    Check(#[from] ConfigurationError),
+    #[error(transparent)]
+    Serve(#[from] ServeError),
 }
 
 /// Where a path is given: by an option, or else by an environment variable.
@@ -93,8 +94,8 @@
     }
 }
 
-fn read_file(path: &Path) -> Result<String, CommandError> {
-    std::fs::read_to_string(path).map_err(|source| CommandError::Read { path: path.to_owned(), source })
+fn read_file(path: &Path) -> Result<String, ReadError> {
+    std::fs::read_to_string(path).map_err(|source| ReadError { path: path.to_owned(), source })
 }
 
 fn catch(kind: SignalKind) -> Result<Signal, CommandError> {
@@ -124,17 +125,17 @@
         }
     };
     let next_configuration = async || match hangup.recv().await {
-        Some(()) => read_file(configuration).map_err(|error| error.to_string()),
+        Some(()) => read_file(configuration),
         None => std::future::pending().await,
     };
     let text = read_file(configuration)?;
-    crate::serve(&text, state, stop, next_configuration).await.map_err(CommandError::Serve)
+    Ok(crate::serve(&text, state, stop, next_configuration).await?)
 }
 
 impl Check {
     fn execute(self) -> Result<(), CommandError> {
         let text = read_file(&CONFIGURATION.path(self.config)?)?;
-        crate::check(&text).map_err(CommandError::Check)?;
+        crate::check(&text)?;
         println!("the configuration can be used");
         Ok(())
     }
--- a/crates/quillhub-server/src/discovery/entries.rs
+++ b/crates/quillhub-server/src/discovery/entries.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: a list of which anything cannot be read changes nothing.
 
-use crate::host::Host as Instance;
+use crate::instance::Instance;
 use quillhub::{EndpointState, EndpointUpdate};
 use quillhub_settings::{Setting, SettingsError};
 use serde_json::Value;
@@ -85,15 +85,15 @@
     let EndpointList { revision, complete, entries } = EndpointList::parse(list)?;
     for Entry { name, address, state, .. } in &entries {
         match state {
-            EndpointState::Removed => instance.endpoints.gone(name),
-            _ => instance.endpoints.listed(name, *address),
+            EndpointState::Removed => instance.endpoint_removed(name),
+            _ => instance.endpoint_listed(name, *address),
         }
     }
     let names: BTreeSet<String> = entries.iter().map(|entry| entry.name.to_owned()).collect();
     if complete {
-        instance.endpoints.keep_only(|name| names.contains(name));
+        instance.keep_only_endpoints(|name| names.contains(name));
     }
-    instance.event(|dispatcher| {
+    instance.handle_event(|dispatcher| {
         for Entry { name, zone, kind, destination, state, rate, .. } in entries {
             let update = EndpointUpdate { name, zone, kind, destination, state, listed_rate: rate };
             dispatcher.endpoint_updated(update);
--- a/crates/quillhub-server/src/discovery/mod.rs
+++ b/crates/quillhub-server/src/discovery/mod.rs
@@ -10,7 +10,7 @@
 pub use entries::{Origin, check, update_endpoints};
 pub use watch::MOST_LINE;
 
-use crate::host::Host as Instance;
+use crate::instance::Instance;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -68,12 +68,12 @@
     progress: Rc<Progress>,
     must_be_polled: bool,
 ) {
-    let wanted = instance.borrow().watch_wanted.clone();
+    let wanted = instance.borrow().watch_requested();
     loop {
         // Here, so that the dispatcher is also notified of what a panic has ended: it would never poll again.
         if progress.outstanding.get() {
             clear(&wanted).await;
-            instance.borrow_mut().event(|dispatcher| dispatcher.endpoint_list_failed());
+            instance.borrow_mut().handle_event(|dispatcher| dispatcher.endpoint_list_failed());
             progress.outstanding.set(false);
         }
         if must_be_polled && !progress.moved.get() {
--- a/crates/quillhub-server/src/discovery/watch.rs
+++ b/crates/quillhub-server/src/discovery/watch.rs
@@ -4,8 +4,8 @@
 
 use super::entries::{Origin, update_endpoints};
 use super::stream::{ValueBoundaries, take_values};
-use crate::host::Host as Instance;
 use crate::http::{self, Framing};
+use crate::instance::Instance;
 use crate::link::{Broken, Link};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -51,7 +51,7 @@
     at: SocketAddr,
     revision: &Cell<Option<u64>>,
 ) -> Result<(), Broken> {
-    let heard = instance.borrow().discovery_heard.clone();
+    let heard = instance.borrow().discovery_responded();
     let after = match revision.get() {
         Some(revision) => revision,
         None => {
--- /dev/null
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -0,0 +1,190 @@
+use super::messages::CLIENT_ID_REMEMBERED;
+use super::submission::{InvalidSubmission, SubmitFailure};
+use super::*;
+use crate::test_support::{
+    OK, STATE_BUDGET, StateDirectory, TIME_TO_LIVE, answering, endpoint_in, instance, on_one_thread,
+    pending_in, silent_endpoint, submission, submit, submit_body, until_attempts_ended, until_idle,
+};
+use quillhub::{AttemptOutcome, Driver, EndpointState};
+
+#[test]
+fn a_message_is_forwarded_unchanged_and_finished_by_a_200() {
+    let directory = StateDirectory::new();
+    on_one_thread(async {
+        let (address, mut requests) = answering(vec![OK]).await;
+        let instance = instance(&directory, address);
+        assert_eq!(submit(&instance, "once"), SubmitOutcome::Accepted(1));
+        let request = requests.recv().await.unwrap();
+        for part in ["POST /events HTTP/1.1\r\n", "\r\nX-Request-Id: ab", "\r\nIdempotency-Key: k\r\n"] {
+            assert!(request.contains(part), "{request}");
+        }
+        assert!(request.ends_with("\r\nContent-Length: 5\r\n\r\n\0body"), "{request}");
+        until_idle(&instance).await;
+    });
+    assert!(pending_in(&directory).is_empty());
+}
+
+#[test]
+fn a_message_rejected_at_submission_leaves_nothing_pending() {
+    let directory = StateDirectory::new();
+    on_one_thread(async {
+        let (address, _listener) = silent_endpoint().await;
+        let instance = instance(&directory, address);
+        let unknown = SubmitOutcome::Invalid(InvalidSubmission::UnknownServiceClass);
+        assert_eq!(submit(&instance, "unheard"), unknown);
+        for _ in 0..8 {
+            assert!(matches!(submit(&instance, "once"), SubmitOutcome::Accepted(_)));
+        }
+        assert_eq!(
+            submit(&instance, "once"),
+            SubmitOutcome::Busy { retry_after: None },
+            "the queue is short"
+        );
+        assert!(instance.borrow().outcomes.is_empty());
+    });
+    assert_eq!(pending_in(&directory).len(), 8);
+}
+
+#[test]
+fn a_full_state_directory_rejects_messages() {
+    let directory = StateDirectory::new();
+    on_one_thread(async {
+        let (address, _listener) = silent_endpoint().await;
+        let instance = instance(&directory, address);
+        let body = vec![0; 60_000];
+        let submit = || submit_body(&instance, "once", &body);
+        let accepted = (0..9).take_while(|_| matches!(submit(), SubmitOutcome::Accepted(_))).count();
+        assert!((3..9).contains(&accepted));
+        assert_eq!(submit(), SubmitOutcome::Busy { retry_after: None });
+        assert!(directory.size() <= STATE_BUDGET);
+    });
+}
+
+#[test]
+fn a_message_that_cannot_be_recorded_is_neither_accepted_nor_sent() {
+    let directory = StateDirectory::new();
+    on_one_thread(async {
+        let (address, mut requests) = answering(vec![OK, OK, OK]).await;
+        let instance = instance(&directory, address);
+        std::fs::remove_dir_all(&directory.0).unwrap();
+        let body = vec![0; 60_000]; // one fills a segment, and the next needs a new file
+        let submit = || submit_body(&instance, "free", &body);
+        assert_eq!(submit(), SubmitOutcome::Accepted(1));
+        for _ in 0..2 {
+            assert_eq!(submit(), SubmitOutcome::Failed(SubmitFailure::StateDirectory));
+        }
+        until_idle(&instance).await;
+        assert!(requests.try_recv().is_ok() && requests.try_recv().is_err(), "one attempt");
+    });
+}
+
+#[test]
+fn a_withdrawn_message_leaves_nothing_pending() {
+    let directory = StateDirectory::new();
+    on_one_thread(async {
+        let (address, _listener) = silent_endpoint().await;
+        let instance = instance(&directory, address);
+        submit(&instance, "free");
+        instance.borrow_mut().withdraw(1);
+        assert!(instance.borrow().messages.is_empty());
+    });
+    assert!(pending_in(&directory).is_empty());
+}
+
+#[test]
+fn a_panic_in_an_event_leaves_the_dispatcher_in_place() {
+    let directory = StateDirectory::new();
+    on_one_thread(async {
+        let (address, _listener) = silent_endpoint().await;
+        let instance = instance(&directory, address);
+        let panics = || instance.borrow_mut().handle_event(|_| panic!("a panic in an event"));
+        assert!(catch_unwind(AssertUnwindSafe(panics)).is_err());
+        assert_eq!(submit(&instance, "free"), SubmitOutcome::Accepted(1));
+    });
+}
+
+#[test]
+fn after_stop_deciding_messages_are_accepted_but_not_attempted() {
+    let directory = StateDirectory::new();
+    on_one_thread(async {
+        let (address, _listener) = silent_endpoint().await;
+        let instance = instance(&directory, address);
+        instance.borrow_mut().stop_deciding();
+        assert_eq!(submit(&instance, "free"), SubmitOutcome::Accepted(1));
+        assert_eq!(instance.borrow().attempts_in_flight, 0);
+    });
+    assert_eq!(pending_in(&directory).len(), 1);
+}
+
+/// Each comes between the decision and the attempt's first octet, while its connection opens.
+#[test]
+fn an_attempt_sends_nothing_once_its_client_left_or_its_endpoint_drained_or_asked_to_wait() {
+    let listed = |state| {
+        move |instance: &mut Instance| {
+            instance.handle_event(|dispatcher| dispatcher.endpoint_updated(endpoint_in(state)))
+        }
+    };
+    let rejected = AttemptResult {
+        message: 2,
+        attempt: 0,
+        outcome: AttemptOutcome::Rejected { retry_after: Some(TIME_TO_LIVE) },
+        duration: TIME_TO_LIVE,
+        finished: false,
+        load_report: None,
+    };
+    type Change = Box<dyn Fn(&mut Instance)>;
+    let changes: [(&str, Change); 5] = [
+        ("the client left", Box::new(|instance| instance.withdraw(1))),
+        ("the endpoint drains", Box::new(listed(EndpointState::Draining))),
+        ("the endpoint is removed", Box::new(listed(EndpointState::Removed))),
+        (
+            "the endpoint asks to wait",
+            Box::new(move |instance| instance.handle_event(|dispatcher| dispatcher.attempt_ended(rejected))),
+        ),
+        ("nothing", Box::new(|_| ())),
+    ];
+    for (what, change) in changes {
+        let directory = StateDirectory::new();
+        on_one_thread(async {
+            let (address, mut requests) = answering(vec![OK; 9]).await;
+            let instance = instance(&directory, address);
+            assert_eq!(submit(&instance, "once"), SubmitOutcome::Accepted(1));
+            assert_eq!(submit(&instance, "once"), SubmitOutcome::Accepted(2));
+            assert_eq!(instance.borrow().attempts_in_flight, 2);
+            instance.borrow_mut().handle_event(|dispatcher| dispatcher.finish(2));
+            change(&mut instance.borrow_mut());
+            until_attempts_ended(&instance).await;
+            let mut received = std::iter::from_fn(|| requests.try_recv().ok());
+            assert_eq!(received.any(|request| request.ends_with("body")), what == "nothing", "{what}");
+        });
+    }
+}
+
+#[test]
+fn a_duplicate_client_id_is_rejected_and_the_first_message_stays() {
+    let directory = StateDirectory::new();
+    on_one_thread(async {
+        let (address, _listener) = silent_endpoint().await;
+        let first = instance(&directory, address);
+        let submit = |instance: &RefCell<Instance>, client_id, destination| {
+            let submission =
+                Submission { client_id, destination, idempotency_key: None, ..submission("free") };
+            instance.borrow_mut().submit(submission)
+        };
+        let duplicate = SubmitOutcome::Invalid(InvalidSubmission::DuplicateClientId);
+        assert_eq!(submit(&first, b"a", 9), SubmitOutcome::Accepted(1));
+        assert_eq!(submit(&first, b"a", 9), duplicate);
+        let elsewhere = submit(&first, b"b", 404);
+        assert_eq!(elsewhere, SubmitOutcome::Invalid(InvalidSubmission::UnknownDestination));
+        assert_eq!((first.borrow().messages.len(), first.borrow().attempts_in_flight), (1, 1));
+        drop(first);
+        let second = instance(&directory, address);
+        assert_eq!(submit(&second, b"a", 9), duplicate, "after a restart too");
+        second.borrow_mut().abandon(1);
+        second.borrow_mut().outcomes_confirmed(1);
+        assert_eq!(submit(&second, b"a", 9), duplicate, "and for a while");
+        second.borrow_mut().clock_offset += CLIENT_ID_REMEMBERED;
+        assert!(matches!(submit(&second, b"a", 9), SubmitOutcome::Accepted(_)));
+        assert_eq!(second.borrow().messages.remembered(), 0);
+    });
+}
--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -1,17 +1,26 @@
 use super::*;
-use crate::stand_in::{Folder, OK, answering, on_one_thread, plan};
-use crate::wal::Owed;
+use crate::reload::follow;
+use crate::test_support::{
+    OK, StateDirectory, answering, configuration, log_with, message, on_one_thread, pending_in,
+};
 use quillhub_fakes::clients::command;
 use serde_json::{Value, json};
 use std::future::pending;
-use std::time::SystemTime;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+/// Long enough for the tasks of an instance to run.
+const MOMENT: Duration = Duration::from_millis(5);
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_told_in_one_line() {
-    for (name, value, told) in [
+fn an_unusable_configuration_is_reported_in_one_line() {
+    for (name, value, expected) in [
         ("listen", json!("here"), "an address as settings' listen"),
         ("listen", Value::Null, "found none"),
         ("seed", json!("x7"), "a hexadecimal number"),
@@ -21,35 +30,38 @@
         ("settings", json!({"classes": [{"name": "g"}]}), "effect"),
         ("known", json!({"revision": 1, "members": [{"id": "e"}]}), "host_port"),
     ] {
-        let mut plan = plan();
-        plan[name] = value;
-        let trouble = check(&plan.to_string()).unwrap_err();
-        assert!(trouble.contains(told) && !trouble.contains('\n'), "{trouble}");
+        let mut settings = configuration();
+        settings[name] = value;
+        let error = check(&settings.to_string()).unwrap_err().to_string();
+        assert!(error.contains(expected) && !error.contains('\n'), "{error}");
     }
     assert!(check("{").is_err());
-    assert_eq!(check(&plan().to_string()), Ok(()));
+    assert!(check(&configuration().to_string()).is_ok());
 }
 
 #[test]
-fn a_courier_with_nothing_owed_stops_when_it_is_told_to() {
-    let folder = Folder::new();
-    let ran = on_one_thread(serve(&plan().to_string(), &folder.0, async {}, pending));
-    assert_eq!(ran, Ok(()));
-    let missing = folder.0.join("missing");
-    let trouble = on_one_thread(serve(&plan().to_string(), &missing, async {}, pending)).unwrap_err();
-    assert!(trouble.starts_with("the lasting folder cannot be used"), "{trouble}");
+fn an_idle_instance_stops_on_request() {
+    let directory = StateDirectory::new();
+    let ran = on_one_thread(serve(&configuration().to_string(), &directory.0, async {}, pending));
+    ran.unwrap();
+    let missing = directory.0.join("missing");
+    let error = on_one_thread(serve(&configuration().to_string(), &missing, async {}, pending))
+        .unwrap_err()
+        .to_string();
+    assert!(error.starts_with("the lasting folder cannot be used"), "{error}");
 }
 
 #[test]
-fn a_new_configuration_moves_discovery_and_one_that_cannot_be_used_changes_nothing() {
-    let started_with = plan();
-    let (mut lame, mut moved) = (plan(), plan());
-    lame["discovery"] = json!("127.0.0.1:2");
-    lame["seed"] = json!("x");
+fn a_reload_moves_discovery_and_an_unusable_configuration_changes_nothing() {
+    let started_with = configuration();
+    let (mut unusable, mut moved) = (configuration(), configuration());
+    unusable["discovery"] = json!("127.0.0.1:2");
+    unusable["seed"] = json!("x");
     moved["discovery"] = json!("127.0.0.1:3");
     moved["listen"] = json!("127.0.0.1:4");
     assert_eq!(configuration::differing(&started_with, &moved), ["listen"]);
-    let mut texts = vec![Ok(moved.to_string()), Ok(lame.to_string()), Err("no such file".to_owned())];
+    let missing = ReadError { path: "configuration.json".into(), source: ErrorKind::NotFound.into() };
+    let mut texts = vec![Ok(moved.to_string()), Ok(unusable.to_string()), Err(missing)];
     on_one_thread(async {
         let (at, mut seen) = watch::channel("127.0.0.1:1".parse().unwrap());
         let seen_first = async {
@@ -68,68 +80,64 @@
     });
 }
 
-/// What discovery has counts as told from the first moment of a new process on.
+/// What discovery has counts as heard from the first moment of a new process on.
 #[test]
-fn what_is_owed_goes_by_the_list_that_discovery_has_when_the_process_starts() {
-    let folder = Folder::new();
-    let (mut wal, _) = Wal::open(&folder.0, 1 << 20).unwrap();
-    let limit = Some(SystemTime::now() + Duration::from_secs(9));
-    let owed = Owed { grade: "once".into(), destination: 9, limit, ..Owed::default() };
-    wal.taken(1, &wal::taken(&owed)).unwrap();
-    drop(wal);
+fn recovered_messages_go_by_discoverys_list_at_startup() {
+    let directory = StateDirectory::new();
+    drop(log_with(&directory, &[message("once")]));
     on_one_thread(async {
         tokio::time::pause();
-        let (old, mut told_old) = answering(vec![OK]).await;
-        let (new, mut told_new) = answering(vec![OK]).await;
+        let (old, mut old_requests) = answering(vec![OK]).await;
+        let (new, mut new_requests) = answering(vec![OK]).await;
         let member = |id: &str, at: SocketAddr, phase: &str| json!({"id": id, "host_port": at.to_string(), "cell": 9, "phase": phase});
         let rows = [member("e", old, "draining"), member("f", new, "up")];
         let list = format!("{}\n", json!({"revision": 2, "complete": false, "members": rows}));
-        let told =
+        let response =
             format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\r\n", list.len());
-        let (discovery, _asked) = answering(vec![told.leak().as_bytes()]).await;
-        let mut plan = plan();
-        plan["discovery"] = json!(discovery.to_string());
-        plan["known"] = json!({"revision": 1, "complete": true, "members": [member("e", old, "up")]});
-        let text = plan.to_string();
+        let (discovery, _requests) = answering(vec![response.leak().as_bytes()]).await;
+        let mut settings = configuration();
+        settings["discovery"] = json!(discovery.to_string());
+        settings["known"] = json!({"revision": 1, "complete": true, "members": [member("e", old, "up")]});
+        let text = settings.to_string();
         tokio::select! {
-            ran = serve(&text, &folder.0, pending(), pending) => panic!("{ran:?}"),
-            _ = told_old.recv() => panic!("sent to the endpoint that drains"),
-            call = told_new.recv() => assert!(call.is_some()),
+            ran = serve(&text, &directory.0, pending(), pending) => panic!("{ran:?}"),
+            _ = old_requests.recv() => panic!("sent to the draining endpoint"),
+            request = new_requests.recv() => assert!(request.is_some()),
         }
     });
 }
 
-/// A command that has begun when the process is told to stop is owed its answer, and what it hands in its end.
+/// A command that has begun when the process is told to stop gets its answer, and its message a final outcome.
 #[test]
-fn a_command_that_ends_late_in_the_stop_is_answered_and_left_to_the_next_process() {
-    let folder = Folder::new();
+fn a_command_completed_late_in_a_shutdown_is_answered_and_its_message_left_to_the_next_process() {
+    let directory = StateDirectory::new();
     on_one_thread(async {
         tokio::time::pause();
         let listen = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        let mut plan = plan();
-        plan["listen"] = json!(listen.to_string());
+        let mut settings = configuration();
+        settings["listen"] = json!(listen.to_string());
         let (stop, stopped) = oneshot::channel();
-        let (text, path) = (plan.to_string(), folder.0.clone());
-        let stop_told = async { drop(stopped.await) };
-        let ran = spawn_local(async move { serve(&text, &path, stop_told, pending).await });
+        let (text, path) = (settings.to_string(), directory.0.clone());
+        let told_to_stop = async { drop(stopped.await) };
+        let ran = spawn_local(async move { serve(&text, &path, told_to_stop, pending).await });
         let mut client = loop {
             match TcpStream::connect(listen).await {
                 Ok(client) => break client,
-                Err(_) => sleep(LOOK).await,
+                Err(_) => sleep(MOMENT).await,
             }
         };
         let parts = ["SUBMIT", "0", "ab", "c=once,d=8000,dest=9", "body"];
         let input = command(&parts.map(str::as_bytes));
         let (begin, rest) = input.split_at(9);
         client.write_all(begin).await.unwrap();
-        sleep(LOOK).await;
+        sleep(MOMENT).await;
         stop.send(()).unwrap();
         sleep(Duration::from_millis(2_400)).await; // nothing is decided any more
         client.write_all(rest).await.unwrap();
         let mut answer = String::new();
         client.read_to_string(&mut answer).await.unwrap();
         assert_eq!(answer, "+OK\r\n");
-        assert_eq!(ran.await.unwrap(), Ok(()));
+        ran.await.unwrap().unwrap();
     });
-    assert_eq!(Wal::open(&folder.0, 1 << 20).unwrap().1[&1].body, b"body");
+    assert_eq!(pending_in(&directory)[&1].body, b"body");
 }
--- a/crates/quillhub-server/tests/day.rs
+++ b/crates/quillhub-server/tests/day.rs
@@ -1,10 +1,11 @@
-//! A short day on loopback with the stand-ins: whatever the timing, every notice ends once, and no mark runs twice.
+//! A short scenario on loopback with the fakes: whatever the timing, every message has one outcome, and no idempotency
+//! key is executed twice.
 
 use quillhub_fakes::clients::{self, Book, Due};
 use quillhub_fakes::endpoints::{self, What};
 use quillhub_fakes::platform::{self, Register};
 use quillhub_fakes::{configuration, scratch};
-use quillhub_simulator::{Answered, Day, arrivals};
+use quillhub_simulator::{FinalOutcome, Scenario, arrivals};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::mpsc::unbounded_channel;
@@ -66,14 +67,14 @@
 what = { crowd = { factor = 3.0 } }
 ";
 
-fn day(text: &str) -> &'static Day {
-    let day: Day = toml::from_str(text).unwrap_or_else(|e| panic!("{e}"));
+fn day(text: &str) -> &'static Scenario {
+    let day: Scenario = toml::from_str(text).unwrap_or_else(|e| panic!("{e}"));
     day.check().unwrap();
     Box::leak(Box::new(day))
 }
 
 #[test]
-fn every_notice_of_a_short_day_has_one_end() {
+fn every_message_of_a_short_scenario_has_one_outcome() {
     let (day, folder) = (day(DAY), scratch::Folder::new());
     endpoints::cannot_show(day).unwrap();
     scratch::on_one_thread(async {
@@ -99,7 +100,7 @@
         let book = Book::new(day, 7, started);
         let dues: Vec<_> = arrivals(day, 7)
             .into_iter()
-            .map(|a| Due { at: a.at, grade: a.grade, destination: a.destination })
+            .map(|a| Due { at: a.at, grade: a.service_class, destination: a.destination })
             .collect();
         let count = dues.len();
         let played = spawn_local(clients::play(book.clone(), listen, dues, 16, 50));
@@ -112,24 +113,25 @@
                         *ran.entry(mark).or_default() += 1;
                     }
                     if one.what == What::Handled {
-                        book.borrow_mut().ends(&one.id, one.at, Answered::Handled);
+                        book.borrow_mut().ends(&one.id, one.at, FinalOutcome::Delivered);
                     }
                 }
                 Some(last) = finals.recv() => {
                     let order = book.borrow().ids.get(&last.id).copied();
                     match order.filter(|_| last.denied) {
                         Some(order) => clients::denied_later(book.clone(), listen, order, last.wait, 50),
-                        None => drop(book.borrow_mut().ends(&last.id, last.at, Answered::WrittenOff)),
+                        None => drop(book.borrow_mut().ends(&last.id, last.at, FinalOutcome::Abandoned)),
                     }
                 }
                 () = tokio::time::sleep(Duration::from_millis(50)) => {}
             }
         }
         let book = book.borrow();
-        let handled = book.orders.iter().filter(|o| matches!(o.end, Some((_, Answered::Handled)))).count();
+        let handled =
+            book.orders.iter().filter(|o| matches!(o.end, Some((_, FinalOutcome::Delivered)))).count();
         assert!(book.orders.len() == count && handled * 2 > count, "{handled} of {count} handled");
         drop(stop);
-        assert_eq!(courier.join().unwrap(), Ok(()));
+        courier.join().unwrap().unwrap();
         // Repeats of a mark may come, as its destination drops them; of most there is none.
         assert!(ran.values().filter(|runs| **runs > 1).count() * 10 < ran.len().max(10));
     });
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,8 +5,6 @@
 //! instance, tells it what happened through its methods, and carries out what it decides through [`Driver`].
 //! Times are spans since that instance's own start.
 
-#![warn(missing_docs)]
-
 mod attempt;
 mod dispatcher;
 mod driver;
@@ -17,12 +15,13 @@
 
 pub use attempt::{AttemptOutcome, AttemptResult, LoadReport};
 pub use dispatcher::Dispatcher;
-pub use driver::Driver;
+pub use driver::{Driver, LogEvent};
 pub use endpoint::{EndpointState, EndpointUpdate, ListedRate};
 pub use message::{
     DestinationId, MessageId, NewMessage, PossibleExecution, RecoveredAttempts, RepeatSafety, ServiceClass,
     UnknownServiceClass, ValueDecay,
 };
+pub use policy::Health;
 
 use std::time::Duration;
 
