--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -4,7 +4,7 @@
 use super::{AttemptId, Instance, log_failed_write};
 use crate::attempts::{Attempt, AttemptEnd, Verdict};
 use crate::http;
-use crate::wal::FinalResult;
+use crate::wal::{FinalResult, RecordKind};
 use quillhub::{Dispatcher, Driver, LogEvent, MessageId};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -61,12 +61,16 @@
             return;
         }
         if verdict.finished {
-            log_failed_write(id.message, "finished", self.wal.finished(id.message));
+            log_failed_write(id.message, RecordKind::Finished, self.wal.finished(id.message));
             if let Some(message) = self.messages.remove(id.message) {
                 self.messages.remember_client_id(self.now(), message.client_id);
             }
         } else if verdict.outcome.never_executed() {
-            log_failed_write(id.message, "not executed", self.wal.not_executed(id.message, id.attempt));
+            log_failed_write(
+                id.message,
+                RecordKind::NotExecuted,
+                self.wal.not_executed(id.message, id.attempt),
+            );
         }
     }
 }
@@ -80,7 +84,7 @@
         let address = self.pool.address(endpoint);
         let request = delivery_request(message, address);
         let recorded = written.is_ok();
-        log_failed_write(id, "accepted", written);
+        log_failed_write(id, RecordKind::Accepted, written);
         let pooled = self.pool.take(endpoint);
         if pooled.is_none() {
             let others = self.attempts_in_flight + 1;
--- a/crates/quillhub-server/src/instance/messages.rs
+++ b/crates/quillhub-server/src/instance/messages.rs
@@ -57,8 +57,15 @@
     pending: BTreeMap<MessageId, PendingMessage>,
     /// Of pending messages, and of those finished since a short while.
     client_ids: BTreeSet<Box<[u8]>>,
-    /// Of finished messages, with when they were, oldest first.
-    finished: VecDeque<(Duration, Box<[u8]>)>,
+    /// Of finished messages, oldest first.
+    finished: VecDeque<FinishedId>,
+}
+
+/// The client id of a finished message.
+struct FinishedId {
+    client_id: Box<[u8]>,
+    /// By the dispatcher's clock.
+    finished: Duration,
 }
 
 impl Messages {
@@ -104,14 +111,14 @@
 
     /// The message of this client id is finished: the id stays known for a while.
     pub fn remember_client_id(&mut self, now: Duration, client_id: Box<[u8]>) {
-        self.finished.push_back((now, client_id));
+        self.finished.push_back(FinishedId { client_id, finished: now });
     }
 
     /// Forgets the client ids of messages that were finished long enough ago.
     pub fn forget_old_client_ids(&mut self, now: Duration) {
-        let is_old = |finished: &Duration| *finished + CLIENT_ID_REMEMBERED <= now;
-        while let Some((_, client_id)) = self.finished.front().filter(|(finished, _)| is_old(finished)) {
-            self.client_ids.remove(client_id);
+        let is_old = |id: &&FinishedId| id.finished + CLIENT_ID_REMEMBERED <= now;
+        while let Some(old) = self.finished.front().filter(is_old) {
+            self.client_ids.remove(&old.client_id);
             self.finished.pop_front();
         }
     }
--- a/crates/quillhub-server/src/instance/mod.rs
+++ b/crates/quillhub-server/src/instance/mod.rs
@@ -18,7 +18,7 @@
 use crate::attempts::{AttemptEnd, Verdict};
 use crate::peers::Peers;
 use crate::pool::ConnectionPool;
-use crate::wal::{AppendError, FinalResult, Wal};
+use crate::wal::{AppendError, FinalResult, RecordKind, Wal};
 use messages::Messages;
 use outcome_queue::OutcomeQueue;
 use quillhub::{AttemptResult, Dispatcher, MessageId};
@@ -83,9 +83,9 @@
 }
 
 /// Logs that a record could not be written. The instance goes on: what is only in memory is lost with the process.
-fn log_failed_write(message_id: MessageId, record: &'static str, result: Result<(), AppendError>) {
+fn log_failed_write(message_id: MessageId, record: RecordKind, result: Result<(), AppendError>) {
     if let Err(error) = result {
-        tracing::error!(message_id, record, %error, "record could not be written to the state directory");
+        tracing::error!(message_id, ?record, %error, "record could not be written to the state directory");
     }
 }
 
@@ -199,7 +199,7 @@
     /// The platform has the oldest `count` outcomes: nothing is left to do for their messages.
     pub fn outcomes_confirmed(&mut self, count: usize) {
         for outcome in self.outcomes.take_oldest(count) {
-            log_failed_write(outcome.message, "finished", self.wal.finished(outcome.message));
+            log_failed_write(outcome.message, RecordKind::Finished, self.wal.finished(outcome.message));
             self.messages.remember_client_id(self.now(), outcome.client_id);
         }
     }
@@ -209,7 +209,7 @@
         if let Some(message) = self.messages.remove(id) {
             self.messages.release_client_id(&message.client_id);
             if message.unwritten_record.is_none() {
-                log_failed_write(id, "finished", self.wal.finished(id));
+                log_failed_write(id, RecordKind::Finished, self.wal.finished(id));
             }
         }
         self.handle_event(|dispatcher| dispatcher.finish(id));
@@ -239,7 +239,7 @@
             self.immediate_outcome = Some(result.into());
             return;
         }
-        log_failed_write(id, "outcome decided", self.wal.outcome_decided(id, result));
+        log_failed_write(id, RecordKind::OutcomeDecided, self.wal.outcome_decided(id, result));
         self.outcomes.add(FinalOutcome { message: id, client_id: message.client_id, result });
     }
 
@@ -254,7 +254,7 @@
         }
         let written = self.wal.attempt_started(id.message, id.attempt, SystemTime::now(), &id.endpoint);
         let recorded = written.is_ok();
-        log_failed_write(id.message, "attempt started", written);
+        log_failed_write(id.message, RecordKind::AttemptStarted, written);
         recorded
     }
 
--- a/crates/quillhub-server/src/instance/recovery.rs
+++ b/crates/quillhub-server/src/instance/recovery.rs
@@ -25,8 +25,14 @@
     /// By the dispatcher's clock.
     deadline: Duration,
     attempts: u32,
-    /// The first attempt that may have executed it: its start by the dispatcher's clock, and its endpoint.
-    first_execution: Option<(Duration, String)>,
+    first_execution: Option<FirstExecution>,
+}
+
+/// The first attempt that may have executed a message.
+struct FirstExecution {
+    /// By the dispatcher's clock.
+    started: Duration,
+    endpoint: String,
 }
 
 impl Recovered {
@@ -43,7 +49,7 @@
         let first_execution = self
             .first_execution
             .as_ref()
-            .map(|(started, endpoint)| PossibleExecution { started: *started, endpoint });
+            .map(|first| PossibleExecution { started: first.started, endpoint: &first.endpoint });
         dispatcher.recover(self.id, RecoveredAttempts { count: self.attempts, first_execution });
         accepted.is_ok()
     }
@@ -61,7 +67,7 @@
     pub fn recover(&mut self, messages: BTreeMap<MessageId, RecoveredMessage>) {
         let wall_clock = SystemTime::now();
         let executions = messages.values().flat_map(RecoveredMessage::possible_executions);
-        let oldest = executions.map(|(started, _)| elapsed_since(started, wall_clock)).max();
+        let oldest = executions.map(|execution| elapsed_since(execution.started, wall_clock)).max();
         self.clock_offset = oldest.unwrap_or_default();
         let now = self.now();
         tracing::info!(messages = messages.len(), "messages recovered");
@@ -86,8 +92,9 @@
         wall_clock: SystemTime,
     ) -> Recovered {
         let time_left = message.deadline.and_then(|deadline| deadline.duration_since(wall_clock).ok());
-        let first_execution = message.possible_executions().min().map(|(started, endpoint)| {
-            (now.saturating_sub(elapsed_since(started, wall_clock)), endpoint.to_owned())
+        let first_execution = message.possible_executions().min().map(|first| FirstExecution {
+            started: now.saturating_sub(elapsed_since(first.started, wall_clock)),
+            endpoint: first.endpoint.to_owned(),
         });
         let (service_class, ordering_key) = (message.service_class.clone(), message.ordering_key);
         let destination = message.destination;
--- a/crates/quillhub-server/src/outcomes.rs
+++ b/crates/quillhub-server/src/outcomes.rs
@@ -65,6 +65,13 @@
     Ok(Reply { status: head.status, reusable: head.keeps().then_some(connection) })
 }
 
+/// The outcomes of one request.
+struct Batch {
+    count: usize,
+    /// A line for each.
+    body: String,
+}
+
 /// What stays from one request to the platform to the next.
 struct Sender {
     instance: Rc<RefCell<Instance>>,
@@ -77,11 +84,11 @@
 }
 
 impl Sender {
-    /// The lines of the next request, and how many.
-    fn next_lines(&self) -> (usize, String) {
+    /// The outcomes of the next request.
+    fn next_batch(&self) -> Batch {
         let instance = self.instance.borrow();
         let lines: Vec<_> = instance.unconfirmed_outcomes().take(self.max_outcomes).map(line).collect();
-        (lines.len(), lines.concat())
+        Batch { count: lines.len(), body: lines.concat() }
     }
 
     /// A connection to `address`, if there is one.
@@ -90,8 +97,9 @@
         self.connection.take().filter(|_| same_address)
     }
 
-    /// A request of `count` outcomes has ended.
-    async fn request_ended(&mut self, count: usize, body: &str, end: Result<Result<Reply, Broken>, Elapsed>) {
+    /// The request of a batch has ended.
+    async fn request_ended(&mut self, batch: &Batch, end: Result<Result<Reply, Broken>, Elapsed>) {
+        let Batch { count, ref body } = *batch;
         self.timeout = if end.is_ok() { TIMEOUT } else { (self.timeout * 2).min(MAX_TIMEOUT) };
         match end {
             Ok(Ok(Reply { status: CONFIRMED, reusable })) => {
@@ -125,16 +133,16 @@
     let mut sender =
         Sender { instance, connection: None, address, max_outcomes: MAX_OUTCOMES, timeout: TIMEOUT };
     loop {
-        let (count, body) = sender.next_lines();
-        if count == 0 {
+        let batch = sender.next_batch();
+        if batch.count == 0 {
             decided.notified().await;
             continue;
         }
         let address = *platform.borrow_and_update();
         let connection = sender.take_connection(address);
         tokio::select! {
-            end = timeout(sender.timeout, post(connection, address, body.as_bytes())) => {
-                sender.request_ended(count, &body, end).await;
+            end = timeout(sender.timeout, post(connection, address, batch.body.as_bytes())) => {
+                sender.request_ended(&batch, end).await;
             }
             Ok(()) = platform.changed() => sender.max_outcomes = MAX_OUTCOMES,
         }
--- a/crates/quillhub-server/src/wal/mod.rs
+++ b/crates/quillhub-server/src/wal/mod.rs
@@ -11,11 +11,10 @@
 mod segment;
 
 pub use error::AppendError;
-pub use record::{FinalResult, RecoveredMessage, accepted_payload};
+pub use record::{FinalResult, RecordKind, RecoveredMessage, accepted_payload};
 
 use frame::frames;
 use quillhub::MessageId;
-use record::RecordKind;
 use replay::Replay;
 use segment::{ActiveSegment, BLOCK, Segment};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/quillhub-server/src/wal/record.rs
+++ b/crates/quillhub-server/src/wal/record.rs
@@ -55,6 +55,15 @@
     },
 }
 
+/// An attempt that may have executed its message; the earlier is the smaller.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RecordedExecution<'a> {
+    /// When the attempt began, by the wall clock.
+    pub started: SystemTime,
+    /// The name of the endpoint.
+    pub endpoint: &'a str,
+}
+
 /// How a message that was not delivered ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalResult {
@@ -91,10 +100,12 @@
 }
 
 impl RecoveredMessage {
-    /// The attempts that may have executed it: when each began, and its endpoint.
-    pub fn possible_executions(&self) -> impl Iterator<Item = (SystemTime, &str)> {
+    /// The attempts that may have executed it.
+    pub fn possible_executions(&self) -> impl Iterator<Item = RecordedExecution<'_>> {
         self.attempts.values().filter_map(|attempt| match attempt {
-            RecordedAttempt::PossiblyExecuted { started, endpoint } => Some((*started, &endpoint[..])),
+            RecordedAttempt::PossiblyExecuted { started, endpoint } => {
+                Some(RecordedExecution { started: *started, endpoint })
+            }
             RecordedAttempt::NotExecuted => None,
         })
     }
