--- a/crates/quillhub-server/src/startup.rs
+++ b/crates/quillhub-server/src/startup.rs
@@ -4,7 +4,7 @@
 
 use crate::clients::{self, Phase};
 use crate::configuration;
-use crate::discovery;
+use crate::discovery::{self, Origin};
 use crate::error::ServeError;
 use crate::instance::{Instance, InstanceParts};
 use crate::outcomes;
@@ -177,7 +177,8 @@
 /// Takes over the endpoint list that the configuration holds, if it does, and gives its revision.
 fn list_at_start(top: &At, instance: &RefCell<Instance>) -> Result<Option<u64>, ServeError> {
     let Some(known) = top.get("known") else { return Ok(None) };
-    let revision = discovery::tell(&mut instance.borrow_mut(), known.value, false);
+    let mut instance = instance.borrow_mut();
+    let revision = discovery::update_endpoints(&mut instance, known.value, Origin::Configuration);
     revision.map(Some).map_err(ServeError::Configuration)
 }
 
--- /dev/null
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -0,0 +1,211 @@
+//! Plays a scenario in virtual time. Each module beside this one extends [`Simulation`] by one job: the instances'
+//! hosts, the clients, both sides of a call, service discovery, and the faults. This one holds the state that they
+//! share, and hands each event to the one that it concerns.
+
+mod actions;
+mod calls;
+mod clients;
+mod clock;
+mod discovery;
+mod effects;
+mod event;
+mod faults;
+mod instances;
+mod record;
+mod restarts;
+mod servers;
+
+use crate::clients::{ClientRequest, Shares, Stream, stream_chance};
+use crate::decider::{Decider, Start};
+use crate::fact::Fact;
+use crate::network::Paths;
+use crate::scenario::Scenario;
+use crate::site::{Site, chance};
+use calls::Call;
+use clients::HotSpot;
+use clock::Clock;
+use discovery::Discovery;
+use effects::Effects;
+use event::Event;
+use instances::{GossipFault, InstanceHost};
+use rand_pcg::Pcg64Mcg;
+use record::Record;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+pub use record::Report;
+
+/// How long a run goes on past the scenario and the longest deadline, for calls that no one waits for any more.
+const TAIL: Duration = Duration::from_secs(30);
+
+/// What makes the decider of an instance that starts.
+type Make<'a> = &'a dyn Fn(&Start) -> Box<dyn Decider>;
+
+/// Everything that instances serve, and the instances' hosts, in the midst of a run.
+pub struct Simulation<'a> {
+    scenario: &'a Scenario,
+    make: Make<'a>,
+    seed: u64,
+    clock: Clock<Event>,
+    record: Record<'a>,
+    /// Chance of the network, of what endpoints do, and of clients' waits.
+    rng: Pcg64Mcg,
+    /// Chance of the front that deals messages out to instances.
+    front: Pcg64Mcg,
+    paths: Paths,
+    site: Site<'a>,
+    discovery: Discovery,
+    streams: Vec<Stream>,
+    shares: Shares,
+    hot_spots: Vec<HotSpot>,
+    /// Messages as their clients see them.
+    requests: BTreeMap<u64, ClientRequest>,
+    instances: Vec<InstanceHost>,
+    gossip_faults: Vec<GossipFault>,
+    calls: BTreeMap<u64, Call>,
+    effects: Effects,
+    /// The last number given to an order, a message or a call.
+    last_number: u64,
+}
+
+impl<'a> Simulation<'a> {
+    /// Plays `scenario` with one decider of `make` for each instance, and shows each fact to `seen`.
+    pub fn run(
+        scenario: &Scenario,
+        seed: u64,
+        make: &dyn Fn(&Start) -> Box<dyn Decider>,
+        mut seen: impl FnMut(Duration, &Fact),
+    ) -> Report {
+        let mut simulation = Simulation::new(scenario, seed, make, &mut seen);
+        simulation.set_up();
+        let mut events = 0;
+        while let Some(event) = simulation.next_event() {
+            events += 1;
+            simulation.handle(event);
+        }
+        simulation.record.finish(simulation.clock.now(), events)
+    }
+
+    fn new(
+        scenario: &'a Scenario,
+        seed: u64,
+        make: Make<'a>,
+        observer: &'a mut dyn FnMut(Duration, &Fact),
+    ) -> Self {
+        Self {
+            scenario,
+            make,
+            seed,
+            clock: Clock::new(),
+            record: Record::new(scenario, observer),
+            rng: chance(seed, 1),
+            front: chance(seed, 3),
+            paths: Paths::new(scenario.network.clone()),
+            site: Site::new(scenario, seed),
+            discovery: Discovery::default(),
+            streams: (0..scenario.arrivals.len()).map(|nth| Stream::new(stream_chance(seed, nth))).collect(),
+            shares: Shares::of(scenario, |_| 1.0),
+            hot_spots: Vec::new(),
+            requests: BTreeMap::new(),
+            instances: Vec::new(),
+            gossip_faults: Vec::new(),
+            calls: BTreeMap::new(),
+            effects: Effects::default(),
+            last_number: 0,
+        }
+    }
+
+    /// Lists the servers, starts the instances, and schedules the first arrivals and all faults.
+    fn set_up(&mut self) {
+        for server in 0..self.site.servers() {
+            self.list_server(server);
+        }
+        for instance in 0..self.scenario.instances.count as usize {
+            self.start_instance(instance);
+        }
+        for stream in 0..self.scenario.arrivals.len() {
+            self.schedule_arrival(stream);
+        }
+        for (fault, scheduled) in self.scenario.faults.iter().enumerate() {
+            self.clock.at(scheduled.at, Event::FaultBegins { fault });
+            self.clock.at(scheduled.at + scheduled.lasts, Event::FaultEnds { fault });
+        }
+    }
+
+    /// Moves on to the next event; nothing once the run is over.
+    fn next_event(&mut self) -> Option<Event> {
+        let at = self.clock.next_at()?;
+        let at_rest = self.requests.is_empty() && self.calls.is_empty();
+        if at > self.end() || at > self.scenario.length && at_rest {
+            return None;
+        }
+        self.clock.advance()
+    }
+
+    /// When a run ends at the latest.
+    fn end(&self) -> Duration {
+        let longest = self
+            .scenario
+            .service_classes
+            .iter()
+            .map(|service_class| service_class.deadline)
+            .max()
+            .unwrap_or_default();
+        self.scenario.length + longest + TAIL
+    }
+
+    fn handle(&mut self, event: Event) {
+        if let Some(until) = self.instance_of(&event).and_then(|instance| self.stalled_until(instance)) {
+            return self.clock.at(until, event);
+        }
+        match event {
+            Event::Arrival { stream, count } => self.arrival(stream, count),
+            Event::Submission { request } => self.submit(request),
+            Event::Connected { call } => self.connected(call),
+            Event::CallArrives { call } => self.call_arrives(call),
+            Event::TakesEffect { call } => self.effect(call),
+            Event::Served { call, server } => self.served(call, server),
+            Event::CallEnds { call, end } => self.call_ends(call, end),
+            Event::TimerFires { instance, incarnation } => self.timer_fires(instance, incarnation),
+            Event::Gossip { instance, octets } => self.gossip_arrives(instance, &octets),
+            Event::EndpointsTold { instance, incarnation, update } => {
+                self.endpoints_told(instance, incarnation, update)
+            }
+            Event::DiscoveryFails { instance, incarnation } => self.discovery_fails(instance, incarnation),
+            Event::FaultBegins { fault } => self.fault_begins(fault),
+            Event::FaultEnds { fault } => self.fault_ends(fault),
+            Event::DrainBegins { entry, drain } => self.drain_begins(entry, drain),
+            Event::DrainEnds { entry, drain } => self.drain_ends(entry, &drain),
+            Event::Restart { instance } => self.restart(instance),
+        }
+    }
+
+    /// The instance whose process an event needs, if it needs one: it waits until that no longer stands still.
+    fn instance_of(&self, event: &Event) -> Option<usize> {
+        match event {
+            Event::CallEnds { call, .. } | Event::Connected { call } => {
+                self.calls.get(call).map(|call| call.instance)
+            }
+            Event::TimerFires { instance, .. }
+            | Event::Gossip { instance, .. }
+            | Event::EndpointsTold { instance, .. }
+            | Event::DiscoveryFails { instance, .. } => Some(*instance),
+            _ => None,
+        }
+    }
+
+    /// Schedules an event for after a while.
+    fn after(&mut self, wait: Duration, event: Event) {
+        self.clock.at(self.clock.now() + wait, event);
+    }
+
+    fn fact(&mut self, fact: &Fact) {
+        self.record.fact(self.clock.now(), fact);
+    }
+
+    /// A number that no order, message or call has yet.
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
+    }
+}
