--- a/crates/quillhub-server/tests/crossings.rs
+++ b/crates/quillhub-server/tests/process_signals.rs
@@ -189,10 +189,10 @@
     let mut second = start(&state, &beside, &configuration(listen, discovery, list(2, Some(endpoint))));
     assert!(ready(listen, LONG).await, "{what}");
     let delivered = || surroundings.calls.borrow().iter().any(|(_, second)| *second);
-    let told = || {
+    let told_platform = || {
         step != Step::FinalOutcome && finals_before > 0 || surroundings.finals.borrow().len() > finals_before
     };
-    while !delivered() && !told() {
+    while !delivered() && !told_platform() {
         surroundings.seen.notified().await;
     }
     assert!(second.signal("TERM").unwrap()); // it ends once nothing is pending
--- a/crates/quillhub-server/tests/day.rs
+++ b/crates/quillhub-server/tests/scenario.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-const DAY: &str = "length = '2 s'
+const SCENARIO: &str = "length = '2 s'
 [couriers]
 slots = 32
 room = 400
@@ -67,38 +67,38 @@
 what = { crowd = { factor = 3.0 } }
 ";
 
-fn day(text: &str) -> &'static Scenario {
-    let day: Scenario = toml::from_str(text).unwrap_or_else(|e| panic!("{e}"));
-    day.check().unwrap();
-    Box::leak(Box::new(day))
+fn scenario(text: &str) -> &'static Scenario {
+    let scenario: Scenario = toml::from_str(text).unwrap_or_else(|e| panic!("{e}"));
+    scenario.check().unwrap();
+    Box::leak(Box::new(scenario))
 }
 
 #[test]
 fn every_message_of_a_short_scenario_has_one_outcome() {
-    let (day, folder) = (day(DAY), scratch::Folder::new());
-    endpoints::cannot_show(day).unwrap();
+    let (scenario, state) = (scenario(SCENARIO), scratch::Folder::new());
+    endpoints::cannot_show(scenario).unwrap();
     scratch::on_one_thread(async {
         let started = Instant::now() + Duration::from_millis(200);
         let ((tell_seen, mut seen), (tell_finals, mut finals)) = (unbounded_channel(), unbounded_channel());
-        let listed = endpoints::start(day, 7, started, tell_seen).await.unwrap();
-        let register = Register::new(&listed);
-        let at = platform::start(register.clone(), tell_finals).await.unwrap();
-        platform::troubles(day, 7, started, &register);
+        let listed = endpoints::start(scenario, 7, started, tell_seen).await.unwrap();
+        let discovery = Register::new(&listed);
+        let at = platform::start(discovery.clone(), tell_finals).await.unwrap();
+        platform::troubles(scenario, 7, started, &discovery);
         let listen = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        let known = register.borrow().list();
-        let text = configuration::courier(day, 7, listen, at, known, 256).to_string();
+        let known = discovery.borrow().list();
+        let text = configuration::courier(scenario, 7, listen, at, known, 256).to_string();
         quillhub_server::check(&text).unwrap();
         let (stop, stopped) = oneshot::channel::<()>();
-        let path = folder.0.clone();
-        let courier = std::thread::spawn(move || {
+        let path = state.0.clone();
+        let instance = std::thread::spawn(move || {
             scratch::on_one_thread(async {
                 let stop = async { drop(stopped.await) };
                 quillhub_server::serve(&text, &path, stop, std::future::pending).await
             })
         });
         assert!(clients::ready(listen, Duration::from_secs(30)).await);
-        let book = Book::new(day, 7, started);
-        let dues: Vec<_> = arrivals(day, 7)
+        let book = Book::new(scenario, 7, started);
+        let dues: Vec<_> = arrivals(scenario, 7)
             .into_iter()
             .map(|a| Due { at: a.at, grade: a.service_class, destination: a.destination })
             .collect();
@@ -109,8 +109,8 @@
             tokio::select! {
                 Some(one) = seen.recv() => {
                     let is_run = matches!(one.what, What::Handled | What::RanUnheard);
-                    if let Some(mark) = one.mark.filter(|_| is_run) {
-                        *ran.entry(mark).or_default() += 1;
+                    if let Some(key) = one.mark.filter(|_| is_run) {
+                        *ran.entry(key).or_default() += 1;
                     }
                     if one.what == What::Handled {
                         book.borrow_mut().ends(&one.id, one.at, FinalOutcome::Delivered);
@@ -131,17 +131,18 @@
             book.orders.iter().filter(|o| matches!(o.end, Some((_, FinalOutcome::Delivered)))).count();
         assert!(book.orders.len() == count && handled * 2 > count, "{handled} of {count} handled");
         drop(stop);
-        courier.join().unwrap().unwrap();
-        // Repeats of a mark may come, as its destination drops them; of most there is none.
+        instance.join().unwrap().unwrap();
+        // Retries with the same key may come, as their destination drops them; of most there is none.
         assert!(ran.values().filter(|runs| **runs > 1).count() * 10 < ran.len().max(10));
     });
 }
 
 #[test]
 fn what_sockets_cannot_show_is_refused_in_one_line() {
-    let text = DAY.replace("what = 'refuse'", "what = { cut = {} }");
-    let told = endpoints::cannot_show(day(&text)).unwrap_err();
+    let text = SCENARIO.replace("what = 'refuse'", "what = { cut = {} }");
+    let error = endpoints::cannot_show(scenario(&text)).unwrap_err();
     assert!(
-        told.starts_with("faults[0].what: expected a trouble that sockets can show") && !told.contains('\n')
+        error.starts_with("faults[0].what: expected a trouble that sockets can show")
+            && !error.contains('\n')
     );
 }
