--- a/crates/quillhub-server/src/startup.rs
+++ b/crates/quillhub-server/src/startup.rs
@@ -3,7 +3,9 @@
 //! Invariant: the first client is answered once what the log held is pending again.
 
 use crate::clients::{self, Phase};
-use crate::configuration;
+use crate::configuration::{
+    self, ConfigurationError, ConfiguredDispatcher, ConnectionTimeouts, GossipAddresses, ResourceLimits,
+};
 use crate::discovery::{self, Origin};
 use crate::error::ServeError;
 use crate::instance::{Instance, InstanceParts};
@@ -13,7 +15,7 @@
 use crate::shutdown::{self, ClientConnections};
 use crate::wal::{RecoveredMessage, Wal};
 use quillhub::{Dispatcher, MessageId};
-use quillhub_settings::At;
+use quillhub_settings::Setting;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -49,7 +51,7 @@
     /// Where clients connect.
     listen: SocketAddr,
     /// Octets that the state directory may hold.
-    state_budget: u64,
+    state_bytes: u64,
     connections: ConnectionLimits,
     connect_timeout: Duration,
     /// When endpoints close idle connections.
@@ -59,15 +61,6 @@
     gossip: Option<GossipAddresses>,
 }
 
-/// The addresses of gossip between instances.
-struct GossipAddresses {
-    listen: SocketAddr,
-    /// Reaches all instances.
-    all: SocketAddr,
-    /// This instance's own.
-    own: Option<SocketAddr>,
-}
-
 /// How many connections there may be, so that descriptors are left for the rest.
 struct ConnectionLimits {
     clients: usize,
@@ -88,23 +81,23 @@
 }
 
 impl Settings {
-    fn read(top: &At) -> Result<Self, String> {
-        let (dispatcher, load_reports) = configuration::courier(top)?;
-        let listen = configuration::listen(top)?;
-        let (state_budget, descriptors) = configuration::bounds(top)?;
-        let (connect_timeout, idle_timeout) = configuration::connections(top)?;
-        let must_be_polled = configuration::must_be_asked(top)?;
-        let gossip = configuration::notes(top)?;
+    fn read(root: &Setting) -> Result<Self, ConfigurationError> {
+        let ConfiguredDispatcher { dispatcher, load_reports } = configuration::dispatcher(root)?;
+        let listen = configuration::listen(root)?;
+        let ResourceLimits { state_bytes, descriptors } = configuration::resource_limits(root)?;
+        let ConnectionTimeouts { connect, idle } = configuration::connection_timeouts(root)?;
+        let must_be_polled = configuration::must_be_polled(root)?;
+        let gossip = configuration::gossip(root)?;
         Ok(Self {
             dispatcher,
             load_reports,
             listen,
-            state_budget,
+            state_bytes,
             connections: ConnectionLimits::within(descriptors),
-            connect_timeout,
-            idle_timeout,
+            connect_timeout: connect,
+            idle_timeout: idle,
             must_be_polled,
-            gossip: gossip.map(|(listen, all, own)| GossipAddresses { listen, all, own }),
+            gossip,
         })
     }
 }
@@ -124,16 +117,16 @@
 ///
 /// If the instance cannot start.
 pub async fn run(
-    top: &At<'_>,
+    root: &Setting<'_>,
     state: &Path,
     discovery: watch::Receiver<SocketAddr>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ServeError> {
-    let settings = Settings::read(top).map_err(ServeError::Configuration)?;
+    let settings = Settings::read(root)?;
     let (listen, max_clients) = (settings.listen, settings.connections.clients);
     let must_be_polled = settings.must_be_polled;
     let Opened { instance, peers, recovered } = open(settings, state).await?;
-    let revision = list_at_start(top, &instance)?;
+    let revision = list_at_start(root, &instance)?;
     flush_outcomes(&instance, &discovery);
     follow_discovery(&instance, discovery, revision, must_be_polled);
     recover(&instance, recovered).await;
@@ -160,7 +153,7 @@
         }
         None => None,
     };
-    let opened = Wal::open(state, settings.state_budget);
+    let opened = Wal::open(state, settings.state_bytes);
     let (wal, recovered) = opened.map_err(ServeError::StateDirectory)?;
     let instance = Instance::new(InstanceParts {
         dispatcher: settings.dispatcher,
@@ -175,11 +168,11 @@
 }
 
 /// Takes over the endpoint list that the configuration holds, if it does, and gives its revision.
-fn list_at_start(top: &At, instance: &RefCell<Instance>) -> Result<Option<u64>, ServeError> {
-    let Some(known) = top.get("known") else { return Ok(None) };
+fn list_at_start(root: &Setting, instance: &RefCell<Instance>) -> Result<Option<u64>, ServeError> {
+    let Some(known) = root.get("known") else { return Ok(None) };
     let mut instance = instance.borrow_mut();
-    let revision = discovery::update_endpoints(&mut instance, known.value, Origin::Configuration);
-    revision.map(Some).map_err(ServeError::Configuration)
+    let revision = discovery::update_endpoints(&mut instance, known.json(), Origin::Configuration);
+    Ok(Some(revision.map_err(ConfigurationError::from)?))
 }
 
 /// Recovers what the log held. Against attempts by the list that the last process had: what discovery has now counts
