--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -5,10 +5,10 @@
 use crate::experiment::Planned;
 use crate::results::round;
 use hdrhistogram::Histogram;
-use quillhub_fakes::clients::{self, Book, Due};
-use quillhub_fakes::endpoints::{self, Listed, Seen, What};
-use quillhub_fakes::platform::{self, Finally, Register};
-use quillhub_fakes::process::{Courier, Used};
+use quillhub_fakes::clients::{self, RequestLog, ScheduledMessage};
+use quillhub_fakes::endpoints::{self, EndpointEvent, EndpointEventKind, Listed};
+use quillhub_fakes::platform::{self, Discovery, OutcomeNotification};
+use quillhub_fakes::process::{InstanceProcess, Usage};
 use quillhub_fakes::{configuration, scratch};
 use quillhub_simulator::{FinalOutcome, Scenario, arrivals};
 use serde::Serialize;
@@ -64,8 +64,8 @@
 struct Endpoints {
     listed: Vec<Listed>,
     platform: SocketAddr,
-    seen: UnboundedReceiver<Seen>,
-    finals: UnboundedReceiver<Finally>,
+    seen: UnboundedReceiver<EndpointEvent>,
+    finals: UnboundedReceiver<OutcomeNotification>,
     _stop: oneshot::Sender<()>,
 }
 
@@ -79,9 +79,9 @@
         scratch::on_one_thread(async move {
             let made = async {
                 let listed = endpoints::start(day, seed, started, tell_seen).await?;
-                let register = Register::new(&listed);
+                let register = Discovery::new(&listed);
                 let at = platform::start(register.clone(), tell_finals).await?;
-                platform::troubles(day, seed, started, &register);
+                platform::play_faults(day, seed, started, &register);
                 Ok::<_, std::io::Error>((listed, at))
             };
             let _ = tell.send(made.await.map_err(|e| format!("a stand-in cannot start: {e}")));
@@ -94,7 +94,7 @@
 
 /// Counts of what endpoints saw.
 #[derive(Default)]
-struct Came {
+struct Arrived {
     sends: u64,
     turned_away: u64,
     handled: u64,
@@ -103,19 +103,19 @@
     again: u64,
 }
 
-impl Came {
-    fn seen(&mut self, book: &mut Book, seen: &Seen) {
-        match seen.what {
-            What::Came => self.sends += 1,
-            What::TurnedAway => self.turned_away += 1,
-            What::Failed => {}
-            What::Handled | What::RanUnheard => {
-                if let Some(mark) = &seen.mark {
+impl Arrived {
+    fn seen(&mut self, book: &mut RequestLog, seen: &EndpointEvent) {
+        match seen.kind {
+            EndpointEventKind::Arrived => self.sends += 1,
+            EndpointEventKind::Rejected => self.turned_away += 1,
+            EndpointEventKind::Failed => {}
+            EndpointEventKind::Delivered | EndpointEventKind::ExecutedUnheard => {
+                if let Some(mark) = &seen.idempotency_key {
                     self.again += u64::from(!self.marks.insert(mark.clone()));
                 }
-                if seen.what == What::Handled {
+                if seen.kind == EndpointEventKind::Delivered {
                     self.handled += 1;
-                    book.ends(&seen.id, seen.at, FinalOutcome::Delivered);
+                    book.finish(&seen.id, seen.at, FinalOutcome::Delivered);
                 }
             }
         }
@@ -135,7 +135,7 @@
     let day: &'static Scenario = Box::leak(Box::new(day));
     let dues: Vec<_> = arrivals(day, made.seed)
         .into_iter()
-        .map(|a| Due { at: a.at, grade: a.service_class, destination: a.destination })
+        .map(|a| ScheduledMessage { at: a.at, service_class: a.service_class, destination: a.destination })
         .collect();
     if dues.len() > MOST_NOTICES {
         return Err(format!("expected at most {MOST_NOTICES} notices in a step, found {}", dues.len()));
@@ -147,39 +147,40 @@
         let mut others = endpoints(day, made.seed, started)?;
         // A port that was free a moment ago; nothing else on this machine is asked for one.
         let listen = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(told)?;
-        let known = Register::new(&others.listed).borrow().list();
-        let config = configuration::courier(day, made.seed, listen, others.platform, known, made.sockets);
+        let known = Discovery::new(&others.listed).borrow().list();
+        let config = configuration::instance(day, made.seed, listen, others.platform, known, made.sockets);
         let (at, state) = (folder.0.join("config.json"), folder.0.join("state"));
         std::fs::write(&at, config.to_string()).map_err(told)?;
         std::fs::create_dir(&state).map_err(told)?;
-        let courier = Courier::start(made.program, &at, &state, &folder.0.join("log")).map_err(told)?;
+        let courier =
+            InstanceProcess::start(made.program, &at, &state, &folder.0.join("log")).map_err(told)?;
         if !clients::ready(listen, LEAD).await {
             let log = std::fs::read_to_string(folder.0.join("log")).unwrap_or_default();
             return Err(format!("expected a courier that answers, found none; its log: {}", log.trim()));
         }
-        let book = Book::new(day, made.seed, started);
+        let book = RequestLog::new(day, made.seed, started);
         let count = dues.len();
         let played = spawn_local(clients::play(book.clone(), listen, dues, made.connections, made.body));
         let limit = day.service_classes.iter().map(|grade| grade.deadline).max().unwrap_or_default();
         let end = started + day.length + limit + TAIL;
-        let (mut came, mut uses) = (Came::default(), vec![courier.used().unwrap_or_default()]);
+        let (mut came, mut uses) = (Arrived::default(), vec![courier.usage().unwrap_or_default()]);
         let mut next_use = started + Duration::from_secs(1);
         while Instant::now() < end && !(played.is_finished() && book.borrow().is_over()) {
             tokio::select! {
                 Some(seen) = others.seen.recv() => came.seen(&mut book.borrow_mut(), &seen),
                 Some(last) = others.finals.recv() => {
-                    if last.denied {
+                    if last.rejected {
                         let order = book.borrow().ids.get(&last.id).copied();
                         if let Some(order) = order {
-                            clients::denied_later(book.clone(), listen, order, last.wait, made.body);
+                            clients::retry_rejected(book.clone(), listen, order, last.retry_after, made.body);
                         }
                     } else {
-                        book.borrow_mut().ends(&last.id, last.at, FinalOutcome::Abandoned);
+                        book.borrow_mut().finish(&last.id, last.at, FinalOutcome::Abandoned);
                     }
                 }
                 () = sleep_until(next_use) => {
                     next_use += Duration::from_secs(1);
-                    let used = courier.used().ok_or("the courier ended in the midst of a step")?;
+                    let used = courier.usage().ok_or("the courier ended in the midst of a step")?;
                     uses.push(used);
                 }
             }
@@ -189,7 +190,7 @@
         while let Ok(seen) = others.seen.try_recv() {
             came.seen(&mut book.borrow_mut(), &seen);
         }
-        let last = courier.used().unwrap_or_default();
+        let last = courier.usage().unwrap_or_default();
         let book = book.borrow();
         let step = Counted { day, book: &book, came: &came, uses: &uses, last, count };
         Ok(step.figures(&planned.name, rate))
@@ -198,10 +199,10 @@
 
 struct Counted<'a> {
     day: &'a Scenario,
-    book: &'a Book,
-    came: &'a Came,
-    uses: &'a [Used],
-    last: Used,
+    book: &'a RequestLog,
+    came: &'a Arrived,
+    uses: &'a [Usage],
+    last: Usage,
     count: usize,
 }
 
@@ -212,18 +213,18 @@
             into.saturating_record((time.as_micros() as u64).max(1));
         };
         let (mut handled, mut in_contract, mut earned, mut worth) = (0u64, 0u64, 0.0, 0.0);
-        for order in &self.book.orders {
-            let grade = self.day.service_classes[order.due.grade].service_class();
+        for order in &self.book.requests {
+            let grade = self.day.service_classes[order.message.service_class].service_class();
             worth += grade.value;
-            order.word.iter().for_each(|time| put(&mut word, time));
-            if let Some((after, FinalOutcome::Delivered)) = order.end {
+            order.first_reply.iter().for_each(|time| put(&mut word, time));
+            if let Some((after, FinalOutcome::Delivered)) = order.outcome {
                 handled += 1;
                 in_contract += u64::from(after <= grade.soft_deadline);
                 earned += grade.value * grade.value_share(after);
                 put(&mut end, &after);
             }
         }
-        self.book.denial_waits.iter().for_each(|time| put(&mut denial, time));
+        self.book.rejection_times.iter().for_each(|time| put(&mut denial, time));
         let count = self.count.max(1) as f64;
         let time = |of: &Histogram<u64>, quantile: f64| of.value_at_quantile(quantile) as f64 / 1e6;
         let cpu = (self.last.cpu.saturating_sub(self.uses[0].cpu)).as_secs_f64();
@@ -237,7 +238,7 @@
             ("sends each", self.came.sends as f64 / count),
             ("turned away each", self.came.turned_away as f64 / count),
             ("ran again", self.came.again as f64),
-            ("denied at once", self.book.denied as f64),
+            ("denied at once", self.book.rejected as f64),
             ("no word", self.book.failed as f64),
             ("word p50 s", time(&word, 0.5)),
             ("word p99 s", time(&word, 0.99)),
@@ -262,7 +263,7 @@
 /// Plays the steps; without rates, doubles from the day's own until the knee is passed, then narrows it down.
 pub fn run(planned: &Planned, rates: &[f64], made: &Made, folder: &Path) -> Result<Vec<Step>, String> {
     let day = &planned.variants[0].day;
-    endpoints::cannot_show(day)?;
+    endpoints::check_supported(day)?;
     if day.instances.count != 1 {
         return Err(format!("couriers.count: expected 1, found {}", day.instances.count));
     }
--- a/crates/quillhub-fakes/src/configuration.rs
+++ b/crates/quillhub-fakes/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of a courier for a day: the same figures as the emulator tells its deciders.
+//! The configuration of an instance for a scenario: the same figures as the simulator tells its deciders.
 
 use quillhub::RepeatSafety;
 use quillhub_simulator::{DiscoveryForm, Scenario};
@@ -11,35 +11,35 @@
 }
 
 fn class(of: &quillhub_simulator::ServiceClassSpec) -> Value {
-    let grade = of.service_class();
-    let (effect, memory, all) = match grade.repeat_safety {
+    let service_class = of.service_class();
+    let (repeat_safety, window, all) = match service_class.repeat_safety {
         RepeatSafety::Idempotent => ("free", Duration::ZERO, true),
         RepeatSafety::Deduplicated { window, per_zone } => ("guarded", window, !per_zone),
         RepeatSafety::AtMostOnce => ("single_shot", Duration::ZERO, true),
     };
-    json!({"name": of.name, "effect": effect, "memorySpanUs": us(memory), "keyScope": if all { "all" } else { "group" },
-        "aimUs": us(grade.soft_deadline), "giveUpUs": us(grade.deadline), "importance": grade.value,
-        "lateWorth": grade.late_value_share, "byArrival": grade.ordered})
+    json!({"name": of.name, "effect": repeat_safety, "memorySpanUs": us(window), "keyScope": if all { "all" } else { "group" },
+        "aimUs": us(service_class.soft_deadline), "giveUpUs": us(service_class.deadline), "importance": service_class.value,
+        "lateWorth": service_class.late_value_share, "byArrival": service_class.ordered})
 }
 
-/// For one courier of `day` that listens at `listen`, with register and platform at `discovery` and the list `known`;
-/// it may have `sockets` descriptors.
-pub fn courier(
-    day: &Scenario,
+/// For one instance of `scenario` that listens at `listen`, with service discovery and platform at `discovery` and
+/// the list `known`; it may have `sockets` descriptors.
+pub fn instance(
+    scenario: &Scenario,
     seed: u64,
     listen: SocketAddr,
     discovery: SocketAddr,
     known: Value,
     sockets: u64,
 ) -> Value {
-    let (couriers, network, rules) = (&day.instances, &day.network, &day.rules);
-    let watch = day.discovery.form == DiscoveryForm::Watch;
-    let halving = day.service_classes.iter().all(|grade| grade.halving);
-    let reports = day.destinations.iter().any(|kind| kind.reports);
+    let (instances, network, rules) = (&scenario.instances, &scenario.network, &scenario.rules);
+    let watch = scenario.discovery.form == DiscoveryForm::Watch;
+    let halving = scenario.service_classes.iter().all(|service_class| service_class.halving);
+    let reports = scenario.destinations.iter().any(|kind| kind.reports);
     let names: &[&str] = if reports { &["x0", "x1"] } else { &[] };
-    let kinds: Vec<_> = day.destinations.iter().map(|kind| &kind.kind).collect();
-    let apart: Vec<_> = day.destinations.iter().map(|kind| kind.routes_apart).collect();
-    let classes: Vec<_> = day.service_classes.iter().map(class).collect();
+    let kinds: Vec<_> = scenario.destinations.iter().map(|kind| &kind.kind).collect();
+    let apart: Vec<_> = scenario.destinations.iter().map(|kind| kind.routes_apart).collect();
+    let classes: Vec<_> = scenario.service_classes.iter().map(class).collect();
     json!({
         "listen": listen.to_string(),
         "discovery": discovery.to_string(),
@@ -47,17 +47,17 @@
         "limits": {"sockets": sockets, "disk_mb": 256},
         "known": known,
         "settings": {
-            "nInstances": couriers.count,
-            "zone": couriers.zones[0],
-            "familyInfo": {"maxCalls": couriers.slots, "losesWorth": if halving { "halving" } else { "evenly" },
+            "nInstances": instances.count,
+            "zone": instances.zones[0],
+            "familyInfo": {"maxCalls": instances.slots, "losesWorth": if halving { "halving" } else { "evenly" },
                 "separateRoutes": apart},
-            "limits": {"mostTries": couriers.max_attempts, "maxOpen": couriers.capacity, "retryAfter": true,
-                "maxRetryAfterUs": us(couriers.max_retry_after), "idleCloseUs": us(network.idle_close),
+            "limits": {"mostTries": instances.max_attempts, "maxOpen": instances.capacity, "retryAfter": true,
+                "maxRetryAfterUs": us(instances.max_retry_after), "idleCloseUs": us(network.idle_close),
                 "connectTimeoutUs": us(network.connecting)},
             "rules": {"overloadFactor": rules.overload_factor, "startCapacity": rules.initial_share,
                 "warmUpUs": us(rules.warm_up), "keyRestUs": us(rules.ordering_pause)},
             "membershipMode": if watch { "subscribe" } else { "push" },
-            "classes": classes, "skus": kinds, "failureDomains": couriers.zones, "report": {"names": names},
+            "classes": classes, "skus": kinds, "failureDomains": instances.zones, "report": {"names": names},
         },
     })
 }
--- a/crates/quillhub-fakes/src/http.rs
+++ b/crates/quillhub-fakes/src/http.rs
@@ -6,10 +6,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Bytes of a request, head and body: what a courier sends is far smaller.
-const MOST: usize = 256 * 1024;
+/// Bytes of a request, head and body: what an instance sends is far smaller.
+const MAX_REQUEST_BYTES: usize = 256 * 1024;
 /// Headers of a request.
-const MOST_HEADERS: usize = 32;
+const MAX_HEADERS: usize = 32;
 
 /// A connection, and what was read from it beyond the last request.
 pub struct Served {
@@ -18,13 +18,18 @@
     traffic: Connection,
 }
 
-/// One request, with the few headers that a stand-in goes by.
+/// One request, with the few headers that a fake goes by.
 #[derive(Debug, Default)]
-pub struct Asked {
+pub struct Request {
+    /// Its method.
     pub method: String,
+    /// Its path with the query.
     pub path: String,
+    /// The id that it names.
     pub id: Option<String>,
-    pub mark: Option<String>,
+    /// The idempotency key that it names.
+    pub idempotency_key: Option<String>,
+    /// Its body.
     pub body: Vec<u8>,
 }
 
@@ -33,6 +38,7 @@
 }
 
 impl Served {
+    /// A connection whose traffic nobody counts.
     pub fn new(stream: TcpStream) -> Self {
         Self::counted(stream, Arc::default())
     }
@@ -49,14 +55,14 @@
     }
 
     /// The next request; nothing once the other side has closed.
-    pub async fn next(&mut self) -> io::Result<Option<Asked>> {
+    pub async fn next(&mut self) -> io::Result<Option<Request>> {
         loop {
-            if let Some((asked, used)) = parse(&self.read)? {
+            if let Some((request, used)) = parse(&self.read)? {
                 self.read.drain(..used);
                 self.traffic.request();
-                return Ok(Some(asked));
+                return Ok(Some(request));
             }
-            if self.read.len() > MOST {
+            if self.read.len() > MAX_REQUEST_BYTES {
                 return Err(malformed("one that does not end"));
             }
             let length = self.stream.read_buf(&mut self.read).await?;
@@ -67,6 +73,7 @@
         }
     }
 
+    /// Writes a whole response.
     pub async fn answer(&mut self, status: u16, headers: &str, body: &[u8]) -> io::Result<()> {
         let mut octets =
             format!("HTTP/1.1 {status} -\r\n{headers}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
@@ -74,7 +81,7 @@
         self.write(&octets).await
     }
 
-    /// As it is, for answers that go on.
+    /// Writes octets as they are, for responses that go on.
     pub async fn write(&mut self, octets: &[u8]) -> io::Result<()> {
         self.stream.write_all(octets).await?;
         self.traffic.written(octets.len());
@@ -87,8 +94,8 @@
     }
 }
 
-fn parse(read: &[u8]) -> io::Result<Option<(Asked, usize)>> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+fn parse(read: &[u8]) -> io::Result<Option<(Request, usize)>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let head = match request.parse(read).map_err(|e| malformed(&e.to_string()))? {
         httparse::Status::Complete(head) => head,
@@ -103,18 +110,18 @@
         None => 0,
     };
     let used = head + length;
-    if used > MOST {
+    if used > MAX_REQUEST_BYTES {
         return Err(malformed("one that is too long"));
     }
     if read.len() < used {
         return Ok(None);
     }
-    let asked = Asked {
+    let request = Request {
         method: request.method.unwrap_or_default().into(),
         path: request.path.unwrap_or_default().into(),
         id: value("x-request-id"),
-        mark: value("idempotency-key"),
+        idempotency_key: value("idempotency-key"),
         body: read[head..used].to_vec(),
     };
-    Ok(Some((asked, used)))
+    Ok(Some((request, used)))
 }
--- a/crates/quillhub-fakes/src/lib.rs
+++ b/crates/quillhub-fakes/src/lib.rs
@@ -1,7 +1,8 @@
-//! What a courier talks to, on loopback and nowhere else: endpoints that behave as a day of the emulator says, register
-//! and platform, open-loop clients, and a courier's process with what it uses. For test suites and for load.
+//! What an instance talks to, on loopback and nowhere else: endpoints that behave as a scenario of the simulator
+//! says, service discovery and platform, open-loop clients, and an instance's process with what it uses. For test
+//! suites and for load.
 //!
-//! Faults come from the same schedule as the emulator's; what sockets cannot show is refused before anything starts.
+//! Faults come from the same schedule as the simulator's; what sockets cannot show is refused before anything starts.
 
 pub mod accept;
 pub mod clients;
--- a/crates/quillhub-fakes/src/platform.rs
+++ b/crates/quillhub-fakes/src/platform.rs
@@ -1,4 +1,4 @@
-//! Register and platform on one address: the list, a watch on its changes, and final answers.
+//! Service discovery and platform on one address: the list, a watch on its changes, and final outcomes.
 
 use crate::accept::accept_each;
 use crate::endpoints::Listed;
@@ -21,21 +21,27 @@
 /// A watch sends an empty line so often while nothing changes.
 const EMPTY_LINE: Duration = Duration::from_secs(2);
 
-/// A final answer, as the platform reads it.
+/// A final outcome, as the platform reads it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Finally {
+pub struct OutcomeNotification {
+    /// The id of the message.
     pub id: String,
-    pub denied: bool,
-    pub wait: Option<Duration>,
+    /// Whether it was rejected, and not abandoned.
+    pub rejected: bool,
+    /// How long to wait before a retry, if that is told.
+    pub retry_after: Option<Duration>,
+    /// When the notification came.
     pub at: Instant,
 }
 
-/// The list that the register tells; each change adds a version.
-pub struct Register {
+/// The list that service discovery tells; each change adds a version.
+pub struct Discovery {
+    /// Each endpoint and its phase.
     pub members: Vec<(Listed, &'static str)>,
+    /// The version of the list.
     pub revision: u64,
-    /// Out of reach: it says nothing.
-    pub lost: bool,
+    /// While it is out of reach, it answers nothing.
+    pub is_unreachable: bool,
     changed: watch::Sender<u64>,
     /// Rows of each version, as told, in order.
     changes: Vec<(u64, Value)>,
@@ -50,13 +56,14 @@
         "cell": listed.destination, "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-impl Register {
+impl Discovery {
+    /// A list of these endpoints, all up.
     pub fn new(all: &[Listed]) -> Rc<RefCell<Self>> {
         let members = all.iter().map(|listed| (listed.clone(), "up")).collect();
         let places = all.iter().enumerate().map(|(place, listed)| (listed.id.clone(), place)).collect();
         let (changed, _) = watch::channel(1);
-        let (revision, lost, changes, written) = (1, false, Vec::new(), None);
-        Rc::new(RefCell::new(Self { members, revision, lost, changed, changes, places, written }))
+        let (revision, is_unreachable, changes, written) = (1, false, Vec::new(), None);
+        Rc::new(RefCell::new(Self { members, revision, is_unreachable, changed, changes, places, written }))
     }
 
     /// The whole list.
@@ -110,34 +117,39 @@
     }
 }
 
-/// Plays the day's troubles that the register shows: its own, and drains.
-pub fn troubles(day: &'static Scenario, seed: u64, started: Instant, register: &Rc<RefCell<Register>>) {
-    let site = Site::new(day, seed);
-    for (number, planned) in day.faults.iter().enumerate() {
-        let register = register.clone();
-        let (begin, end) = (started + planned.at, started + planned.at + planned.lasts);
+/// Plays the scenario's faults that service discovery shows: its own outages, and drains.
+pub fn play_faults(
+    scenario: &'static Scenario,
+    seed: u64,
+    started: Instant,
+    discovery: &Rc<RefCell<Discovery>>,
+) {
+    let site = Site::new(scenario, seed);
+    for (number, scheduled) in scenario.faults.iter().enumerate() {
+        let discovery = discovery.clone();
+        let (begin, end) = (started + scheduled.at, started + scheduled.at + scheduled.lasts);
         match site.socket_fault(number) {
             SocketFault::ByRegister => {
                 spawn_local(async move {
                     sleep_until(begin).await;
-                    register.borrow_mut().lost = true;
+                    discovery.borrow_mut().is_unreachable = true;
                     sleep_until(end).await;
-                    register.borrow_mut().lost = false;
+                    discovery.borrow_mut().is_unreachable = false;
                 });
             }
             SocketFault::ByDrain(by) => {
-                let struck = site.struck(number, &planned.target, |_| true);
-                let each = planned.lasts / struck.len().max(1) as u32;
-                for (nth, server) in struck.into_iter().enumerate() {
-                    let (register, id) = (register.clone(), format!("e{}", server + 1));
+                let targets = site.struck(number, &scheduled.target, |_| true);
+                let each = scheduled.lasts / targets.len().max(1) as u32;
+                for (nth, server) in targets.into_iter().enumerate() {
+                    let (discovery, id) = (discovery.clone(), format!("e{}", server + 1));
                     spawn_local(async move {
                         sleep_until(begin + each * nth as u32).await;
-                        register.borrow_mut().change(&id, "draining");
+                        discovery.borrow_mut().change(&id, "draining");
                         if by.replaced {
-                            register.borrow_mut().replace(&id);
+                            discovery.borrow_mut().replace(&id);
                         }
                         sleep(by.gone_after).await;
-                        register.borrow_mut().change(&id, "removed");
+                        discovery.borrow_mut().change(&id, "removed");
                     });
                 }
             }
@@ -149,44 +161,46 @@
 /// What goes over the connections of each of the two.
 #[derive(Clone, Default)]
 pub struct Counted {
+    /// Of service discovery.
     pub discovery: Arc<Traffic>,
+    /// Of the platform.
     pub platform: Arc<Traffic>,
 }
 
 /// Starts both on the current thread's local tasks.
 pub async fn start(
-    register: Rc<RefCell<Register>>,
-    tell: UnboundedSender<Finally>,
+    discovery: Rc<RefCell<Discovery>>,
+    tell: UnboundedSender<OutcomeNotification>,
 ) -> std::io::Result<SocketAddr> {
-    start_counted(register, tell, Counted::default()).await
+    start_counted(discovery, tell, Counted::default()).await
 }
 
 /// The same, with their traffic counted.
 pub async fn start_counted(
-    register: Rc<RefCell<Register>>,
-    tell: UnboundedSender<Finally>,
+    discovery: Rc<RefCell<Discovery>>,
+    tell: UnboundedSender<OutcomeNotification>,
     traffic: Counted,
 ) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let at = listener.local_addr()?;
     spawn_local(accept_each(listener, move |stream| {
         let link = Served::counted(stream, traffic.discovery.clone());
-        serve(register.clone(), tell.clone(), link, traffic.platform.clone())
+        serve(discovery.clone(), tell.clone(), link, traffic.platform.clone())
     }));
     Ok(at)
 }
 
 async fn serve(
-    register: Rc<RefCell<Register>>,
-    tell: UnboundedSender<Finally>,
+    discovery: Rc<RefCell<Discovery>>,
+    tell: UnboundedSender<OutcomeNotification>,
     mut link: Served,
     platform: Arc<Traffic>,
 ) -> std::io::Result<()> {
-    while let Some(asked) = link.next().await? {
-        if asked.method == "POST" && asked.path == "/v2/finals" {
+    while let Some(request) = link.next().await? {
+        if request.method == "POST" && request.path == "/v2/finals" {
             link.belongs_to(&platform);
-            let read: Option<Vec<Finally>> =
-                asked.body.split(|b| *b == b'\n').filter(|l| !l.is_empty()).map(read).collect();
+            let read: Option<Vec<OutcomeNotification>> =
+                request.body.split(|b| *b == b'\n').filter(|l| !l.is_empty()).map(read).collect();
             match read {
                 Some(all) => {
                     all.into_iter().for_each(|one| {
@@ -196,14 +210,14 @@
                 }
                 None => link.answer(400, "", b"").await?,
             }
-        } else if register.borrow().lost {
+        } else if discovery.borrow().is_unreachable {
             std::future::pending::<()>().await;
-        } else if let Some(query) = asked.path.strip_prefix("/registry/instances?") {
+        } else if let Some(query) = request.path.strip_prefix("/registry/instances?") {
             let after = query.split('&').find_map(|part| part.strip_prefix("after="));
             let after = after.and_then(|text| text.parse().ok()).unwrap_or(0);
-            return watched(&register, link, after).await;
-        } else if asked.path == "/registry/instances" {
-            let list = register.borrow_mut().list_text();
+            return watched(&discovery, link, after).await;
+        } else if request.path == "/registry/instances" {
+            let list = discovery.borrow_mut().list_text();
             link.answer(200, "Content-Type: application/json\r\n", list.as_bytes()).await?;
         } else {
             link.answer(404, "", b"").await?;
@@ -212,29 +226,29 @@
     Ok(())
 }
 
-fn read(line: &[u8]) -> Option<Finally> {
+fn read(line: &[u8]) -> Option<OutcomeNotification> {
     let line: Value = serde_json::from_slice(line).ok()?;
-    let denied = match line["result"].as_str()? {
+    let rejected = match line["result"].as_str()? {
         "bounced" => true,
         "dead" => false,
         _ => return None,
     };
-    let wait = line["wait_ms"].as_u64().map(Duration::from_millis);
-    Some(Finally { id: line["ref"].as_str()?.into(), denied, wait, at: Instant::now() })
+    let retry_after = line["wait_ms"].as_u64().map(Duration::from_millis);
+    Some(OutcomeNotification { id: line["ref"].as_str()?.into(), rejected, retry_after, at: Instant::now() })
 }
 
 /// One watch, until its connection ends.
-async fn watched(register: &RefCell<Register>, mut link: Served, mut after: u64) -> std::io::Result<()> {
+async fn watched(discovery: &RefCell<Discovery>, mut link: Served, mut after: u64) -> std::io::Result<()> {
     link.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-    let mut changed = register.borrow().changed.subscribe();
+    let mut changed = discovery.borrow().changed.subscribe();
     loop {
-        if register.borrow().lost {
+        if discovery.borrow().is_unreachable {
             std::future::pending::<()>().await;
         }
         let (line, revision) = {
-            let register = register.borrow();
-            let news = register.revision > after;
-            (if news { register.after(after).to_string() } else { String::new() }, register.revision)
+            let discovery = discovery.borrow();
+            let has_changes = discovery.revision > after;
+            (if has_changes { discovery.after(after).to_string() } else { String::new() }, discovery.revision)
         };
         after = revision;
         let line = format!("{line}\n");
--- a/crates/quillhub-fakes/src/process.rs
+++ b/crates/quillhub-fakes/src/process.rs
@@ -1,4 +1,4 @@
-//! A courier's process that this one started, and what it uses. It is ended with its owner.
+//! An instance's process that this one started, and what it uses. It is ended with its owner.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,16 +11,20 @@
 /// How often its end is looked for.
 const LOOK: Duration = Duration::from_millis(5);
 
-pub struct Courier(Child);
+/// The process of an instance.
+pub struct InstanceProcess(Child);
 
 /// What a process has used by now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Used {
+pub struct Usage {
+    /// Processor time.
     pub cpu: Duration,
+    /// Resident memory.
     pub memory_kb: u64,
 }
 
-impl Courier {
+impl InstanceProcess {
+    /// Starts `program` with this configuration, state directory and log file.
     pub fn start(program: &Path, config: &Path, state: &Path, log: &Path) -> io::Result<Self> {
         let log = std::fs::File::create(log)?;
         let mut command = Command::new(program);
@@ -31,8 +35,8 @@
 
     /// Sends a signal, by its name without `SIG`.
     pub fn signal(&self, name: &str) -> io::Result<bool> {
-        let told = Command::new("sh").args(["-c", &format!("kill -{name} {}", self.0.id())]).status();
-        told.map(|status| status.success())
+        let status = Command::new("sh").args(["-c", &format!("kill -{name} {}", self.0.id())]).status();
+        status.map(|status| status.success())
     }
 
     /// How it ended; waits for that.
@@ -57,8 +61,8 @@
         threads.map(|thread| scheduled(&thread.ok()?.path())).sum()
     }
 
-    /// Nothing if it has ended.
-    pub fn used(&self) -> Option<Used> {
+    /// What it has used by now; nothing if it has ended.
+    pub fn usage(&self) -> Option<Usage> {
         let id = self.0.id();
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
         // The name in brackets may hold anything; what is counted comes after it.
@@ -67,7 +71,7 @@
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
         let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
         let memory_kb = memory.trim().trim_end_matches(" kB").trim().parse().ok()?;
-        Some(Used { cpu: Duration::from_secs_f64(ticks / TICKS), memory_kb })
+        Some(Usage { cpu: Duration::from_secs_f64(ticks / TICKS), memory_kb })
     }
 }
 
@@ -82,7 +86,7 @@
     text.split_whitespace().next()?.parse().ok().map(Duration::from_nanos)
 }
 
-impl Drop for Courier {
+impl Drop for InstanceProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
--- a/crates/quillhub-fakes/src/scratch.rs
+++ b/crates/quillhub-fakes/src/scratch.rs
@@ -1,15 +1,15 @@
-//! An empty folder for a test, and a runtime like the courier's.
+//! An empty state directory for a test, and a runtime like the instance's.
 
 use std::future::Future;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 use tokio::task::LocalSet;
 
-/// An empty folder of its own, removed at the end.
+/// An empty state directory of its own, removed at the end.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
-    #[allow(clippy::new_without_default)]
+    /// Makes one.
     pub fn new() -> Self {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let name = format!("quillhub-{}-{}", std::process::id(), NUMBER.fetch_add(1, Ordering::Relaxed));
@@ -24,19 +24,25 @@
     }
 }
 
-/// What the files of a folder take, in whole blocks.
+/// What the files of a state directory take, in whole blocks.
 pub fn size_of(folder: &Path) -> u64 {
     let files = std::fs::read_dir(folder).expect("the folder is there");
     files.map(|file| file.unwrap().metadata().unwrap().len().div_ceil(512) * 512).sum()
 }
 
+impl Default for Folder {
+    fn default() -> Self {
+        Self::new()
+    }
+}
+
 impl Drop for Folder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Runs `test` on a runtime like the courier's.
+/// Runs `test` on a runtime like the instance's.
 pub fn on_one_thread<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime can be made").block_on(LocalSet::new().run_until(test))
--- a/crates/quillhub-fakes/src/scripted.rs
+++ b/crates/quillhub-fakes/src/scripted.rs
@@ -7,10 +7,11 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::task::spawn_local;
 
+/// A response with status 200.
 pub const OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 /// Whether all of a call is there, or nothing that tells its length.
-fn whole(call: &[u8]) -> bool {
+fn is_complete(call: &[u8]) -> bool {
     let text = String::from_utf8_lossy(call);
     let Some((head, _)) = text.split_once("\r\n\r\n") else { return !text.starts_with("POST") };
     let length = head.split_once("Content-Length: ").map(|(_, rest)| rest.lines().next().unwrap());
@@ -18,7 +19,7 @@
 }
 
 /// Takes one call a connection: answers each with the next of `answers` and leaves the connection open, or
-/// closes it where that is empty. Driver out what was read.
+/// closes it where that is empty. The receiver gets what was read.
 pub async fn answering(answers: Vec<&'static [u8]>) -> (SocketAddr, UnboundedReceiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (at, (tell, told)) = (listener.local_addr().unwrap(), unbounded_channel());
@@ -27,7 +28,7 @@
         for answer in answers {
             let mut stream = listener.accept().await.unwrap().0;
             let mut read = Vec::new();
-            while stream.read_buf(&mut read).await.unwrap() > 0 && !whole(&read) {}
+            while stream.read_buf(&mut read).await.unwrap() > 0 && !is_complete(&read) {}
             let _ = tell.send(String::from_utf8_lossy(&read).into_owned());
             if !answer.is_empty() {
                 stream.write_all(answer).await.unwrap();
--- a/crates/quillhub-scale/src/control.rs
+++ b/crates/quillhub-scale/src/control.rs
@@ -3,7 +3,7 @@
 
 use crate::thread::Worker;
 use quillhub_fakes::endpoints::Listed;
-use quillhub_fakes::platform::{self, Counted, Register};
+use quillhub_fakes::platform::{self, Counted, Discovery};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -39,7 +39,7 @@
 }
 
 /// The other of the two phases that a change goes between.
-fn toggle(register: &mut Register, id: &str, drains: &mut bool) {
+fn toggle(register: &mut Discovery, id: &str, drains: &mut bool) {
     *drains = !*drains;
     register.change(id, if *drains { "draining" } else { "up" });
 }
@@ -52,7 +52,7 @@
         let finals = Arc::new(AtomicU64::new(0));
         let counted = finals.clone();
         let (worker, (for_real, for_hollow)) = Worker::start(move || async move {
-            let register = Register::new(&listed);
+            let register = Discovery::new(&listed);
             drop(listed);
             let (tell, mut told) = unbounded_channel();
             let for_real = platform::start_counted(register.clone(), tell.clone(), real).await?;
--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -5,7 +5,7 @@
 use crate::plan::{Plan, Sizes, Slope};
 use crate::settings::{self, Addresses};
 use quillhub_fakes::clients::ready;
-use quillhub_fakes::process::Courier;
+use quillhub_fakes::process::InstanceProcess;
 use quillhub_fakes::scratch::{Folder, on_one_thread, size_of};
 use quillhub_fakes::traffic::Counts;
 use std::collections::BTreeMap;
@@ -164,7 +164,7 @@
     until: Instant,
     fleet: Fleet,
     folder: Folder,
-    courier: Courier,
+    courier: InstanceProcess,
     listen: SocketAddr,
     ready: Duration,
     /// Messages handed in before the measurement.
@@ -310,7 +310,7 @@
         played.put(figure::DELIVERED, delivered() as f64 / span);
         let all = (offered.accepted + offered.refused).max(1);
         played.put(figure::REJECTED, offered.refused as f64 / all as f64);
-        let used = self.courier.used().ok_or_else(|| Stop::Breaks("the courier's process ended".into()))?;
+        let used = self.courier.usage().ok_or_else(|| Stop::Breaks("the courier's process ended".into()))?;
         played.put(figure::MEMORY_MB, used.memory_kb as f64 / 1_024.0);
         Ok(())
     }
@@ -434,8 +434,13 @@
     folder.0.join(format!("{name}-state"))
 }
 
-fn start(program: &Path, folder: &Folder, name: &str, configuration: &Path) -> Result<Courier, String> {
+fn start(
+    program: &Path,
+    folder: &Folder,
+    name: &str,
+    configuration: &Path,
+) -> Result<InstanceProcess, String> {
     let (state, log) = (state_directory(folder, name), folder.0.join(format!("{name}.log")));
-    Courier::start(program, configuration, &state, &log)
+    InstanceProcess::start(program, configuration, &state, &log)
         .map_err(|e| format!("a courier cannot be started: {e}"))
 }
--- a/crates/quillhub-server/tests/crossings.rs
+++ b/crates/quillhub-server/tests/crossings.rs
@@ -3,7 +3,7 @@
 
 use quillhub_fakes::clients::{ask, command, ready};
 use quillhub_fakes::http::Served;
-use quillhub_fakes::process::Courier;
+use quillhub_fakes::process::InstanceProcess;
 use quillhub_fakes::scratch::{Folder, on_one_thread};
 use quillhub_fakes::scripted::full;
 use serde_json::{Value, json};
@@ -118,10 +118,10 @@
 }
 
 /// A process of a courier that keeps what it has in `folder`, with configuration and log in another.
-fn start(folder: &Folder, beside: &Folder, configuration: &Value) -> Courier {
+fn start(folder: &Folder, beside: &Folder, configuration: &Value) -> InstanceProcess {
     let [config, log] = ["config", "log"].map(|name| beside.0.join(name));
     std::fs::write(&config, configuration.to_string()).unwrap();
-    Courier::start(Path::new(env!("CARGO_BIN_EXE_quillhub")), &config, &folder.0, &log).unwrap()
+    InstanceProcess::start(Path::new(env!("CARGO_BIN_EXE_quillhub")), &config, &folder.0, &log).unwrap()
 }
 
 fn configuration(listen: SocketAddr, discovery: SocketAddr, known: Value) -> Value {
--- a/crates/quillhub-server/tests/day.rs
+++ b/crates/quillhub-server/tests/day.rs
@@ -1,8 +1,8 @@
 //! A short day on loopback with the stand-ins: whatever the timing, every notice ends once, and no mark runs twice.
 
-use quillhub_fakes::clients::{self, Book, Due};
-use quillhub_fakes::endpoints::{self, What};
-use quillhub_fakes::platform::{self, Register};
+use quillhub_fakes::clients::{self, RequestLog, ScheduledMessage};
+use quillhub_fakes::endpoints::{self, EndpointEventKind};
+use quillhub_fakes::platform::{self, Discovery};
 use quillhub_fakes::{configuration, scratch};
 use quillhub_simulator::{FinalOutcome, Scenario, arrivals};
 use std::collections::BTreeMap;
@@ -75,17 +75,17 @@
 #[test]
 fn every_notice_of_a_short_day_has_one_end() {
     let (day, folder) = (day(DAY), scratch::Folder::new());
-    endpoints::cannot_show(day).unwrap();
+    endpoints::check_supported(day).unwrap();
     scratch::on_one_thread(async {
         let started = Instant::now() + Duration::from_millis(200);
         let ((tell_seen, mut seen), (tell_finals, mut finals)) = (unbounded_channel(), unbounded_channel());
         let listed = endpoints::start(day, 7, started, tell_seen).await.unwrap();
-        let register = Register::new(&listed);
+        let register = Discovery::new(&listed);
         let at = platform::start(register.clone(), tell_finals).await.unwrap();
-        platform::troubles(day, 7, started, &register);
+        platform::play_faults(day, 7, started, &register);
         let listen = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let known = register.borrow().list();
-        let text = configuration::courier(day, 7, listen, at, known, 256).to_string();
+        let text = configuration::instance(day, 7, listen, at, known, 256).to_string();
         quillhub_server::check(&text).unwrap();
         let (stop, stopped) = oneshot::channel::<()>();
         let path = folder.0.clone();
@@ -96,10 +96,14 @@
             })
         });
         assert!(clients::ready(listen, Duration::from_secs(30)).await);
-        let book = Book::new(day, 7, started);
+        let book = RequestLog::new(day, 7, started);
         let dues: Vec<_> = arrivals(day, 7)
             .into_iter()
-            .map(|a| Due { at: a.at, grade: a.service_class, destination: a.destination })
+            .map(|a| ScheduledMessage {
+                at: a.at,
+                service_class: a.service_class,
+                destination: a.destination,
+            })
             .collect();
         let count = dues.len();
         let played = spawn_local(clients::play(book.clone(), listen, dues, 16, 50));
@@ -107,19 +111,19 @@
         while !(played.is_finished() && book.borrow().is_over()) {
             tokio::select! {
                 Some(one) = seen.recv() => {
-                    let is_run = matches!(one.what, What::Handled | What::RanUnheard);
-                    if let Some(mark) = one.mark.filter(|_| is_run) {
+                    let is_run = matches!(one.kind, EndpointEventKind::Delivered | EndpointEventKind::ExecutedUnheard);
+                    if let Some(mark) = one.idempotency_key.filter(|_| is_run) {
                         *ran.entry(mark).or_default() += 1;
                     }
-                    if one.what == What::Handled {
-                        book.borrow_mut().ends(&one.id, one.at, FinalOutcome::Delivered);
+                    if one.kind == EndpointEventKind::Delivered {
+                        book.borrow_mut().finish(&one.id, one.at, FinalOutcome::Delivered);
                     }
                 }
                 Some(last) = finals.recv() => {
                     let order = book.borrow().ids.get(&last.id).copied();
-                    match order.filter(|_| last.denied) {
-                        Some(order) => clients::denied_later(book.clone(), listen, order, last.wait, 50),
-                        None => drop(book.borrow_mut().ends(&last.id, last.at, FinalOutcome::Abandoned)),
+                    match order.filter(|_| last.rejected) {
+                        Some(order) => clients::retry_rejected(book.clone(), listen, order, last.retry_after, 50),
+                        None => drop(book.borrow_mut().finish(&last.id, last.at, FinalOutcome::Abandoned)),
                     }
                 }
                 () = tokio::time::sleep(Duration::from_millis(50)) => {}
@@ -127,8 +131,8 @@
         }
         let book = book.borrow();
         let handled =
-            book.orders.iter().filter(|o| matches!(o.end, Some((_, FinalOutcome::Delivered)))).count();
-        assert!(book.orders.len() == count && handled * 2 > count, "{handled} of {count} handled");
+            book.requests.iter().filter(|o| matches!(o.outcome, Some((_, FinalOutcome::Delivered)))).count();
+        assert!(book.requests.len() == count && handled * 2 > count, "{handled} of {count} handled");
         drop(stop);
         assert_eq!(courier.join().unwrap(), Ok(()));
         // Repeats of a mark may come, as its destination drops them; of most there is none.
@@ -139,7 +143,7 @@
 #[test]
 fn what_sockets_cannot_show_is_refused_in_one_line() {
     let text = DAY.replace("what = 'refuse'", "what = { cut = {} }");
-    let told = endpoints::cannot_show(day(&text)).unwrap_err();
+    let told = endpoints::check_supported(day(&text)).unwrap_err();
     assert!(
         told.starts_with("faults[0].what: expected a trouble that sockets can show") && !told.contains('\n')
     );
--- a/crates/quillhub-server/tests/restarts.rs
+++ b/crates/quillhub-server/tests/restarts.rs
@@ -3,7 +3,7 @@
 
 use quillhub_fakes::clients::{ask, command, ready};
 use quillhub_fakes::http::Served;
-use quillhub_fakes::process::Courier;
+use quillhub_fakes::process::InstanceProcess;
 use quillhub_fakes::scratch::{Folder, on_one_thread};
 use quillhub_fakes::scripted::full;
 use serde_json::{Value, json};
@@ -43,14 +43,14 @@
 }
 
 /// A process that gets no more descriptors than it is told of.
-fn start(folder: &Folder, beside: &Folder, configuration: &Value) -> Courier {
+fn start(folder: &Folder, beside: &Folder, configuration: &Value) -> InstanceProcess {
     let [config, log, program] = ["config", "log", "limited"].map(|name| beside.0.join(name));
     std::fs::write(&config, configuration.to_string()).unwrap();
     let script =
         format!("#!/bin/sh\nulimit -n {SOCKETS}\nexec '{}' \"$@\"\n", env!("CARGO_BIN_EXE_quillhub"));
     std::fs::write(&program, script).unwrap();
     std::fs::set_permissions(&program, std::fs::Permissions::from_mode(0o755)).unwrap();
-    Courier::start(Path::new(&program), &config, &folder.0, &log).unwrap()
+    InstanceProcess::start(Path::new(&program), &config, &folder.0, &log).unwrap()
 }
 
 /// An address that is nobody's yet, on a host of its own.
--- a/crates/quillhub-server/tests/state_directory.rs
+++ b/crates/quillhub-server/tests/state_directory.rs
@@ -38,7 +38,7 @@
 /// Takes each delivery.
 async fn endpoint(mut stream: Served, seen: UnboundedSender<Delivery>) {
     while let Ok(Some(request)) = stream.next().await {
-        let _ = seen.send((request.id.unwrap_or_default(), request.mark, request.body));
+        let _ = seen.send((request.id.unwrap_or_default(), request.idempotency_key, request.body));
         let _ = stream.answer(200, "", b"").await;
     }
 }
