--- /dev/null
+++ b/crates/quillhub-experiments/src/experiment_tests.rs
@@ -0,0 +1,62 @@
+//! Reading an experiment: variants, and what is wrong with a file.
+
+use super::*;
+
+const TEXT: &str = r#"format = 1
+question = "Why?"
+seeds = [1]
+deciders = ["module", "single"]
+[sweep]
+"couriers.count" = [1, 2]
+[[points]]
+name = "calm"
+[[points]]
+name = "slow"
+set = { "destinations.0.service.mean" = "90 ms" }
+[day]
+length = "5 s"
+[day.couriers]
+[[day.grades]]
+name = "g"
+effect = "retriable"
+contract = "1 s"
+limit = "5 s"
+[[day.destinations]]
+kind = "k"
+service = { mean = "10 ms" }
+[[day.arrivals]]
+per_s = 5.0
+[[day.faults]]
+at = "1 s"
+lasts = "1 s"
+what = "refuse"
+"#;
+
+#[test]
+fn points_and_sweep_are_crossed() {
+    let planned = Planned::parse("x", TEXT).unwrap_or_else(|e| panic!("{e:?}"));
+    let names: Vec<_> = planned.variants.iter().map(|v| v.name.as_str()).collect();
+    assert_eq!(names, ["calm count=1", "calm count=2", "slow count=1", "slow count=2"]);
+    assert_eq!(planned.variants[3].day.destinations[0].service.mean.as_millis(), 90);
+}
+
+#[test]
+fn what_is_wrong_is_told_with_its_line() {
+    for (old, new, line, told) in [
+        ("\"refuse\"", "\"refuze\"", 28, "unknown variant `refuze`, expected"),
+        ("\"refuse\"", "{ errors = { share = 2.0 } }", 28, "a share from 0 to 1, found 2"),
+        ("\"single\"", "\"none\"", 4, "unknown variant `none`"),
+        ("couriers.count", "couriers.cuont", 5, "unknown field `cuont`"),
+        ("couriers.count", "postmen.count", 5, "found no 'postmen'"),
+        ("contract = \"1 s\"", "contract = \"6 s\"", 18, "a contract time within the limit"),
+        ("limit = \"5 s\"", "limit = 5", 19, "invalid type"),
+        ("format = 1", "format = 2", 1, "expected 1, found 2"),
+        ("per_s = 5.0", "per_s = 5.0\nto = \"x\"", 25, "a kind of destination, found x"),
+        ("length = \"5 s\"", "length = ", 13, ""),
+    ] {
+        let text = TEXT.replace(old, new);
+        let (at, what) = Planned::parse("x", &text).err().unwrap_or_else(|| panic!("{new} is taken"));
+        assert!(what.contains(told), "{what}");
+        assert_eq!(position(&text, at).0, line, "{what}");
+    }
+}
