--- a/crates/quillhub-experiments/src/baselines.rs
+++ b/crates/quillhub-experiments/src/baselines.rs
@@ -1,5 +1,5 @@
-//! Deciders to compare the module with, and for nothing else: ways of repeating that the design's source weighs, each
-//! as plain as it can be, and an oracle that sees the true state of every endpoint.
+//! Deciders to compare the dispatcher with, and for nothing else: ways of retrying that the design's source weighs,
+//! each as plain as it can be, and an oracle that sees the true state of every endpoint.
 
 use quillhub::{
     AttemptOutcome, AttemptResult, DestinationId, Driver, EndpointState, EndpointUpdate, MessageId,
@@ -12,40 +12,41 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Over which first tries and repeats are compared.
+/// The span over which first attempts and retries are compared.
 const BUDGET_SPAN: Duration = Duration::from_secs(10);
-/// After which what the budget held back looks again.
-const BUDGET_LOOK: Duration = Duration::from_secs(1);
-/// Before its limit a notice is answered, so that the answer is in time.
-const MARGIN: Duration = Duration::from_millis(20);
-/// What is looked at in one settling; the rest has its turn in the next.
-const MOST_TURNS: usize = 1_000;
-/// What an oracle takes a call for.
-const USUAL: Duration = Duration::from_millis(200);
-/// After which what found no endpoint looks again.
-const LOOK: Duration = Duration::from_millis(50);
+/// After which a message that the budget held back is looked at again.
+const BUDGET_RECHECK: Duration = Duration::from_secs(1);
+/// A message is given up so long before its deadline, so that its final outcome is in time.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
+/// Messages looked at in one step; the rest is looked at in the next.
+const MAX_DUE_MESSAGES: usize = 1_000;
+/// How long an oracle expects a call to take.
+const USUAL_DURATION: Duration = Duration::from_millis(200);
+/// After which a message that found no endpoint is looked at again.
+const ENDPOINT_RECHECK: Duration = Duration::from_millis(50);
 
 /// What a decider's file name stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Named {
-    /// The real one.
+    /// The dispatcher.
     Module,
-    /// A repeat after the same interval each time, counted from send to send.
+    /// A retry after the same interval each time, counted from attempt to attempt.
     Fixed,
     /// Growing gaps without chance.
     Exponential,
     /// Growing gaps, each drawn evenly from zero on, and no bound on their sum.
     Jitter,
-    /// Repeats at once, as long as they stay under a share of first tries.
+    /// Retries at once, as long as they stay under a share of first attempts.
     Budget,
-    /// No repeats.
+    /// No retries.
     Single,
     /// Sees the true state of every endpoint.
     Oracle,
 }
 
 impl Named {
+    /// The name in an experiment file.
     pub fn word(self) -> &'static str {
         match self {
             Self::Module => "module",
@@ -69,13 +70,15 @@
     /// Of `exponential` and `jitter`.
     #[serde(with = "humantime_serde")]
     pub base: Duration,
+    /// Of `exponential` and `jitter`: by how much each gap is longer than the one before.
     pub multiplier: f64,
+    /// Of `exponential` and `jitter`: the longest gap.
     #[serde(with = "humantime_serde")]
     pub cap: Duration,
-    /// Of all: when a send is given up.
+    /// Of all: the attempt timeout.
     #[serde(with = "humantime_serde")]
     pub timeout: Duration,
-    /// Of `budget`: repeats for each first try.
+    /// Of `budget`: retries for each first attempt.
     pub share: f64,
 }
 
@@ -92,7 +95,7 @@
     }
 }
 
-/// The gap before the k-th repeat, without chance: `min(cap, base * multiplier^(k - 1))`.
+/// The gap before the k-th retry, without chance: `min(cap, base * multiplier^(k - 1))`.
 pub fn ideal_gap(of: &Baselines, k: u32) -> Duration {
     let s = of.base.as_secs_f64() * of.multiplier.powi(k.saturating_sub(1) as i32);
     Duration::from_secs_f64(s.min(of.cap.as_secs_f64()))
@@ -103,102 +106,106 @@
     if named == Named::Module {
         return dispatcher(start);
     }
-    let day = start.scenario;
-    Box::new(Plain {
+    let scenario = start.scenario;
+    Box::new(Baseline {
         named,
         of: of.clone(),
         rng: Pcg64Mcg::seed_from_u64(start.seed),
         now: Duration::ZERO,
-        slots: day.instances.slots,
-        room: day.instances.capacity,
-        most_sends: if named == Named::Single { 1 } else { day.instances.max_attempts },
-        grades: day.service_classes.iter().map(|grade| (grade.name.clone(), grade.service_class())).collect(),
+        slots: scenario.instances.slots,
+        capacity: scenario.instances.capacity,
+        max_attempts: if named == Named::Single { 1 } else { scenario.instances.max_attempts },
+        service_classes: scenario
+            .service_classes
+            .iter()
+            .map(|service_class| (service_class.name.clone(), service_class.service_class()))
+            .collect(),
         endpoints: BTreeMap::new(),
         by_destination: BTreeMap::new(),
-        held: BTreeMap::new(),
+        pending: BTreeMap::new(),
         due: BTreeSet::new(),
         ends: BTreeSet::new(),
-        waits: BTreeMap::new(),
-        sent: BTreeMap::new(),
+        retry_after: BTreeMap::new(),
+        recent: BTreeMap::new(),
         calls: 0,
-        over: Vec::new(),
-        beat: None,
+        to_finish: Vec::new(),
+        timer: None,
     })
 }
 
-struct Known {
+struct KnownEndpoint {
     zone: String,
-    owner: DestinationId,
-    listing: EndpointState,
-    out: usize,
+    destination: DestinationId,
+    state: EndpointState,
+    in_flight: usize,
     /// As last seen by an oracle.
-    room: usize,
+    capacity: usize,
 }
 
-struct Held {
-    grade: usize,
+struct PendingMessage {
+    service_class: usize,
     destination: DestinationId,
-    limit: Duration,
-    sends: u32,
+    deadline: Duration,
+    attempts: u32,
     due: Duration,
     started: Duration,
     endpoint: String,
-    /// The first send that may have run, and its zone.
-    ran: Option<(Duration, String)>,
+    /// The first attempt that may have run, and its zone.
+    first_execution: Option<(Duration, String)>,
 }
 
 /// What was sent to a destination in the budget's span, and how much of it again.
 #[derive(Default)]
-struct Sent {
+struct RecentAttempts {
     times: VecDeque<(Duration, bool)>,
-    repeats: u32,
+    retries: u32,
 }
 
-impl Sent {
+impl RecentAttempts {
     fn forget(&mut self, now: Duration) {
-        while let Some((_, repeat)) = self.times.front().filter(|(at, _)| *at + BUDGET_SPAN <= now) {
-            self.repeats -= u32::from(*repeat);
+        while let Some((_, is_retry)) = self.times.front().filter(|(at, _)| *at + BUDGET_SPAN <= now) {
+            self.retries -= u32::from(*is_retry);
             self.times.pop_front();
         }
     }
 
-    fn count(&mut self, now: Duration, repeat: bool) {
+    fn count(&mut self, now: Duration, is_retry: bool) {
         self.forget(now);
-        self.times.push_back((now, repeat));
-        self.repeats += u32::from(repeat);
+        self.times.push_back((now, is_retry));
+        self.retries += u32::from(is_retry);
     }
 }
 
-struct Plain {
+struct Baseline {
     named: Named,
     of: Baselines,
     rng: Pcg64Mcg,
     now: Duration,
     slots: usize,
-    room: usize,
-    most_sends: u32,
-    grades: Vec<(String, ServiceClass)>,
-    endpoints: BTreeMap<String, Known>,
+    capacity: usize,
+    max_attempts: u32,
+    service_classes: Vec<(String, ServiceClass)>,
+    endpoints: BTreeMap<String, KnownEndpoint>,
     by_destination: BTreeMap<DestinationId, BTreeSet<String>>,
-    held: BTreeMap<MessageId, Held>,
+    pending: BTreeMap<MessageId, PendingMessage>,
     /// What is not out, by when it may go.
     due: BTreeSet<(Duration, MessageId)>,
-    /// What is held, by when it must be answered.
+    /// Pending messages, by when they must have a final outcome.
     ends: BTreeSet<(Duration, MessageId)>,
-    /// Told waits; each goes when it is over.
-    waits: BTreeMap<DestinationId, Duration>,
-    /// First tries and repeats of the budget's span.
-    sent: BTreeMap<DestinationId, Sent>,
+    /// Each goes when it is over.
+    retry_after: BTreeMap<DestinationId, Duration>,
+    /// Attempts of the span of the budget.
+    recent: BTreeMap<DestinationId, RecentAttempts>,
     calls: usize,
-    /// To be answered at the next settling.
-    over: Vec<MessageId>,
-    beat: Option<Duration>,
+    /// To be rejected or abandoned at the next step.
+    to_finish: Vec<MessageId>,
+    timer: Option<Duration>,
 }
 
-impl Plain {
-    /// Whether the grade lets `held` be sent to `zone` now.
-    fn may_send(&self, held: &Held, zone: &str) -> bool {
-        match (&held.ran, self.grades[held.grade].1.repeat_safety) {
+impl Baseline {
+    /// Whether the service class allows an attempt of `pending` in `zone` now.
+    fn may_attempt(&self, pending: &PendingMessage, zone: &str) -> bool {
+        match (&pending.first_execution, self.service_classes[pending.service_class].1.repeat_safety) {
             (None, _) | (_, RepeatSafety::Idempotent) => true,
             (Some(_), RepeatSafety::AtMostOnce) => false,
             (Some((first, of)), RepeatSafety::Deduplicated { window, per_zone }) => {
@@ -207,8 +214,8 @@
         }
     }
 
-    fn gap(&mut self, held_sends: u32, started: Duration) -> Duration {
-        let ideal = ideal_gap(&self.of, held_sends);
+    fn gap(&mut self, attempts: u32, started: Duration) -> Duration {
+        let ideal = ideal_gap(&self.of, attempts);
         match self.named {
             Named::Fixed => started + self.of.every,
             Named::Exponential => self.now + ideal,
@@ -217,82 +224,85 @@
         }
     }
 
-    /// Whether the budget allows a repeat there.
+    /// Whether the budget allows a retry there.
     fn budget(&mut self, destination: DestinationId) -> bool {
-        let sent = self.sent.entry(destination).or_default();
-        sent.forget(self.now);
-        f64::from(sent.repeats) < self.of.share * (sent.times.len() as f64 - f64::from(sent.repeats))
+        let recent = self.recent.entry(destination).or_default();
+        recent.forget(self.now);
+        f64::from(recent.retries) < self.of.share * (recent.times.len() as f64 - f64::from(recent.retries))
     }
 
-    /// The endpoint for a notice: the one with the fewest calls out, by chance among equals; an oracle's has room.
+    /// The endpoint for a message: the one with the fewest calls out, at random among equals; an oracle's has free capacity.
     fn endpoint(&mut self, id: MessageId) -> Option<String> {
-        let held = &self.held[&id];
+        let pending = &self.pending[&id];
         let oracle = self.named == Named::Oracle;
-        let names = self.by_destination.get(&held.destination)?;
+        let names = self.by_destination.get(&pending.destination)?;
         let open = names.iter().map(|name| (name, &self.endpoints[name])).filter(|(_, known)| {
-            known.listing == EndpointState::Available
-                && (!oracle || known.room > 0)
-                && self.may_send(held, &known.zone)
+            known.state == EndpointState::Available
+                && (!oracle || known.capacity > 0)
+                && self.may_attempt(pending, &known.zone)
         });
-        let load = |known: &Known| if oracle { usize::MAX - known.room } else { known.out };
+        let load = |known: &KnownEndpoint| if oracle { usize::MAX - known.capacity } else { known.in_flight };
         let least = open.clone().map(|(_, known)| load(known)).min()?;
         let best: Vec<_> = open.filter(|(_, known)| load(known) == least).map(|(name, _)| name).collect();
         let at = self.rng.random_range(0..best.len());
         Some(best[at].clone())
     }
 
-    fn answer(&mut self, id: MessageId, driver: &mut dyn Driver) {
-        let Some(held) = self.held.remove(&id) else { return };
-        self.due.remove(&(held.due, id));
-        self.ends.remove(&(held.limit, id));
-        if held.ran.is_some() && self.grades[held.grade].1.repeat_safety == RepeatSafety::AtMostOnce {
+    fn give_up(&mut self, id: MessageId, driver: &mut dyn Driver) {
+        let Some(pending) = self.pending.remove(&id) else { return };
+        self.due.remove(&(pending.due, id));
+        self.ends.remove(&(pending.deadline, id));
+        if pending.first_execution.is_some()
+            && self.service_classes[pending.service_class].1.repeat_safety == RepeatSafety::AtMostOnce
+        {
             driver.abandon(id);
         } else {
             driver.reject(id, None);
         }
     }
 
-    /// What may go now, first what came due first; an oracle takes what its contract time still covers before what
+    /// What may go now, first what came due first; an oracle takes what its soft deadline still covers before what
     /// it does not, and of each what is due sooner.
-    fn turns(&self) -> Vec<MessageId> {
+    fn due_messages(&self) -> Vec<MessageId> {
         if self.calls >= self.slots {
             return Vec::new();
         }
-        let due = self.due.iter().take_while(|(at, _)| *at <= self.now).take(MOST_TURNS);
+        let due = self.due.iter().take_while(|(at, _)| *at <= self.now).take(MAX_DUE_MESSAGES);
         let mut due: Vec<_> = due.map(|(_, id)| *id).collect();
         if self.named == Named::Oracle {
             due.sort_by_key(|id| {
-                let held = &self.held[id];
-                let grade = &self.grades[held.grade].1;
-                let contract = (held.limit + grade.soft_deadline).saturating_sub(grade.deadline);
-                (self.now + USUAL > contract, contract)
+                let pending = &self.pending[id];
+                let service_class = &self.service_classes[pending.service_class].1;
+                let soft_deadline =
+                    (pending.deadline + service_class.soft_deadline).saturating_sub(service_class.deadline);
+                (self.now + USUAL_DURATION > soft_deadline, soft_deadline)
             });
         }
         due
     }
 
-    fn put_off(&mut self, id: MessageId, until: Duration) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        self.due.remove(&(held.due, id));
-        held.due = until;
+    fn postpone(&mut self, id: MessageId, until: Duration) {
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        self.due.remove(&(pending.due, id));
+        pending.due = until;
         self.due.insert((until, id));
     }
 
     fn endpoint_updated(&mut self, update: EndpointUpdate) {
-        let EndpointUpdate { name, zone, destination: owner, state: listing, .. } = update;
-        self.by_destination.entry(owner).or_default().insert(name.into());
-        let new = || Known { zone: zone.into(), owner, listing, out: 0, room: 0 };
-        self.endpoints.entry(name.into()).or_insert_with(new).listing = listing;
+        let EndpointUpdate { name, zone, destination, state, .. } = update;
+        self.by_destination.entry(destination).or_default().insert(name.into());
+        let new = || KnownEndpoint { zone: zone.into(), destination, state, in_flight: 0, capacity: 0 };
+        self.endpoints.entry(name.into()).or_insert_with(new).state = state;
     }
 
     fn endpoint_list_ended(&mut self, whole: Option<&BTreeSet<String>>) {
         let by_destination = &mut self.by_destination;
         self.endpoints.retain(|name, known| {
             if whole.is_some_and(|names| !names.contains(name)) {
-                known.listing = EndpointState::Removed;
+                known.state = EndpointState::Removed;
             }
-            let stays = known.listing != EndpointState::Removed || known.out > 0;
-            if !stays && let Some(names) = by_destination.get_mut(&known.owner) {
+            let stays = known.state != EndpointState::Removed || known.in_flight > 0;
+            if !stays && let Some(names) = by_destination.get_mut(&known.destination) {
                 names.remove(name);
             }
             stays
@@ -301,69 +311,81 @@
 
     fn accept(&mut self, message: NewMessage) {
         let NewMessage { id, service_class, deadline, destination, .. } = message;
-        let Some(grade) = self.grades.iter().position(|g| g.0 == service_class) else { return };
-        let limit = deadline.saturating_sub(MARGIN);
+        let Some(service_class) = self.service_classes.iter().position(|g| g.0 == service_class) else {
+            return;
+        };
+        let deadline = deadline.saturating_sub(DEADLINE_MARGIN);
         let (now, endpoint) = (self.now, String::new());
-        let held = Held { grade, destination, limit, sends: 0, due: now, started: now, endpoint, ran: None };
-        self.held.insert(id, held);
+        let pending = PendingMessage {
+            service_class,
+            destination,
+            deadline,
+            attempts: 0,
+            due: now,
+            started: now,
+            endpoint,
+            first_execution: None,
+        };
+        self.pending.insert(id, pending);
         self.due.insert((now, id));
-        self.ends.insert((limit, id));
-        if self.held.len() > self.room {
-            self.over.push(id);
+        self.ends.insert((deadline, id));
+        if self.pending.len() > self.capacity {
+            self.to_finish.push(id);
         }
     }
 
     fn recover(&mut self, id: MessageId, attempts: RecoveredAttempts) {
-        let ran = attempts.first_execution;
-        let endpoint = ran.and_then(|execution| self.endpoints.get(execution.endpoint));
+        let first_execution = attempts.first_execution;
+        let endpoint = first_execution.and_then(|execution| self.endpoints.get(execution.endpoint));
         let zone = endpoint.map_or(String::new(), |endpoint| endpoint.zone.clone());
-        if let Some(held) = self.held.get_mut(&id) {
-            (held.sends, held.ran) = (attempts.count, ran.map(|execution| (execution.started, zone)));
+        if let Some(pending) = self.pending.get_mut(&id) {
+            (pending.attempts, pending.first_execution) =
+                (attempts.count, first_execution.map(|execution| (execution.started, zone)));
         }
     }
 
     fn attempt_ended(&mut self, result: AttemptResult) {
-        let AttemptResult { message: id, outcome, finished: over, .. } = result;
+        let AttemptResult { message: id, outcome, finished, .. } = result;
         self.calls -= 1;
         if let (
-            Some(held),
+            Some(pending),
             AttemptOutcome::Rejected { retry_after: Some(wait) }
             | AttemptOutcome::AmbiguousRejection { retry_after: Some(wait) },
-        ) = (self.held.get(&id), outcome)
+        ) = (self.pending.get(&id), outcome)
         {
-            let until = self.waits.entry(held.destination).or_default();
+            let until = self.retry_after.entry(pending.destination).or_default();
             *until = (*until).max(self.now + wait);
         }
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let known = self.endpoints.get_mut(&held.endpoint);
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        let known = self.endpoints.get_mut(&pending.endpoint);
         let zone = known.map_or(String::new(), |known| {
-            known.out -= 1;
+            known.in_flight -= 1;
             known.zone.clone()
         });
-        if over {
-            let limit = held.limit;
-            self.held.remove(&id);
-            self.ends.remove(&(limit, id));
+        if finished {
+            let deadline = pending.deadline;
+            self.pending.remove(&id);
+            self.ends.remove(&(deadline, id));
             return;
         }
-        if !outcome.never_executed() && held.ran.is_none() {
-            held.ran = Some((held.started, zone));
+        if !outcome.never_executed() && pending.first_execution.is_none() {
+            pending.first_execution = Some((pending.started, zone));
         }
-        let (sends, started) = (held.sends, held.started);
-        let due = self.gap(sends, started).max(self.now);
-        let held = &self.held[&id];
-        let zones: Vec<_> = self.by_destination.get(&held.destination).into_iter().flatten().collect();
-        let fits = zones.iter().any(|name| self.may_send(held, &self.endpoints[*name].zone));
-        if sends >= self.most_sends || due >= held.limit || !fits {
-            self.over.push(id);
+        let (attempts, started) = (pending.attempts, pending.started);
+        let due = self.gap(attempts, started).max(self.now);
+        let pending = &self.pending[&id];
+        let zones: Vec<_> = self.by_destination.get(&pending.destination).into_iter().flatten().collect();
+        let fits = zones.iter().any(|name| self.may_attempt(pending, &self.endpoints[*name].zone));
+        if attempts >= self.max_attempts || due >= pending.deadline || !fits {
+            self.to_finish.push(id);
         } else {
-            self.held.get_mut(&id).expect("just seen").due = due;
+            self.pending.get_mut(&id).expect("just seen").due = due;
             self.due.insert((due, id));
         }
     }
 }
 
-impl Decider for Plain {
+impl Decider for Baseline {
     fn advance_to(&mut self, now: Duration) {
         self.now = self.now.max(now);
     }
@@ -375,64 +397,64 @@
             Input::Message(message) => self.accept(message),
             Input::Recovered { message, attempts } => self.recover(message, attempts),
             Input::AttemptEnded(result) => self.attempt_ended(result),
-            Input::TimerFired => self.beat = self.beat.filter(|at| *at > self.now),
+            Input::TimerFired => self.timer = self.timer.filter(|at| *at > self.now),
             Input::EndpointListFailed | Input::Gossip(_) => {}
         }
     }
 
     fn may_begin(&self, id: MessageId, _: u32, now: Duration) -> bool {
-        let Some(held) = self.held.get(&id) else { return false };
-        let open = self.endpoints.get(&held.endpoint).is_some_and(|e| e.listing == EndpointState::Available);
-        open && self.waits.get(&held.destination).is_none_or(|until| *until <= now)
+        let Some(pending) = self.pending.get(&id) else { return false };
+        let open = self.endpoints.get(&pending.endpoint).is_some_and(|e| e.state == EndpointState::Available);
+        open && self.retry_after.get(&pending.destination).is_none_or(|until| *until <= now)
     }
 
     fn apply_rules(&mut self, driver: &mut dyn Driver) {
-        for id in std::mem::take(&mut self.over) {
-            self.answer(id, driver);
+        for id in std::mem::take(&mut self.to_finish) {
+            self.give_up(id, driver);
         }
         let now = self.now;
         while let Some((_, id)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
-            self.answer(id, driver);
+            self.give_up(id, driver);
         }
-        self.waits.retain(|_, until| *until > now);
-        for id in self.turns() {
-            let held = &self.held[&id];
-            let (destination, sends, limit) = (held.destination, held.sends, held.limit);
-            let waits = self.waits.get(&destination).copied();
-            if let Some(until) = waits {
-                self.put_off(id, until.min(limit));
+        self.retry_after.retain(|_, until| *until > now);
+        for id in self.due_messages() {
+            let pending = &self.pending[&id];
+            let (destination, attempts, deadline) = (pending.destination, pending.attempts, pending.deadline);
+            let retry_after = self.retry_after.get(&destination).copied();
+            if let Some(until) = retry_after {
+                self.postpone(id, until.min(deadline));
                 continue;
             }
-            if sends > 0 && self.named == Named::Budget && !self.budget(destination) {
-                self.put_off(id, (now + BUDGET_LOOK).min(limit));
+            if attempts > 0 && self.named == Named::Budget && !self.budget(destination) {
+                self.postpone(id, (now + BUDGET_RECHECK).min(deadline));
                 continue;
             }
             if self.calls >= self.slots {
                 break;
             }
             let Some(name) = self.endpoint(id) else {
-                self.put_off(id, (now + LOOK).min(limit));
+                self.postpone(id, (now + ENDPOINT_RECHECK).min(deadline));
                 continue;
             };
-            let timeout = if self.named == Named::Oracle { limit - now } else { self.of.timeout };
-            let patience = timeout.min(limit - now);
-            driver.start_attempt(id, &name, patience);
+            let timeout = if self.named == Named::Oracle { deadline - now } else { self.of.timeout };
+            let timeout = timeout.min(deadline - now);
+            driver.start_attempt(id, &name, timeout);
             self.calls += 1;
             if self.named == Named::Budget {
-                self.sent.entry(destination).or_default().count(now, sends > 0);
+                self.recent.entry(destination).or_default().count(now, attempts > 0);
             }
             let known = self.endpoints.get_mut(&name).expect("just chosen");
-            known.out += 1;
-            known.room = known.room.saturating_sub(1);
-            let held = self.held.get_mut(&id).expect("just seen");
-            self.due.remove(&(held.due, id));
-            (held.sends, held.started, held.endpoint) = (sends + 1, now, name);
+            known.in_flight += 1;
+            known.capacity = known.capacity.saturating_sub(1);
+            let pending = self.pending.get_mut(&id).expect("just seen");
+            self.due.remove(&(pending.due, id));
+            (pending.attempts, pending.started, pending.endpoint) = (attempts + 1, now, name);
         }
-        // The next that comes due, or the limit of what waits for a slot: an end of a call tells of free ones.
+        // The next that comes due, or the deadline of what waits for a slot: the end of a call shows free ones.
         let next = self.due.first().into_iter().chain(self.ends.first()).map(|(at, _)| *at).min();
-        let next = next.map(|at| at.max(now + LOOK / 5));
-        if let Some(at) = next.filter(|at| self.beat.is_none_or(|beat| beat > *at || beat <= now)) {
-            self.beat = Some(at);
+        let next = next.map(|at| at.max(now + ENDPOINT_RECHECK / 5));
+        if let Some(at) = next.filter(|at| self.timer.is_none_or(|timer| timer > *at || timer <= now)) {
+            self.timer = Some(at);
             driver.set_timer(at - now);
         }
     }
@@ -441,13 +463,13 @@
         self.named == Named::Oracle
     }
 
-    fn observe_capacity(&mut self, room: &dyn Fn(&str) -> usize) {
+    fn observe_capacity(&mut self, capacity: &dyn Fn(&str) -> usize) {
         let due: BTreeSet<_> =
-            self.due.iter().take_while(|d| d.0 <= self.now).map(|d| self.held[&d.1].destination).collect();
+            self.due.iter().take_while(|d| d.0 <= self.now).map(|d| self.pending[&d.1].destination).collect();
         for destination in due {
             for name in self.by_destination.get(&destination).into_iter().flatten() {
                 if let Some(known) = self.endpoints.get_mut(name) {
-                    known.room = room(name);
+                    known.capacity = capacity(name);
                 }
             }
         }
--- a/crates/quillhub-experiments/src/cost.rs
+++ b/crates/quillhub-experiments/src/cost.rs
@@ -1,4 +1,4 @@
-//! What a run costs in time and memory: the deciders' own share, and the emulator's. Wall time of one thread, so it
+//! What a run costs in time and memory: the deciders' own share, and the simulator's. Wall time of one thread, so it
 //! differs from run to run; ratios hold better.
 
 use crate::baselines;
@@ -12,8 +12,11 @@
 
 /// The cost of one run.
 pub struct Cost {
+    /// What the run came to.
     pub report: Report,
+    /// Its wall time.
     pub whole: Duration,
+    /// The part of it that the deciders took.
     pub deciders: Duration,
     /// Most memory that this process has had by now, in MB; 0 where the system does not tell.
     pub memory_mb: f64,
@@ -41,11 +44,11 @@
     fn handle(&mut self, input: Input) {
         self.time(|inner| inner.handle(input));
     }
-    fn may_begin(&self, id: MessageId, send: u32, now: Duration) -> bool {
+    fn may_begin(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
         let from = Instant::now();
-        let goes = self.inner.may_begin(id, send, now);
+        let may_begin = self.inner.may_begin(id, attempt, now);
         self.spent.set(self.spent.get() + from.elapsed());
-        goes
+        may_begin
     }
     fn apply_rules(&mut self, driver: &mut dyn Driver) {
         self.time(|inner| inner.apply_rules(driver));
@@ -53,8 +56,8 @@
     fn wants_capacity(&self) -> bool {
         self.inner.wants_capacity()
     }
-    fn observe_capacity(&mut self, room: &dyn Fn(&str) -> usize) {
-        self.inner.observe_capacity(room);
+    fn observe_capacity(&mut self, capacity: &dyn Fn(&str) -> usize) {
+        self.inner.observe_capacity(capacity);
     }
 }
 
@@ -81,16 +84,16 @@
     /// One line for a terminal.
     pub fn line(&self, run: &Run) -> String {
         let (whole, deciders) = (self.whole.as_secs_f64(), self.deciders.as_secs_f64());
-        let notices = self.report.tally.submitted.max(1) as f64;
+        let messages = self.report.tally.submitted.max(1) as f64;
         format!(
-            "{} {}, seed {}: {notices} notices in {whole:.2} s, {:.0} a second; deciders {:.2} us each, the emulator \
+            "{} {}, seed {}: {messages} notices in {whole:.2} s, {:.0} a second; deciders {:.2} us each, the emulator \
              {:.2} us each; {} events; at most {:.0} MB; breaches {}",
             run.variant.name,
             run.decider.word(),
             run.seed,
-            notices / whole,
-            deciders * 1e6 / notices,
-            (whole - deciders) * 1e6 / notices,
+            messages / whole,
+            deciders * 1e6 / messages,
+            (whole - deciders) * 1e6 / messages,
             self.report.events,
             self.memory_mb,
             self.report.breaches.len(),
--- a/crates/quillhub-experiments/src/explain.rs
+++ b/crates/quillhub-experiments/src/explain.rs
@@ -1,4 +1,4 @@
-//! The life of one notice in a run, line by line. The run is played again: the same seed gives the same run.
+//! The course of one message in a run, line by line. The run is played again: the same seed gives the same run.
 
 use crate::experiment::Planned;
 use crate::results::Kept;
@@ -6,7 +6,7 @@
 use quillhub_simulator::{Fact, line};
 use std::collections::BTreeSet;
 
-/// The lines on a notice, by its number or by its client's (`order`); faults that began or ended are among them.
+/// The lines on a message, by its number or by its client's (`request`); faults that began or ended are among them.
 pub fn explain(planned: &Planned, run: &Kept, wanted: u64) -> Result<Vec<String>, String> {
     let variant = planned.variants.iter().find(|variant| variant.name == run.variant);
     let variant = variant.ok_or(format!("expected days named '{}', found none", run.variant))?;
