--- a/crates/quillhub-server/src/configuration.rs
+++ b/crates/quillhub-server/src/configuration.rs
@@ -20,8 +20,10 @@
 /// Why a configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
+    /// Its text is no JSON.
     #[error("the configuration is no JSON: {0}")]
     NotJson(#[from] serde_json::Error),
+    /// A part of it is missing or wrong.
     #[error(transparent)]
     Setting(#[from] SettingsError),
 }
--- a/crates/quillhub-server/src/http.rs
+++ b/crates/quillhub-server/src/http.rs
@@ -18,20 +18,25 @@
 /// How the body's end is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
+    /// After so many octets.
     Length(usize),
+    /// With the last chunk.
     Chunked,
+    /// With the connection.
     ToEnd,
 }
 
 /// An answer's first line and headers.
 #[derive(Debug)]
 pub struct Head {
+    /// The status code.
     pub status: u16,
     keeps: bool,
     headers: Vec<(String, String)>,
 }
 
 impl Head {
+    /// The value of the first header of this name, in whatever case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1.as_str())
     }
@@ -43,6 +48,11 @@
         (self.keeps || says("keep-alive")) && !says("close")
     }
 
+    /// How the body's end is found.
+    ///
+    /// # Errors
+    ///
+    /// If the headers leave it open, or contradict each other.
     pub fn framing(&self) -> Result<Framing, Malformed> {
         if self.status < 200 || matches!(self.status, 204 | 304) {
             return Ok(Framing::Length(0));
--- a/crates/quillhub-server/src/link.rs
+++ b/crates/quillhub-server/src/link.rs
@@ -14,8 +14,11 @@
 /// Why nothing more can be read from a connection.
 #[derive(Debug)]
 pub enum Broken {
+    /// The other side has closed it, or it was silent for too long.
     Ended,
+    /// A read or write failed.
     Failed(io::Error),
+    /// What came is not HTTP/1.1, or longer than allowed.
     Malformed,
 }
 
@@ -52,6 +55,7 @@
 /// beside any call.
 const MOMENT: Duration = Duration::from_millis(3);
 
+/// A connection to a server, with what was read from it and not used yet.
 pub struct Link {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -60,6 +64,11 @@
 }
 
 impl Link {
+    /// Connects to `at`.
+    ///
+    /// # Errors
+    ///
+    /// If the connection does not come up.
     pub async fn open(at: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(at).await?;
         stream.set_nodelay(true)?;
@@ -72,6 +81,11 @@
         self.longest_silence = Some(longest);
     }
 
+    /// Writes all of `octets`.
+    ///
+    /// # Errors
+    ///
+    /// If the connection breaks; a part may have been written by then.
     pub async fn write(&mut self, octets: &[u8]) -> io::Result<()> {
         self.stream.write_all(octets).await
     }
--- a/crates/quillhub-server/src/resp.rs
+++ b/crates/quillhub-server/src/resp.rs
@@ -15,7 +15,9 @@
 /// Digits of a count.
 const MOST_DIGITS: usize = 9;
 
+/// The reply to a message that is accepted.
 pub const OK: &[u8] = b"+OK\r\n";
+/// The reply to `PING`.
 pub const PONG: &[u8] = b"+PONG\r\n";
 
 fn count(mark: u8, most: usize, input: &mut Input<'_>) -> ModalResult<usize> {
@@ -54,6 +56,7 @@
     list.split(|byte| *byte == b',').find_map(|pair| pair.strip_prefix(name.as_bytes())?.strip_prefix(b"="))
 }
 
+/// The reply to a message that is rejected for now, with the wait after which it may come again.
 pub fn busy(come_back: Option<Duration>) -> Vec<u8> {
     match come_back {
         Some(wait) => format!("-BUSY {}\r\n", wait.as_millis()).into_bytes(),
@@ -61,6 +64,7 @@
     }
 }
 
+/// An error reply; `what` is one line.
 pub fn error(what: impl Display) -> Vec<u8> {
     format!("-ERR {what}\r\n").into_bytes()
 }
