--- a/crates/quillhub-scale/src/hollow.rs
+++ b/crates/quillhub-scale/src/hollow.rs
@@ -8,8 +8,8 @@
     NewMessage,
 };
 use quillhub_server::MOST_LINE;
+use quillhub_server::connection::{ConnectionError as Broken, HttpConnection as Link};
 use quillhub_server::http::{self, Head};
-use quillhub_server::link::{Broken, Link};
 use serde_json::Value;
 use std::cell::RefCell;
 use std::cmp::Reverse;
--- a/crates/quillhub-server/src/attempts/mod.rs
+++ b/crates/quillhub-server/src/attempts/mod.rs
@@ -9,7 +9,7 @@
 pub use response::Response;
 pub use verdict::{CallError, Verdict};
 
-use crate::link::Link;
+use crate::connection::HttpConnection;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
@@ -23,7 +23,7 @@
 /// What an attempt needs.
 pub struct Attempt<R, B> {
     /// A pooled connection to the endpoint, if there is one.
-    pub pooled: Option<Link>,
+    pub pooled: Option<HttpConnection>,
     /// The endpoint's address.
     pub address: SocketAddr,
     /// Bounds the opening of a connection.
@@ -41,7 +41,7 @@
     /// The response, or how far the request came without one.
     pub result: Result<Response, CallError>,
     /// The connection, if another attempt may use it.
-    pub reusable: Option<Link>,
+    pub reusable: Option<HttpConnection>,
 }
 
 impl AttemptEnd {
@@ -62,7 +62,7 @@
 
 /// A request that is out.
 struct SentRequest {
-    connection: Link,
+    connection: HttpConnection,
     /// Whether the connection was opened for this attempt.
     on_new_connection: bool,
 }
@@ -70,7 +70,7 @@
 /// A request that is not out, and the connection if it is still good.
 struct UnsentRequest {
     error: CallError,
-    reusable: Option<Link>,
+    reusable: Option<HttpConnection>,
 }
 
 impl From<CallError> for UnsentRequest {
@@ -154,7 +154,7 @@
                 return Err(UnsentRequest { error: CallError::NotSent, reusable: Some(connection) });
             }
             deadline.shorten_to(announced);
-            match timeout(deadline.left(), connection.offer(&(self.request)(announced))).await {
+            match timeout(deadline.left(), connection.write_request(&(self.request)(announced))).await {
                 Ok(Ok(())) => return Ok(SentRequest { connection, on_new_connection }),
                 Ok(Err(_)) if reconnects < MAX_RECONNECTS => reconnects += 1,
                 _ => return Err(CallError::ConnectFailed.into()),
@@ -162,9 +162,9 @@
         }
     }
 
-    async fn connect(&self, deadline: &Deadline) -> Result<Link, CallError> {
+    async fn connect(&self, deadline: &Deadline) -> Result<HttpConnection, CallError> {
         let connect_timeout = self.connect_timeout.min(deadline.left());
-        match timeout(connect_timeout, Link::open(self.address)).await {
+        match timeout(connect_timeout, HttpConnection::open(self.address)).await {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(error)) => Err(CallError::of_connect(&error)),
             Err(_) => Err(CallError::ConnectFailed),
@@ -173,9 +173,9 @@
 }
 
 /// Reads the status of the response that counts; interim responses may come long before it.
-async fn read_status(connection: &mut Link, deadline: &Deadline) -> Result<u16, CallError> {
+async fn read_status(connection: &mut HttpConnection, deadline: &Deadline) -> Result<u16, CallError> {
     loop {
-        match timeout(deadline.left(), connection.begin()).await {
+        match timeout(deadline.left(), connection.response_begins()).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return Err(CallError::ConnectionReset),
             Err(_) => return Err(CallError::TimedOut),
--- a/crates/quillhub-server/src/attempts/response.rs
+++ b/crates/quillhub-server/src/attempts/response.rs
@@ -1,7 +1,7 @@
 //! A response to a delivery: its status, and what its headers tell.
 
+use crate::connection::HttpConnection;
 use crate::http;
-use crate::link::Link;
 use quillhub::LoadReport;
 use std::time::Duration;
 
@@ -53,15 +53,15 @@
 
     /// Reads what follows the first line; true if the connection may be used again. What was learned by then stays
     /// if this never ends.
-    pub async fn read_rest(&mut self, connection: &mut Link) -> bool {
+    pub async fn read_rest(&mut self, connection: &mut HttpConnection) -> bool {
         let Ok(head) = connection.head().await else { return false };
         self.read_headers(&head);
         let Ok(framing) = head.framing() else { return false };
         if connection.body(framing, MAX_BODY).await.is_err() {
             return false;
         }
-        self.complete = connection.empty() || connection.copied();
-        self.complete && framing != http::Framing::ToEnd && head.keeps() && connection.quiet()
+        self.complete = connection.has_no_surplus() || connection.surplus_is_response();
+        self.complete && framing != http::Framing::ToEnd && head.keeps_alive() && connection.is_idle()
     }
 
     fn read_headers(&mut self, head: &http::Head) {
--- a/crates/quillhub-server/src/attempts/tests.rs
+++ b/crates/quillhub-server/src/attempts/tests.rs
@@ -8,12 +8,12 @@
 
 /// Makes one attempt, on a pooled connection if there is one: its result, and the connection if it may be reused.
 async fn call(
-    pooled: Option<Link>,
+    pooled: Option<HttpConnection>,
     address: SocketAddr,
     timeout: Duration,
     request: impl Fn(Duration) -> Vec<u8>,
     may_begin: impl Fn() -> bool,
-) -> (Result<Response, CallError>, Option<Link>) {
+) -> (Result<Response, CallError>, Option<HttpConnection>) {
     let attempt = Attempt { pooled, address, connect_timeout: LONG, timeout, request, may_begin };
     let AttemptEnd { result, reusable } = attempt.run().await;
     (result, reusable)
@@ -103,7 +103,7 @@
     ] {
         on_one_thread(async {
             let (at, _requests) = answering(vec![answer]).await;
-            let link = if on_new_connection { None } else { Link::open(at).await.ok() };
+            let link = if on_new_connection { None } else { HttpConnection::open(at).await.ok() };
             let (end, _) = call(link, at, LONG, |_| b"x".to_vec(), || true).await;
             assert_eq!(Verdict::of(&end, load_reports), Verdict { outcome: expected, finished: false });
         });
@@ -171,7 +171,7 @@
         ));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let silent = listener.local_addr().unwrap();
-        let open = async || Some(Link::open(silent).await.unwrap());
+        let open = async || Some(HttpConnection::open(silent).await.unwrap());
         assert!(matches!(
             call(open().await, silent, short, |_| b"x".to_vec(), || true).await.0,
             Err(CallError::TimedOut)
@@ -217,7 +217,7 @@
         for stray in [&b""[..], b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let at = listener.local_addr().unwrap();
-            let pooled = Link::open(at).await.unwrap();
+            let pooled = HttpConnection::open(at).await.unwrap();
             let mut dying = listener.accept().await.unwrap().0;
             drop(listener);
             let peer = spawn_local(async move {
@@ -301,7 +301,7 @@
         tokio::time::pause();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
-        let pooled = Link::open(at).await.unwrap();
+        let pooled = HttpConnection::open(at).await.unwrap();
         let mut dying = listener.accept().await.unwrap().0;
         let peer = spawn_local(async move {
             dying.read_exact(&mut [0; 1]).await.unwrap();
--- a/crates/quillhub-server/src/clients/commands.rs
+++ b/crates/quillhub-server/src/clients/commands.rs
@@ -85,7 +85,7 @@
     let &[ordering_key, reference, list, body] = arguments else {
         return Err(CommandError::ArgumentCount);
     };
-    let value = |name| resp::named(list, name);
+    let value = |name| resp::list_value(list, name);
     let ordering_key = parse_number(ordering_key, 16).ok_or(CommandError::OrderingKey)?;
     let service_class = value("c").and_then(|class| std::str::from_utf8(class).ok());
     let service_class = service_class.ok_or(CommandError::NoServiceClass)?;
--- a/crates/quillhub-server/src/configuration.rs
+++ b/crates/quillhub-server/src/configuration.rs
@@ -26,13 +26,6 @@
     Setting(#[from] SettingsError),
 }
 
-/// For callers whose errors are lines of text.
-impl From<ConfigurationError> for String {
-    fn from(error: ConfigurationError) -> Self {
-        error.to_string()
-    }
-}
-
 /// The dispatcher as it is configured.
 pub struct ConfiguredDispatcher {
     pub dispatcher: Dispatcher,
--- a/crates/quillhub-server/src/discovery/return_tests.rs
+++ b/crates/quillhub-server/src/discovery/return_tests.rs
@@ -3,7 +3,7 @@
 
 use super::watch::{MOST_LINE, PATH, REQUEST_TIMEOUT, SILENCE_TIMEOUT, request};
 use super::*;
-use crate::link::Broken;
+use crate::connection::ConnectionError;
 use crate::test_support::{Folder, answering, configuration, full, instance_with, on_one_thread};
 use quillhub_fakes::http::Served;
 use serde_json::{Value, json};
@@ -195,7 +195,7 @@
                 Err(_) => yield_now().await,
             }
         };
-        assert!(matches!(response.await.unwrap(), Err(Broken::Ended)));
+        assert!(matches!(response.await.unwrap(), Err(ConnectionError::Ended)));
         assert!(
             (REQUEST_TIMEOUT..REQUEST_TIMEOUT + late).contains(&began.elapsed()),
             "{:?}",
--- a/crates/quillhub-server/src/discovery/tests.rs
+++ b/crates/quillhub-server/src/discovery/tests.rs
@@ -1,6 +1,6 @@
 use super::watch::watch;
 use super::*;
-use crate::link::Broken;
+use crate::connection::ConnectionError;
 use crate::test_support::{Folder, answering, instance, on_one_thread};
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
@@ -70,7 +70,7 @@
         let (at, mut requests) = answering(vec![answer]).await;
         let host = instance(&folder, at);
         let revision = Cell::new(Some(6));
-        assert!(matches!(watch(&host, at, &revision).await, Err(Broken::Ended)));
+        assert!(matches!(watch(&host, at, &revision).await, Err(ConnectionError::Ended)));
         assert_eq!((revision.get(), host.borrow().endpoint_address("e")), (Some(8), None));
         let request = requests.recv().await.unwrap();
         assert!(request.starts_with("GET /registry/instances?watch=1&after=6 HTTP/1.1\r\n"), "{request}");
@@ -99,7 +99,7 @@
 }
 
 /// What a watch from revision 6 on leads to that writes `chunks` and then `ends`: its end, the revision, and whether `e` and `f` are known.
-fn watched(chunks: &[&str], ends: bool) -> (Result<(), Broken>, Option<u64>, [bool; 2]) {
+fn watched(chunks: &[&str], ends: bool) -> (Result<(), ConnectionError>, Option<u64>, [bool; 2]) {
     let folder = Folder::new();
     on_one_thread(async {
         tokio::time::pause();
@@ -125,7 +125,7 @@
         let (begin, end) = text.split_at(cut);
         let watched = watched(&[&format!("\n{begin}"), &format!("{end}{next}")], true);
         assert!(
-            matches!(watched, (Err(Broken::Ended), Some(42), [false, true])),
+            matches!(watched, (Err(ConnectionError::Ended), Some(42), [false, true])),
             "cut at {cut}: {watched:?}"
         );
     }
--- a/crates/quillhub-server/src/discovery/watch.rs
+++ b/crates/quillhub-server/src/discovery/watch.rs
@@ -4,9 +4,9 @@
 
 use super::entries::{Origin, update_endpoints};
 use super::stream::{ValueBoundaries, take_values};
+use crate::connection::{ConnectionError, HttpConnection};
 use crate::http::{self, Framing};
 use crate::instance::Instance;
-use crate::link::{Broken, Link};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -27,21 +27,25 @@
 pub const MOST_LINE: usize = 4 * 1024 * 1024;
 
 /// Sends a request to discovery; its response as far as the head, and where its body ends.
-pub(super) async fn request(at: SocketAddr, path: &str) -> Result<(Link, Framing), Broken> {
+pub(super) async fn request(
+    at: SocketAddr,
+    path: &str,
+) -> Result<(HttpConnection, Framing), ConnectionError> {
     let head = async {
-        let mut link = Link::open(at).await.map_err(Broken::Failed)?;
+        let mut connection = HttpConnection::open(at).await.map_err(ConnectionError::Failed)?;
         let request = http::request("GET", path, &at.to_string(), &[], &[]);
-        link.write(&request).await.map_err(Broken::Failed)?;
-        let head = link.head().await?;
-        Ok((link, head))
+        connection.write(&request).await.map_err(ConnectionError::Failed)?;
+        let head = connection.head().await?;
+        Ok((connection, head))
     };
-    let (mut link, head) = timeout(REQUEST_TIMEOUT, head).await.unwrap_or(Err(Broken::Ended))?;
+    let (mut connection, head) =
+        timeout(REQUEST_TIMEOUT, head).await.unwrap_or(Err(ConnectionError::Ended))?;
     tracing::debug!(path, status = head.status, "discovery answered");
     if head.status != 200 {
-        return Err(Broken::Malformed);
+        return Err(ConnectionError::Malformed);
     }
-    link.ends_after_silence_of(SILENCE_TIMEOUT);
-    Ok((link, head.framing()?))
+    connection.set_silence_timeout(SILENCE_TIMEOUT);
+    Ok((connection, head.framing()?))
 }
 
 /// Watches discovery at `at` from `revision` on, until the watch ends. Where there is none, the complete list is
@@ -50,7 +54,7 @@
     instance: &RefCell<Instance>,
     at: SocketAddr,
     revision: &Cell<Option<u64>>,
-) -> Result<(), Broken> {
+) -> Result<(), ConnectionError> {
     let heard = instance.borrow().discovery_responded();
     let after = match revision.get() {
         Some(revision) => revision,
@@ -60,46 +64,48 @@
             revision.get().unwrap_or_default()
         }
     };
-    let (link, framing) = request(at, &format!("{PATH}?watch=1&after={after}")).await?;
+    let (connection, framing) = request(at, &format!("{PATH}?watch=1&after={after}")).await?;
     if framing != Framing::Chunked {
-        return Err(Broken::Malformed);
+        return Err(ConnectionError::Malformed);
     }
-    read_changes(instance, link, revision, &heard).await
+    read_changes(instance, connection, revision, &heard).await
 }
 
 async fn request_list(
     instance: &RefCell<Instance>,
     at: SocketAddr,
     revision: &Cell<Option<u64>>,
-) -> Result<(), Broken> {
-    let (mut link, framing) = request(at, PATH).await?;
-    let body = link.body(framing, MOST_LINE);
-    let body = timeout(LIST_TIMEOUT, body).await.map_err(|_| Broken::Ended)??;
-    let list = serde_json::from_slice(&body).map_err(|_| Broken::Malformed)?;
+) -> Result<(), ConnectionError> {
+    let (mut connection, framing) = request(at, PATH).await?;
+    let body = connection.body(framing, MOST_LINE);
+    let body = timeout(LIST_TIMEOUT, body).await.map_err(|_| ConnectionError::Ended)??;
+    let list = serde_json::from_slice(&body).map_err(|_| ConnectionError::Malformed)?;
     update(instance, &list, revision)
 }
 
 /// Applies the changes that a watch's response streams, until it ends.
 async fn read_changes(
     instance: &RefCell<Instance>,
-    mut link: Link,
+    mut connection: HttpConnection,
     revision: &Cell<Option<u64>>,
     heard: &Notify,
-) -> Result<(), Broken> {
+) -> Result<(), ConnectionError> {
     let mut text = Vec::new();
     let mut boundaries = ValueBoundaries::default();
     let mut began = Instant::now();
     loop {
-        let chunk = timeout(LIST_TIMEOUT, link.chunk(MOST_LINE)).await.map_err(|_| Broken::Ended)??;
+        let chunk = timeout(LIST_TIMEOUT, connection.chunk(MOST_LINE))
+            .await
+            .map_err(|_| ConnectionError::Ended)??;
         if text.is_empty() {
             began = Instant::now();
         }
         if chunk.is_empty() || text.len() > MOST_LINE || began.elapsed() > LIST_TIMEOUT {
-            return Err(Broken::Ended);
+            return Err(ConnectionError::Ended);
         }
         text.extend_from_slice(&chunk);
         if boundaries.within(&chunk) {
-            for list in take_values(&mut text).map_err(|_| Broken::Malformed)? {
+            for list in take_values(&mut text).map_err(|_| ConnectionError::Malformed)? {
                 update(instance, &list, revision)?;
             }
         }
@@ -108,12 +114,16 @@
 }
 
 /// Updates the instance's endpoints, and stores the list's revision.
-fn update(instance: &RefCell<Instance>, list: &Value, revision: &Cell<Option<u64>>) -> Result<(), Broken> {
+fn update(
+    instance: &RefCell<Instance>,
+    list: &Value,
+    revision: &Cell<Option<u64>>,
+) -> Result<(), ConnectionError> {
     let updated = update_endpoints(&mut instance.borrow_mut(), list, Origin::Discovery);
     tracing::debug!(revision = ?updated, "discovery sent an endpoint list");
     revision.set(Some(updated.map_err(|error| {
         tracing::error!(%error, "discovery's endpoint list cannot be read");
-        Broken::Malformed
+        ConnectionError::Malformed
     })?));
     Ok(())
 }
--- a/crates/quillhub-server/src/http.rs
+++ b/crates/quillhub-server/src/http.rs
@@ -1,48 +1,61 @@
-//! HTTP/1.1, as far as a caller needs it: writes requests and reads answers. Nothing here touches a socket.
+//! HTTP/1.1, as far as a client needs it: writes requests and parses responses.
+//!
+//! Invariant: nothing here touches a socket, and nothing is parsed without a bound.
 
-pub use crate::partial::Malformed;
-use crate::partial::{Input, whole};
+use crate::incremental::{Input, completed};
+pub use crate::incremental::{Malformed, Parsed};
 use winnow::ascii::{crlf, hex_uint, space0, space1};
 use winnow::combinator::{opt, repeat, terminated};
 use winnow::stream::AsChar;
 use winnow::token::{one_of, take, take_till, take_while};
 use winnow::{ModalResult, Parser};
 
-/// Bytes of an answer's head: far more than any header here needs.
-const MOST_HEAD: usize = 16 * 1024;
-/// Headers of an answer.
-const MOST_HEADERS: usize = 64;
+/// Bytes of a response's head: far more than any header here needs.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Headers of a response.
+const MAX_HEADERS: usize = 64;
 /// Bytes of a chunk's first line, extensions included.
-const MOST_CHUNK_LINE: usize = 256;
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 
 /// How the body's end is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
+    /// After so many bytes.
     Length(usize),
+    /// With an empty chunk.
     Chunked,
+    /// With the connection.
     ToEnd,
 }
 
-/// An answer's first line and headers.
+/// A response's first line and headers.
 #[derive(Debug)]
 pub struct Head {
+    /// The status of the first line.
     pub status: u16,
-    keeps: bool,
+    /// Whether connections persist by the version of the first line.
+    persistent: bool,
     headers: Vec<(String, String)>,
 }
 
 impl Head {
+    /// The value of the first header of that name, in whatever case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1.as_str())
     }
 
-    /// Whether the connection may carry another call after this answer.
-    pub fn keeps(&self) -> bool {
-        let said = self.header("connection").unwrap_or_default();
-        let says = |word| said.split(',').any(|part| part.trim().eq_ignore_ascii_case(word));
-        (self.keeps || says("keep-alive")) && !says("close")
+    /// Whether the connection may carry another request after this response.
+    pub fn keeps_alive(&self) -> bool {
+        let options = self.header("connection").unwrap_or_default();
+        let has = |option| options.split(',').any(|other| other.trim().eq_ignore_ascii_case(option));
+        (self.persistent || has("keep-alive")) && !has("close")
     }
 
+    /// How the end of the response's body is found.
+    ///
+    /// # Errors
+    ///
+    /// If its headers do not say that without doubt.
     pub fn framing(&self) -> Result<Framing, Malformed> {
         if self.status < 200 || matches!(self.status, 204 | 304) {
             return Ok(Framing::Length(0));
@@ -73,22 +86,21 @@
         .parse_next(input)
 }
 
-/// What was `read` from `input` up to `rest`, as [`whole`] has it; what is longer than `most` must be whole.
-fn within<T>(
-    most: usize,
-    input: &[u8],
-    rest: &Input<'_>,
-    read: ModalResult<T>,
-) -> Result<Option<(T, usize)>, Malformed> {
-    let read = whole(input, rest, read)?;
-    if read.is_none() && input.len() > most { Err(Malformed) } else { Ok(read) }
+/// What was `parsed` from `input` up to `rest`, as [`completed`] has it; what is longer than `most` must be complete.
+fn completed_within<T>(most: usize, input: &[u8], rest: &Input<'_>, parsed: ModalResult<T>) -> Parsed<T> {
+    let parsed = completed(input, rest, parsed)?;
+    if parsed.is_none() && input.len() > most { Err(Malformed) } else { Ok(parsed) }
 }
 
 /// The status in the first line at the start of `input`, whatever follows it; nothing if more must come.
+///
+/// # Errors
+///
+/// If there can be none.
 pub fn status(input: &[u8]) -> Result<Option<u16>, Malformed> {
     let mut rest = Input::new(input);
     let read = first_line(&mut rest);
-    Ok(within(MOST_HEAD, input, &rest, read)?.map(|((_, status), _)| status))
+    Ok(completed_within(MAX_HEAD_BYTES, input, &rest, read)?.map(|((_, status), _)| status))
 }
 
 fn header(input: &mut Input<'_>) -> ModalResult<(String, String)> {
@@ -102,6 +114,10 @@
 
 /// The head at the start of `input` and how many bytes it takes; nothing if more must come.
 ///
+/// # Errors
+///
+/// If there can be none.
+///
 /// ```
 /// use quillhub_server::http::{Framing, head};
 ///
@@ -112,21 +128,21 @@
 /// assert!(head(&input[..30]).unwrap().is_none());
 /// assert!(head(b"SSH-2.0-").is_err());
 /// ```
-pub fn head(input: &[u8]) -> Result<Option<(Head, usize)>, Malformed> {
+pub fn head(input: &[u8]) -> Parsed<Head> {
     let mut rest = Input::new(input);
-    let lines = repeat(0..=MOST_HEADERS, header);
+    let lines = repeat(0..=MAX_HEADERS, header);
     let read = (first_line, terminated(lines, crlf)).parse_next(&mut rest);
-    let read = within(MOST_HEAD, input, &rest, read)?;
-    Ok(read.map(|(((keeps, status), headers), used)| (Head { status, keeps, headers }, used)))
+    let read = completed_within(MAX_HEAD_BYTES, input, &rest, read)?;
+    Ok(read.map(|(((persistent, status), headers), used)| (Head { status, persistent, headers }, used)))
 }
 
-fn a_chunk<'a>(most: usize, input: &mut Input<'a>) -> ModalResult<&'a [u8]> {
+fn parse_chunk<'a>(most: usize, input: &mut Input<'a>) -> ModalResult<&'a [u8]> {
     let extension = take_till(0.., |byte| byte == b'\r' || byte == b'\n');
     let length = (hex_uint, extension, crlf).map(|(length, _, _): (u32, _, _)| length as usize);
     match length.verify(|length| *length <= most).parse_next(input)? {
         0 => {
             let trailer: ModalResult<Vec<_>> =
-                terminated(repeat(0..=MOST_HEADERS, header), crlf).parse_next(input);
+                terminated(repeat(0..=MAX_HEADERS, header), crlf).parse_next(input);
             trailer.map(|_| &[][..])
         }
         length => terminated(take(length), crlf).parse_next(input),
@@ -135,10 +151,14 @@
 
 /// The chunk at the start of `input`, empty for the last, and how many bytes it takes; nothing if more must
 /// come. It may not be longer than `most`.
-pub fn chunk(input: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, Malformed> {
+///
+/// # Errors
+///
+/// If there can be none.
+pub fn chunk(input: &[u8], most: usize) -> Parsed<&[u8]> {
     let mut rest = Input::new(input);
-    let read = a_chunk(most, &mut rest);
-    within(most + MOST_CHUNK_LINE + MOST_HEAD, input, &rest, read)
+    let read = parse_chunk(most, &mut rest);
+    completed_within(most + MAX_CHUNK_LINE_BYTES + MAX_HEAD_BYTES, input, &rest, read)
 }
 
 /// A request with a body; header values must hold no line ends.
--- a/crates/quillhub-server/src/http_tests.rs
+++ b/crates/quillhub-server/src/http_tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_head_is_read_once_it_is_whole_and_not_before() {
+fn a_head_is_parsed_once_it_is_complete_and_not_before() {
     for cut in 0..ANSWER.len() {
         assert!(head(&ANSWER[..cut]).unwrap().is_none(), "cut at {cut}");
     }
@@ -16,20 +16,20 @@
 }
 
 #[test]
-fn what_cannot_become_a_head_is_told_and_a_head_without_end_is_bounded() {
+fn a_malformed_head_is_refused_and_a_head_without_end_is_bounded() {
     for text in
         ["HTTP/2 200", "HTTP/1.1 abc", "HTTP/1.1 20 \r\n", "HTTP/1.1 200\n", "HTTP/1.1 200 OK\r\n: x\r\n"]
     {
         assert_eq!(head(text.as_bytes()).err(), Some(Malformed), "{text:?}");
     }
-    let endless = [b"HTTP/1.1 200 OK\r\nA: ".to_vec(), vec![b'x'; MOST_HEAD]].concat();
+    let endless = [b"HTTP/1.1 200 OK\r\nA: ".to_vec(), vec![b'x'; MAX_HEAD_BYTES]].concat();
     assert_eq!(head(&endless).err(), Some(Malformed));
-    let many = format!("HTTP/1.1 200 OK\r\n{}\r\n", "A: b\r\n".repeat(MOST_HEADERS + 1));
+    let many = format!("HTTP/1.1 200 OK\r\n{}\r\n", "A: b\r\n".repeat(MAX_HEADERS + 1));
     assert_eq!(head(many.as_bytes()).err(), Some(Malformed));
 }
 
 #[test]
-fn the_head_says_where_the_body_ends_and_whether_the_connection_stays() {
+fn the_head_says_where_the_body_ends_and_whether_the_connection_stays_open() {
     let framing = |text| read(text).framing();
     assert_eq!(framing("HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\n"), Ok(Framing::Length(12)));
     assert_eq!(framing("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n"), Err(Malformed));
@@ -39,18 +39,18 @@
     assert_eq!(framing("HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n"), Ok(Framing::Chunked));
     assert_eq!(framing("HTTP/1.1 204 No Content\r\nContent-Length: 3\r\n\r\n"), Ok(Framing::Length(0)));
     assert_eq!(framing("HTTP/1.1 200 OK\r\n\r\n"), Ok(Framing::ToEnd));
-    for (text, keeps) in [
+    for (text, keeps_alive) in [
         ("HTTP/1.1 200 OK\r\n\r\n", true),
         ("HTTP/1.1 200 OK\r\nConnection: x, Close\r\n\r\n", false),
         ("HTTP/1.0 200 OK\r\n\r\n", false),
         ("HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n\r\n", true),
     ] {
-        assert_eq!(read(text).keeps(), keeps, "{text:?}");
+        assert_eq!(read(text).keeps_alive(), keeps_alive, "{text:?}");
     }
 }
 
 #[test]
-fn chunks_are_read_whole_and_bounded() {
+fn chunks_are_parsed_once_complete_and_are_bounded() {
     let input = b"3;x=y\r\nabc\r\n0\r\nT: u\r\n\r\n";
     for cut in 0..12 {
         assert_eq!(chunk(&input[..cut], 9), Ok(None), "cut at {cut}");
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_request_carries_what_it_is_given_as_it_is() {
+fn a_request_carries_its_headers_and_body_as_they_are() {
     let written = request("POST", "/events", "h:1", &[("X-Request-Id", b"ab")], b"\0\r\n");
     assert_eq!(
         written,
--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -123,8 +123,8 @@
     }
 
     fn broadcast(&mut self, gossip: &[u8]) {
-        if let Some(peers) = &self.peers {
-            peers.tell(gossip);
+        if let Some(socket) = &self.gossip {
+            socket.broadcast(gossip);
         }
     }
 
--- a/crates/quillhub-server/src/instance/mod.rs
+++ b/crates/quillhub-server/src/instance/mod.rs
@@ -16,7 +16,7 @@
 pub use submission::{InvalidSubmission, Submission, SubmitOutcome};
 
 use crate::attempts::{AttemptEnd, Verdict};
-use crate::peers::Peers;
+use crate::gossip::GossipSocket;
 use crate::pool::ConnectionPool;
 use crate::wal::{AppendError, FinalResult, Wal};
 use messages::Messages;
@@ -41,7 +41,7 @@
     /// Bounds the opening of a connection.
     pub connect_timeout: Duration,
     /// The other instances, where they may be told anything.
-    pub peers: Option<Rc<Peers>>,
+    pub gossip: Option<Rc<GossipSocket>>,
     /// Whether responses hold load reports.
     pub load_reports: bool,
 }
@@ -64,7 +64,7 @@
     connect_timeout: Duration,
     /// Connections to endpoints, those of attempts and idle ones.
     max_connections: usize,
-    peers: Option<Rc<Peers>>,
+    gossip: Option<Rc<GossipSocket>>,
     watch_requested: Rc<Notify>,
     discovery_responded: Rc<Notify>,
     load_reports: bool,
@@ -105,7 +105,7 @@
                 pool: parts.pool,
                 connect_timeout: parts.connect_timeout,
                 max_connections: usize::MAX,
-                peers: parts.peers,
+                gossip: parts.gossip,
                 watch_requested: Rc::new(Notify::new()),
                 discovery_responded: Rc::new(Notify::new()),
                 load_reports: parts.load_reports,
--- a/crates/quillhub-server/src/outcomes.rs
+++ b/crates/quillhub-server/src/outcomes.rs
@@ -1,8 +1,8 @@
 //! Sends final outcomes to the platform, oldest first; each is sent until the platform has confirmed it.
 
+use crate::connection::{ConnectionError, HttpConnection};
 use crate::http;
 use crate::instance::{FinalOutcome, Instance};
-use crate::link::{Broken, Link};
 use crate::wal::FinalResult;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 struct Reply {
     status: u16,
     /// The connection, if it may be used again.
-    reusable: Option<Link>,
+    reusable: Option<HttpConnection>,
 }
 
 /// The line that tells the platform of one outcome.
@@ -52,23 +52,27 @@
 }
 
 /// Makes one request.
-async fn post(connection: Option<Link>, address: SocketAddr, body: &[u8]) -> Result<Reply, Broken> {
-    let mut connection = match connection.filter(Link::quiet) {
+async fn post(
+    connection: Option<HttpConnection>,
+    address: SocketAddr,
+    body: &[u8],
+) -> Result<Reply, ConnectionError> {
+    let mut connection = match connection.filter(HttpConnection::is_idle) {
         Some(connection) => connection,
-        None => Link::open(address).await.map_err(Broken::Failed)?,
+        None => HttpConnection::open(address).await.map_err(ConnectionError::Failed)?,
     };
     let headers = [("Content-Type", &b"application/x-ndjson"[..])];
     let request = http::request("POST", PATH, &address.to_string(), &headers, body);
-    connection.write(&request).await.map_err(Broken::Failed)?;
+    connection.write(&request).await.map_err(ConnectionError::Failed)?;
     let head = connection.head().await?;
     connection.body(head.framing()?, MAX_BODY).await?;
-    Ok(Reply { status: head.status, reusable: head.keeps().then_some(connection) })
+    Ok(Reply { status: head.status, reusable: head.keeps_alive().then_some(connection) })
 }
 
 /// What stays from one request to the platform to the next.
 struct Sender {
     instance: Rc<RefCell<Instance>>,
-    connection: Option<Link>,
+    connection: Option<HttpConnection>,
     /// Where the last request went.
     address: SocketAddr,
     /// Outcomes in the next request.
@@ -85,13 +89,18 @@
     }
 
     /// A connection to `address`, if there is one.
-    fn take_connection(&mut self, address: SocketAddr) -> Option<Link> {
+    fn take_connection(&mut self, address: SocketAddr) -> Option<HttpConnection> {
         let same_address = address == std::mem::replace(&mut self.address, address);
         self.connection.take().filter(|_| same_address)
     }
 
     /// A request of `count` outcomes has ended.
-    async fn request_ended(&mut self, count: usize, body: &str, end: Result<Result<Reply, Broken>, Elapsed>) {
+    async fn request_ended(
+        &mut self,
+        count: usize,
+        body: &str,
+        end: Result<Result<Reply, ConnectionError>, Elapsed>,
+    ) {
         self.timeout = if end.is_ok() { TIMEOUT } else { (self.timeout * 2).min(MAX_TIMEOUT) };
         match end {
             Ok(Ok(Reply { status: CONFIRMED, reusable })) => {
--- a/crates/quillhub-server/src/pool.rs
+++ b/crates/quillhub-server/src/pool.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: only listed endpoints have idle connections. They go with their endpoint, and each with time.
 
-use crate::link::Link;
+use crate::connection::HttpConnection;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 
 /// An idle connection.
 struct Idle {
-    connection: Link,
+    connection: HttpConnection,
     since: Instant,
 }
 
 impl Idle {
     fn is_good(&self, idle_timeout: Duration) -> bool {
-        self.since.elapsed() < idle_timeout && self.connection.quiet()
+        self.since.elapsed() < idle_timeout && self.connection.is_idle()
     }
 }
 
@@ -65,7 +65,7 @@
     }
 
     /// The connection used last that is still good; those that are not are closed.
-    pub fn take(&mut self, endpoint: &str) -> Option<Link> {
+    pub fn take(&mut self, endpoint: &str) -> Option<HttpConnection> {
         let idle = self.idle.get_mut(endpoint)?;
         while let Some(last) = idle.pop() {
             if last.is_good(self.idle_timeout) {
@@ -76,7 +76,7 @@
     }
 
     /// A connection is idle again.
-    pub fn put_back(&mut self, endpoint: &str, connection: Link) {
+    pub fn put_back(&mut self, endpoint: &str, connection: HttpConnection) {
         if !self.addresses.contains_key(endpoint) || self.max_idle == 0 {
             return;
         }
--- a/crates/quillhub-server/src/pool_tests.rs
+++ b/crates/quillhub-server/src/pool_tests.rs
@@ -9,26 +9,26 @@
         let address = listener.local_addr().unwrap();
         let mut pool = ConnectionPool::new(LONG, 2);
         pool.listed("e", address);
-        pool.put_back("e", Link::open(address).await.unwrap());
+        pool.put_back("e", HttpConnection::open(address).await.unwrap());
         assert!(pool.take("e").is_some() && pool.take("e").is_none());
 
-        pool.put_back("e", Link::open(address).await.unwrap());
+        pool.put_back("e", HttpConnection::open(address).await.unwrap());
         pool.close_idle("e");
         assert!(pool.take("e").is_none());
 
         for _ in 0..3 {
-            pool.put_back("e", Link::open(address).await.unwrap());
+            pool.put_back("e", HttpConnection::open(address).await.unwrap());
         }
         assert_eq!(pool.idle["e"].len(), 2);
         pool.listed("e", "127.0.0.1:1".parse().unwrap());
         assert!(pool.take("e").is_none());
 
-        pool.put_back("gone", Link::open(address).await.unwrap());
+        pool.put_back("gone", HttpConnection::open(address).await.unwrap());
         assert!(!pool.idle.contains_key("gone"));
 
         let mut brief = ConnectionPool::new(Duration::ZERO, 2);
         brief.listed("e", address);
-        brief.put_back("e", Link::open(address).await.unwrap());
+        brief.put_back("e", HttpConnection::open(address).await.unwrap());
         assert!(brief.take("e").is_none());
     });
 }
@@ -42,7 +42,7 @@
             let address = listener.local_addr().unwrap();
             let mut pool = ConnectionPool::new(LONG, 2);
             pool.listed("e", address);
-            pool.put_back("e", Link::open(address).await.unwrap());
+            pool.put_back("e", HttpConnection::open(address).await.unwrap());
             let mut peer = listener.accept().await.unwrap().0.into_std().unwrap();
             // From here on nothing waits.
             std::io::Write::write_all(&mut peer, received).unwrap();
--- a/crates/quillhub-server/src/resp.rs
+++ b/crates/quillhub-server/src/resp.rs
@@ -1,7 +1,9 @@
-//! RESP2, as far as clients use it: reads commands and writes answers. Nothing here touches a socket.
+//! RESP2, as far as clients use it: parses commands and writes replies.
+//!
+//! Invariant: nothing here touches a socket, and nothing is parsed without a bound.
 
-pub use crate::partial::Malformed;
-use crate::partial::{Input, whole};
+use crate::incremental::{Input, completed};
+pub use crate::incremental::{Malformed, Parsed};
 use std::fmt::Display;
 use std::time::Duration;
 use winnow::ascii::crlf;
@@ -10,22 +12,28 @@
 use winnow::token::{take, take_while};
 use winnow::{ModalResult, Parser};
 
-/// Parts of a command: the longest known has five; a few more are read to be answered with an error.
-const MOST_PARTS: usize = 16;
+/// Parts of a command: the longest known has five; a few more are parsed to be answered with an error.
+const MAX_PARTS: usize = 16;
 /// Digits of a count.
-const MOST_DIGITS: usize = 9;
+const MAX_DIGITS: usize = 9;
 
+/// The reply that confirms a message.
 pub const OK: &[u8] = b"+OK\r\n";
+/// The reply to a ping without a text.
 pub const PONG: &[u8] = b"+PONG\r\n";
 
-fn count(mark: u8, most: usize, input: &mut Input<'_>) -> ModalResult<usize> {
-    let digits = take_while(1..=MOST_DIGITS, AsChar::is_dec_digit).parse_to();
-    (mark, digits, crlf).map(|(_, count, _): (_, usize, _)| count).verify(|n| *n <= most).parse_next(input)
+fn count(prefix: u8, most: usize, input: &mut Input<'_>) -> ModalResult<usize> {
+    let digits = take_while(1..=MAX_DIGITS, AsChar::is_dec_digit).parse_to();
+    (prefix, digits, crlf).map(|(_, count, _): (_, usize, _)| count).verify(|n| *n <= most).parse_next(input)
 }
 
 /// The parts of the first command in `input` and how many bytes it takes; nothing if more must come. No part
 /// may be longer than `most`.
 ///
+/// # Errors
+///
+/// If there can be none.
+///
 /// ```
 /// use quillhub_server::resp::command;
 ///
@@ -34,11 +42,10 @@
 /// assert_eq!(command(&input[..20], 9), Ok(None));
 /// assert!(command(input, 3).is_err());
 /// ```
-#[allow(clippy::type_complexity)]
-pub fn command(input: &[u8], most: usize) -> Result<Option<(Vec<&[u8]>, usize)>, Malformed> {
+pub fn command(input: &[u8], most: usize) -> Parsed<Vec<&[u8]>> {
     let mut rest = Input::new(input);
     let mut read = || {
-        let parts = count(b'*', MOST_PARTS, &mut rest)?;
+        let parts = count(b'*', MAX_PARTS, &mut rest)?;
         let mut part = || {
             let length = count(b'$', most, &mut rest)?;
             terminated(take(length), crlf).parse_next(&mut rest)
@@ -46,21 +53,23 @@
         (0..parts).map(|_| part()).collect::<ModalResult<Vec<&[u8]>>>()
     };
     let read = read();
-    whole(input, &rest, read)
+    completed(input, &rest, read)
 }
 
 /// The value of `name` in a list like `c=notice,d=8000`.
-pub fn named<'a>(list: &'a [u8], name: &str) -> Option<&'a [u8]> {
+pub fn list_value<'a>(list: &'a [u8], name: &str) -> Option<&'a [u8]> {
     list.split(|byte| *byte == b',').find_map(|pair| pair.strip_prefix(name.as_bytes())?.strip_prefix(b"="))
 }
 
-pub fn busy(come_back: Option<Duration>) -> Vec<u8> {
-    match come_back {
+/// The reply to a rejected message, with the time after which it may be sent again.
+pub fn busy(retry_after: Option<Duration>) -> Vec<u8> {
+    match retry_after {
         Some(wait) => format!("-BUSY {}\r\n", wait.as_millis()).into_bytes(),
         None => b"-BUSY\r\n".to_vec(),
     }
 }
 
+/// The reply to a command that failed.
 pub fn error(what: impl Display) -> Vec<u8> {
     format!("-ERR {what}\r\n").into_bytes()
 }
--- a/crates/quillhub-server/src/resp_tests.rs
+++ b/crates/quillhub-server/src/resp_tests.rs
@@ -3,7 +3,7 @@
 const SUBMIT: &[u8] = b"*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n$2\r\nab\r\n$3\r\nc=g\r\n$4\r\n\r\n\0x\r\n";
 
 #[test]
-fn a_command_is_read_once_it_is_whole_and_not_before() {
+fn a_command_is_parsed_once_it_is_complete_and_not_before() {
     for cut in 0..SUBMIT.len() {
         assert_eq!(command(&SUBMIT[..cut], 64), Ok(None), "cut at {cut}");
     }
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn what_cannot_become_a_command_is_told_at_once() {
+fn a_malformed_command_is_refused_at_once() {
     for input in [
         "PING\r\n",
         "*x",
@@ -31,15 +31,15 @@
 }
 
 #[test]
-fn values_are_found_by_their_whole_name() {
+fn list_values_are_found_by_their_full_name() {
     let list = b"c=notice,d=8000,k=a=b,dest=7";
-    assert_eq!(named(list, "d"), Some(&b"8000"[..]));
-    assert_eq!(named(list, "k"), Some(&b"a=b"[..]));
-    assert_eq!((named(list, "es"), named(list, "r"), named(b"", "c")), (None, None, None));
+    assert_eq!(list_value(list, "d"), Some(&b"8000"[..]));
+    assert_eq!(list_value(list, "k"), Some(&b"a=b"[..]));
+    assert_eq!((list_value(list, "es"), list_value(list, "r"), list_value(b"", "c")), (None, None, None));
 }
 
 #[test]
-fn answers_are_written_as_clients_read_them() {
+fn replies_are_written_as_clients_read_them() {
     assert_eq!(busy(None), b"-BUSY\r\n");
     assert_eq!(busy(Some(Duration::from_micros(1_500_900))), b"-BUSY 1500\r\n");
     assert_eq!(error("no"), b"-ERR no\r\n");
--- a/crates/quillhub-server/src/startup.rs
+++ b/crates/quillhub-server/src/startup.rs
@@ -8,9 +8,9 @@
 };
 use crate::discovery::{self, Origin};
 use crate::error::ServeError;
+use crate::gossip::GossipSocket;
 use crate::instance::{Instance, InstanceParts};
 use crate::outcomes;
-use crate::peers::Peers;
 use crate::pool::ConnectionPool;
 use crate::shutdown::{self, ClientConnections};
 use crate::wal::{RecoveredMessage, Wal};
@@ -105,7 +105,7 @@
 /// An instance that has not begun to work.
 struct Opened {
     instance: Rc<RefCell<Instance>>,
-    peers: Option<Rc<Peers>>,
+    gossip: Option<Rc<GossipSocket>>,
     /// What its log held.
     recovered: BTreeMap<MessageId, RecoveredMessage>,
 }
@@ -125,13 +125,13 @@
     let settings = Settings::read(root)?;
     let (listen, max_clients) = (settings.listen, settings.connections.clients);
     let must_be_polled = settings.must_be_polled;
-    let Opened { instance, peers, recovered } = open(settings, state).await?;
+    let Opened { instance, gossip, recovered } = open(settings, state).await?;
     let revision = list_at_start(root, &instance)?;
     flush_outcomes(&instance, &discovery);
     follow_discovery(&instance, discovery, revision, must_be_polled);
     recover(&instance, recovered).await;
-    if let Some(peers) = peers {
-        receive_gossip(&instance, peers);
+    if let Some(gossip) = gossip {
+        receive_gossip(&instance, gossip);
     }
     close_expired_connections(&instance);
     let listener = TcpListener::bind(listen).await.map_err(ServeError::Listen)?;
@@ -146,10 +146,10 @@
 
 /// Opens what the instance needs.
 async fn open(settings: Settings, state: &Path) -> Result<Opened, ServeError> {
-    let peers = match settings.gossip {
+    let gossip = match settings.gossip {
         Some(GossipAddresses { listen, all, own }) => {
-            let peers = Peers::open(listen, all, own).await;
-            Some(Rc::new(peers.map_err(ServeError::GossipAddress)?))
+            let socket = GossipSocket::open(listen, all, own).await;
+            Some(Rc::new(socket.map_err(ServeError::GossipAddress)?))
         }
         None => None,
     };
@@ -160,11 +160,11 @@
         wal,
         pool: ConnectionPool::new(settings.idle_timeout, settings.connections.idle),
         connect_timeout: settings.connect_timeout,
-        peers: peers.clone(),
+        gossip: gossip.clone(),
         load_reports: settings.load_reports,
     });
     instance.borrow_mut().limit_connections(settings.connections.endpoints);
-    Ok(Opened { instance, peers, recovered })
+    Ok(Opened { instance, gossip, recovered })
 }
 
 /// Takes over the endpoint list that the configuration holds, if it does, and gives its revision.
@@ -210,11 +210,11 @@
     });
 }
 
-fn receive_gossip(instance: &Rc<RefCell<Instance>>, peers: Rc<Peers>) {
+fn receive_gossip(instance: &Rc<RefCell<Instance>>, socket: Rc<GossipSocket>) {
     let instance = instance.clone();
     supervise(move || {
         let instance = instance.clone();
-        peers.clone().hear(move |gossip| {
+        socket.clone().receive(move |gossip| {
             instance.borrow_mut().handle_event(|dispatcher| dispatcher.gossip_received(gossip));
         })
     });
--- a/crates/quillhub-server/src/test_support.rs
+++ b/crates/quillhub-server/src/test_support.rs
@@ -67,7 +67,7 @@
             wal,
             pool: ConnectionPool::new(LONG, 8),
             connect_timeout: LONG,
-            peers: None,
+            gossip: None,
             load_reports: false,
         });
         let mut new = instance.borrow_mut();
