--- a/crates/quillhub-scale/src/bounds.rs
+++ b/crates/quillhub-scale/src/bounds.rs
@@ -2,29 +2,27 @@
 
 use crate::plan::{Load, Refusal, Sizes, refuse};
 
-/// Bytes of a message's body: what a courier takes.
-pub const MOST_BODY: usize = 64 * 1024;
 /// Processes of one run.
 pub const MOST_PROCESSES: u64 = 300;
 /// Descriptors of one process.
 pub const MOST_DESCRIPTORS: u64 = 20_000;
-/// Hollow couriers that share one thread: its share of a second stays well under one.
-pub const HOLLOW_PER_THREAD: u64 = 200;
-/// Descriptors of one hollow courier and of those that serve it: a watch and a call with two ends each, and a datagram
-/// socket.
+/// Lightweight instances that share one thread: its share of a second stays well under one.
+pub const LIGHTWEIGHT_PER_THREAD: u64 = 200;
+/// Descriptors of one lightweight instance and of those that serve it: a watch and a call with two ends each, and a
+/// datagram socket.
 const DESCRIPTORS_EACH: u64 = 5;
 /// Descriptors for all else.
 const OTHER_DESCRIPTORS: u64 = 512;
-/// Memory of a destination in a courier, told by its configuration: twice what was seen at 40,000.
+/// Memory of a destination in an instance, told by its configuration: twice what was seen at 40,000.
 const DESTINATION_BYTES: u64 = 14 * 1024;
 /// Memory of the list of one destination in the process that serves it.
 const LISTED_BYTES: u64 = 2 * 1024;
 /// Memory of a message that is held, beside its body: twice what was seen at 22,500.
 const MESSAGE_BYTES: u64 = 2 * 1024;
-/// Memory of a courier that knows and holds nothing.
+/// Memory of an instance that knows and holds nothing.
 const COURIER_BYTES: u64 = 8 * 1024 * 1024;
-/// Memory of a hollow courier that knows and holds nothing.
-const HOLLOW_BYTES: u64 = 128 * 1024;
+/// Memory of a lightweight instance that knows and holds nothing.
+const LIGHTWEIGHT_BYTES: u64 = 128 * 1024;
 
 /// What a run takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,14 +44,15 @@
     pub memory: u64,
 }
 
-/// What a point of these sizes takes. A backlog is measured once more in a restarted courier, after the first has ended.
+/// What a point of these sizes takes. A backlog is measured once more in a restarted instance, after the first has
+/// ended.
 pub fn need(sizes: &Sizes, load: &Load) -> Need {
     let Sizes { destinations, backlog, couriers, .. } = *sizes;
     let real = COURIER_BYTES
         .saturating_add(destinations.saturating_mul(DESTINATION_BYTES))
         .saturating_add(backlog.saturating_mul(MESSAGE_BYTES + load.body as u64));
-    let hollow =
-        couriers.saturating_mul(destinations.saturating_mul(DESTINATION_BYTES).saturating_add(HOLLOW_BYTES));
+    let lightweight = couriers
+        .saturating_mul(destinations.saturating_mul(DESTINATION_BYTES).saturating_add(LIGHTWEIGHT_BYTES));
     let serving = destinations.saturating_mul(LISTED_BYTES);
     Need {
         processes: 2,
@@ -61,7 +60,7 @@
             .saturating_mul(DESCRIPTORS_EACH)
             .saturating_add(4 * load.connections as u64)
             .saturating_add(OTHER_DESCRIPTORS + crate::settings::CALLS),
-        memory: real.saturating_add(hollow).saturating_add(serving),
+        memory: real.saturating_add(lightweight).saturating_add(serving),
     }
 }
 
--- a/crates/quillhub-scale/src/clients.rs
+++ b/crates/quillhub-scale/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a real courier: some that fill it with messages for destinations that hang, and some that offer a steady
-//! load for destinations that answer.
+//! Clients of a real instance: some that fill it with messages for destinations that hang, and some that offer a
+//! steady load for destinations that answer.
 
 use crate::destinations::HANGING;
 use crate::plan::Load;
@@ -18,14 +18,14 @@
 
 /// Deadline of the load's messages, in milliseconds.
 const DEADLINE_MS: u64 = 8_000;
-/// Messages of the load that may be on their way: none more are offered until some are delivered, so that a courier
+/// Messages of the load that may be on their way: none more are offered until some are delivered, so that an instance
 /// that is too slow is measured at its own pace and not while it drowns.
 const MOST_OUTSTANDING: u64 = 64;
 /// How long a client waits for a word.
 const PATIENCE: Duration = Duration::from_secs(10);
 /// Pause while too many are on their way.
 const PAUSE: Duration = Duration::from_millis(1);
-/// Messages by which connections are opened before anything is measured: as many as a courier keeps idle.
+/// Messages by which connections are opened before anything is measured: as many as an instance keeps idle.
 const MOST_WARMING: u64 = 1_000;
 
 /// What came of offering messages.
@@ -48,7 +48,8 @@
     Ok(word == "+OK")
 }
 
-/// Driver in `count` messages for destinations that hang, which follow the `healthy` ones, until `until` at the latest.
+/// Driver in `count` messages for destinations that hang, which follow the `healthy` ones, until `until` at the
+/// latest.
 pub async fn fill(
     at: SocketAddr,
     load: &Load,
@@ -86,8 +87,8 @@
     Ok(all)
 }
 
-/// Driver in one message for each of the destinations numbered from 1, as far as a courier keeps connections: what is
-/// measured later is not their opening. The number of messages handed in.
+/// Driver in one message for each of the destinations numbered from 1, as far as an instance keeps connections: what
+/// is measured later is not their opening. The number of messages submitted.
 pub async fn warm(
     at: SocketAddr,
     load: &Load,
@@ -101,8 +102,8 @@
     Ok(offered.accepted + offered.refused)
 }
 
-/// Offers `load` for its time to destinations numbered from 1 to `destinations`; `delivered` counts what came through.
-/// `first` is the number of the first message, so that ids are used once and destinations in turn.
+/// Offers `load` for its time to destinations numbered from 1 to `destinations`; `delivered` counts what came
+/// through. `first` is the number of the first message, so that ids are used once and destinations in turn.
 pub async fn play(
     at: SocketAddr,
     load: &Load,
--- a/crates/quillhub-scale/src/control.rs
+++ b/crates/quillhub-scale/src/control.rs
@@ -1,5 +1,5 @@
-//! Discovery and platform on a thread of their own. Real and hollow couriers have an address each, so that their traffic
-//! is counted apart; both serve one endpoint list.
+//! Discovery and platform on a thread of their own. Real and lightweight instances have an address each, so that
+//! their traffic is counted apart; both serve one endpoint list.
 
 use crate::thread::Worker;
 use quillhub_fakes::endpoints::Listed;
@@ -25,14 +25,14 @@
 
 /// The servers of discovery and platform.
 pub struct Control {
-    /// Where real couriers find them.
+    /// Where real instances find them.
     pub for_real: SocketAddr,
-    /// Where hollow couriers find them.
-    pub for_hollow: SocketAddr,
-    /// Traffic with real couriers.
+    /// Where lightweight instances find them.
+    pub for_lightweight: SocketAddr,
+    /// Traffic with real instances.
     pub with_real: Counted,
-    /// Traffic with hollow couriers.
-    pub with_hollow: Counted,
+    /// Traffic with lightweight instances.
+    pub with_lightweight: Counted,
     finals: Arc<AtomicU64>,
     commands: UnboundedSender<Command>,
     worker: Worker,
@@ -46,17 +46,17 @@
 
 impl Control {
     pub fn start(listed: Vec<Listed>) -> Result<Self, String> {
-        let (with_real, with_hollow) = (Counted::default(), Counted::default());
-        let (real, hollow) = (with_real.clone(), with_hollow.clone());
+        let (with_real, with_lightweight) = (Counted::default(), Counted::default());
+        let (real, lightweight) = (with_real.clone(), with_lightweight.clone());
         let (commands, mut asked) = unbounded_channel::<Command>();
         let finals = Arc::new(AtomicU64::new(0));
         let counted = finals.clone();
-        let (worker, (for_real, for_hollow)) = Worker::start(move || async move {
+        let (worker, (for_real, for_lightweight)) = Worker::start(move || async move {
             let register = Discovery::new(&listed);
             drop(listed);
             let (tell, mut told) = unbounded_channel();
             let for_real = platform::start_counted(register.clone(), tell.clone(), real).await?;
-            let for_hollow = platform::start_counted(register.clone(), tell, hollow).await?;
+            let for_lightweight = platform::start_counted(register.clone(), tell, lightweight).await?;
             spawn_local(async move {
                 while told.recv().await.is_some() {
                     counted.fetch_add(1, Ordering::Relaxed);
@@ -88,9 +88,9 @@
                     }
                 }
             });
-            Ok((for_real, for_hollow))
+            Ok((for_real, for_lightweight))
         })?;
-        Ok(Self { for_real, for_hollow, with_real, with_hollow, finals, commands, worker })
+        Ok(Self { for_real, for_lightweight, with_real, with_lightweight, finals, commands, worker })
     }
 
     /// Changes the phase of the endpoint `id`; the new revision and when that was.
--- a/crates/quillhub-scale/src/destinations.rs
+++ b/crates/quillhub-scale/src/destinations.rs
@@ -1,5 +1,5 @@
-//! Hollow destinations: ids without number on two shared listeners, one whose calls are answered at once and one whose
-//! calls are never answered.
+//! Lightweight destinations: ids without number on two shared listeners, one whose calls are answered at once and
+//! one whose calls are never answered.
 
 use crate::settings;
 use crate::thread::Worker;
--- a/crates/quillhub-scale/src/fit.rs
+++ b/crates/quillhub-scale/src/fit.rs
@@ -184,8 +184,8 @@
         self.difference().abs() <= AIM
     }
 
-    /// Whether `all`, the fit of all sizes, may be relied upon beyond them: the others predict the largest, and by the
-    /// same shape.
+    /// Whether `all`, the fit of all sizes, may be relied upon beyond them: the others predict the largest, and by
+    /// the same shape.
     pub fn carries(&self, all: &Fit) -> bool {
         self.holds() && self.fit.shape == all.shape
     }
--- a/crates/quillhub-scale/src/fleet.rs
+++ b/crates/quillhub-scale/src/fleet.rs
@@ -1,11 +1,11 @@
-//! All that surrounds the real couriers of one point: discovery and platform, destinations, the relay between peers, and
-//! the hollow couriers.
+//! All that surrounds the real instances of one point: discovery and platform, destinations, the relay between
+//! peers, and the lightweight instances.
 
-use crate::bounds::HOLLOW_PER_THREAD;
+use crate::bounds::LIGHTWEIGHT_PER_THREAD;
 use crate::control::Control;
 use crate::destinations::{self, Destinations, HANGING};
 use crate::gossip::Relay;
-use crate::hollow::{Common, Group, Status};
+use crate::lightweight::{Common, Group, Status};
 use crate::plan::Sizes;
 use quillhub_fakes::traffic::Counts;
 use std::time::{Duration, Instant};
@@ -14,23 +14,23 @@
 /// How often a condition is looked at.
 const LOOK: Duration = Duration::from_millis(2);
 
-/// How long after a change it was in force at the courier in the middle, and at the last.
+/// How long after a change it was in force at the instance in the middle, and at the last.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InForce {
-    /// At half of the couriers.
+    /// At half of the instances.
     pub median: Duration,
     /// At the last.
     pub worst: Duration,
 }
 
-/// What the hollow couriers have exchanged with discovery and platform.
+/// What the lightweight instances have exchanged with discovery and platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Exchanged {
     /// With discovery.
     pub discovery: Counts,
     /// With the platform.
     pub platform: Counts,
-    /// Final outcomes that the platform confirmed, of real couriers too.
+    /// Final outcomes that the platform confirmed, of real instances too.
     pub finals: u64,
     /// Watches and other connections to discovery that are open.
     pub open: u64,
@@ -48,7 +48,7 @@
 }
 
 impl Fleet {
-    /// Starts all of it; `real` couriers will join later.
+    /// Starts all of it; `real` instances will join later.
     pub fn start(sizes: &Sizes, seed: u64, real: u64) -> Result<Self, String> {
         let beginning = Instant::now();
         let destinations = Destinations::start()?;
@@ -56,7 +56,7 @@
         let control = Control::start(destinations.listed(sizes.destinations, hanging))?;
         let relay = Relay::start()?;
         let common = Common {
-            control: control.for_hollow,
+            control: control.for_lightweight,
             peers: relay.at,
             couriers: sizes.couriers + real,
             destinations: sizes.destinations,
@@ -66,7 +66,7 @@
         let mut groups = Vec::new();
         let mut first = 0;
         while first < sizes.couriers {
-            let count = HOLLOW_PER_THREAD.min(sizes.couriers - first);
+            let count = LIGHTWEIGHT_PER_THREAD.min(sizes.couriers - first);
             let group = Group::start(common, first, count)?;
             group.addresses.iter().for_each(|address| relay.join(*address));
             groups.push(group);
@@ -79,7 +79,7 @@
         self.groups.iter().flat_map(|group| &group.statuses).map(AsRef::as_ref)
     }
 
-    /// Waits until all hollow couriers are ready; false if some are not by `until`.
+    /// Waits until all lightweight instances are ready; false if some are not by `until`.
     pub async fn ready(&self, until: Instant) -> bool {
         while !self.statuses().all(Status::ready) {
             if Instant::now() >= until {
@@ -90,7 +90,7 @@
         true
     }
 
-    /// Ends and starts anew one hollow courier of every `of`.
+    /// Ends and starts anew one lightweight instance of every `of`.
     pub fn restart_each(&self, of: usize) {
         for group in &self.groups {
             (0..group.statuses.len()).step_by(of.max(1)).for_each(|nth| group.restart(nth));
@@ -102,7 +102,7 @@
         destinations::endpoint(self.healthy)
     }
 
-    /// Makes one change and waits until it is in force at all hollow couriers; nothing if it is not by `until`.
+    /// Makes one change and waits until it is in force at all lightweight instances; nothing if it is not by `until`.
     pub async fn change(&self, until: Instant) -> Result<Option<InForce>, String> {
         let (revision, at) = self.control.change(&self.changing()).await?;
         let at = at.saturating_duration_since(self.beginning);
@@ -120,7 +120,7 @@
 
     /// Totals by now.
     pub fn exchanged(&self) -> Exchanged {
-        let with = &self.control.with_hollow;
+        let with = &self.control.with_lightweight;
         Exchanged {
             discovery: with.discovery.counts(),
             platform: with.platform.counts(),
--- a/crates/quillhub-scale/src/gossip.rs
+++ b/crates/quillhub-scale/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The address that reaches all peers: a relay that passes each datagram on to all couriers but its sender.
+//! The address that reaches all peers: a relay that passes each datagram on to all instances but its sender.
 
 use crate::thread::Worker;
 use std::net::SocketAddr;
@@ -16,10 +16,10 @@
 /// Bytes of the headers of IPv4 and UDP.
 pub const HEADER_BYTES: u64 = 28;
 
-/// Datagrams passed on to the courier that is watched, and their bytes.
+/// Datagrams passed on to the instance that is watched, and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Passed {
-    /// Datagrams to the courier that is watched.
+    /// Datagrams to the instance that is watched.
     pub to_watched: u64,
     /// Bytes of those, without headers.
     pub bytes_to_watched: u64,
@@ -35,7 +35,7 @@
 
 /// The running relay.
 pub struct Relay {
-    /// What couriers send to.
+    /// What instances send to.
     pub at: SocketAddr,
     shared: Arc<Shared>,
     _worker: Worker,
@@ -81,7 +81,7 @@
         Ok(Self { at, shared, _worker: worker })
     }
 
-    /// One more courier hears what is told.
+    /// One more instance hears what is told.
     pub fn join(&self, member: SocketAddr) {
         locked(&self.shared.members).push(member);
     }
--- a/crates/quillhub-scale/src/lib.rs
+++ b/crates/quillhub-scale/src/lib.rs
@@ -1,8 +1,9 @@
-//! Many couriers at once on loopback, for measuring how a courier's cost grows with one size at a time.
+//! Many instances at once on loopback, for measuring how an instance's cost grows with one size at a time.
 //!
-//! A *real* courier is a process of its own (`quillhub serve`) under measured load. A *hollow* courier speaks the real
-//! protocol to discovery, platform and peers and holds the real state of a courier, but shares its process with
-//! hundreds of others and carries next to no traffic. A hollow destination is an id on a shared listener.
+//! A *real* instance is a process of its own (`quillhub serve`) under measured load. A *lightweight* instance speaks
+//! the real protocol to discovery, platform and peers and holds the real state of an instance, but shares its
+//! process with hundreds of others and carries next to no traffic. A lightweight destination is an id on a shared
+//! listener.
 //!
 //! What is decided without I/O (reading an experiment, its bounds, fits) stands in [`plan`], [`bounds`] and [`fit`].
 
@@ -15,7 +16,7 @@
 pub mod fit;
 pub mod fleet;
 mod gossip;
-mod hollow;
+mod lightweight;
 pub mod machine;
 pub mod plan;
 mod point;
--- a/crates/quillhub-scale/src/hollow.rs
+++ b/crates/quillhub-scale/src/lightweight.rs
@@ -1,5 +1,5 @@
-//! Hollow couriers: the decision module with its real state and the real protocol to discovery, platform and peers, but
-//! no clients, no state directory and no calls to endpoints. Many share one thread.
+//! Lightweight instances: the decision module with its real state and the real protocol to discovery, platform and
+//! peers, but no clients, no state directory and no calls to endpoints. Many share one thread.
 
 use crate::settings;
 use crate::thread::Worker;
@@ -25,20 +25,20 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// From one message that makes a courier gossip to its next: what each of them is assumed to tell.
+/// From one message that makes an instance gossip to its next: what each of them is assumed to tell.
 pub const GOSSIP_GAP: Duration = Duration::from_secs(60);
-/// A watch silent for so long has ended, as for a real courier.
+/// A watch silent for so long has ended, as for a real instance.
 const SILENCE: Duration = Duration::from_millis(2_500);
 /// Pause after a watch or a call that ended.
 const PAUSE: Duration = Duration::from_millis(250);
-/// Deadline of the messages that make a courier gossip.
+/// Deadline of the messages that make an instance gossip.
 const GOSSIP_DEADLINE: Duration = Duration::from_secs(30);
 /// Calls of such a message that fail before one succeeds: two in a row make its destination's return news.
 const FAILED_CALLS: u32 = 2;
 /// Bytes of a datagram.
 const MOST_DATAGRAM: usize = 256;
 
-/// What is seen of a hollow courier from outside its thread.
+/// What is seen of a lightweight instance from outside its thread.
 #[derive(Debug, Default)]
 pub struct Status {
     revision: AtomicU64,
@@ -60,14 +60,14 @@
     }
 }
 
-/// What all hollow couriers of a run have in common.
+/// What all lightweight instances of a run have in common.
 #[derive(Clone, Copy)]
 pub struct Common {
     /// Discovery and platform.
     pub control: SocketAddr,
     /// What reaches all peers.
     pub peers: SocketAddr,
-    /// Couriers in all, real ones too.
+    /// Instances in all, real ones too.
     pub couriers: u64,
     /// Destinations numbered from 1 that messages may be for.
     pub destinations: u64,
@@ -106,7 +106,7 @@
     fn log(&mut self, _line: &str) {}
 }
 
-/// The state of one hollow courier.
+/// The state of one lightweight instance.
 struct State {
     courier: Dispatcher,
     started: Instant,
@@ -118,7 +118,7 @@
     next: MessageId,
 }
 
-struct Hollow {
+struct Lightweight {
     state: RefCell<State>,
     /// There is something to do for the tasks that wait: a timer, a final outcome, gossip.
     timer: Notify,
@@ -129,7 +129,7 @@
     number: u64,
 }
 
-impl Hollow {
+impl Lightweight {
     fn event<T>(&self, event: impl FnOnce(&mut Dispatcher) -> T) -> T {
         let mut state = self.state.borrow_mut();
         let (told, calls) = self.round(&mut state, event);
@@ -348,7 +348,7 @@
         }
     }
 
-    /// A message every so often whose first calls fail: its destination's return is then told to all. The couriers'
+    /// A message every so often whose first calls fail: its destination's return is then told to all. The instances'
     /// turns are spread over the gap.
     async fn make_gossip(&self) {
         let turn = self.number as f64 / self.common.couriers.max(1) as f64;
@@ -373,7 +373,7 @@
         gossip: VecDeque::new(),
         next: 0,
     };
-    let hollow = Hollow {
+    let lightweight = Lightweight {
         state: RefCell::new(state),
         timer: Notify::new(),
         finals: Notify::new(),
@@ -383,11 +383,11 @@
         number,
     };
     tokio::join!(
-        hollow.follow_discovery(),
-        hollow.tell_platform(),
-        hollow.keep_timers(),
-        hollow.exchange_gossip(&socket),
-        hollow.make_gossip(),
+        lightweight.follow_discovery(),
+        lightweight.tell_platform(),
+        lightweight.keep_timers(),
+        lightweight.exchange_gossip(&socket),
+        lightweight.make_gossip(),
     );
 }
 
@@ -397,7 +397,7 @@
     Ok(link.head().await?)
 }
 
-/// Hollow couriers that share one thread.
+/// Lightweight instances that share one thread.
 pub struct Group {
     /// One for each, in order.
     pub statuses: Vec<Arc<Status>>,
--- a/crates/quillhub-scale/src/plan.rs
+++ b/crates/quillhub-scale/src/plan.rs
@@ -1,11 +1,13 @@
 //! Reading a scale experiment: one size that varies, all others held still.
 
-use crate::bounds;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::path::Path;
 use std::time::Duration;
 
+/// Longest body of a message that an instance accepts.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+
 /// The version of the format.
 const FORMAT: u32 = 1;
 /// Fewer sizes show no shape: one is held out, and two lie on any line.
@@ -49,11 +51,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Slope {
-    /// Destinations that a courier knows.
+    /// Destinations that an instance knows.
     Destinations,
-    /// Messages that a courier holds for destinations that hang.
+    /// Messages that an instance holds for destinations that hang.
     Backlog,
-    /// Hollow couriers beside the real one.
+    /// Lightweight instances beside the real one.
     Couriers,
     /// Changes of the endpoint list an hour.
     Changes,
@@ -92,7 +94,7 @@
     pub destinations: u64,
     /// Messages held for destinations that hang.
     pub backlog: u64,
-    /// Hollow couriers.
+    /// Lightweight instances.
     pub couriers: u64,
     /// Changes of the endpoint list an hour.
     pub changes: u64,
@@ -111,7 +113,7 @@
     }
 }
 
-/// The load on the real courier.
+/// The load on the real instance.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
@@ -121,7 +123,7 @@
     pub connections: usize,
     /// Bytes of a message's body.
     pub body: usize,
-    /// How long the courier is watched without load.
+    /// How long the instance is watched without load.
     #[serde(with = "humantime_serde")]
     pub idle: Duration,
     /// How long it is loaded.
@@ -146,14 +148,14 @@
     pub sizes: Vec<u64>,
     /// How often each is played.
     pub plays: u32,
-    /// Seed of the couriers' chance; each play adds its number.
+    /// Seed of the instances' chance; each play adds its number.
     pub seed: u64,
     /// A point that takes longer breaks there, and larger sizes are not played.
     #[serde(with = "humantime_serde")]
     pub most_per_point: Duration,
     /// The sizes that are held still; that of the slope is replaced.
     pub base: Sizes,
-    /// The load on the real courier.
+    /// The load on the real instance.
     pub load: Load,
 }
 
@@ -239,8 +241,8 @@
         if load.connections == 0 {
             return refuse("load.connections", "at least 1", load.connections);
         }
-        if load.body > bounds::MOST_BODY {
-            return refuse("load.body", format!("at most {}", bounds::MOST_BODY), load.body);
+        if load.body > MAX_BODY_BYTES {
+            return refuse("load.body", format!("at most {MAX_BODY_BYTES}"), load.body);
         }
         for (place, span) in [("load.idle", load.idle), ("load.loaded", load.loaded)] {
             if span.is_zero() || span > LONGEST_POINT {
--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -1,4 +1,4 @@
-//! Plays one point: one real courier amid its surroundings, first idle, then loaded.
+//! Plays one point: one real instance amid its surroundings, first idle, then loaded.
 
 use crate::clients::{self, Offered};
 use crate::fleet::Fleet;
@@ -15,15 +15,15 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How long the courier is left alone after its start: what it does then is part of starting.
+/// How long the instance is left alone after its start: what it does then is part of starting.
 const SETTLING: Duration = Duration::from_millis(500);
 /// How long the last messages of a load may take to be delivered.
 const DRAINING: Duration = Duration::from_secs(2);
-/// How long a courier may take to get a first message to its destination by the list of discovery alone.
+/// How long an instance may take to get a first message to its destination by the list of discovery alone.
 const FIRST_DELIVERY: Duration = Duration::from_secs(5);
 /// Changes whose coming into force is timed.
 const TIMED_CHANGES: u32 = 3;
-/// One hollow courier in so many restarts beside such a change.
+/// One lightweight instance in so many restarts beside such a change.
 const TENTH: usize = 10;
 /// From one look at a condition to the next.
 const LOOK: Duration = Duration::from_millis(2);
@@ -32,13 +32,13 @@
 
 /// Names of figures that the capacity page goes by.
 pub mod figure {
-    /// Processor time of the courier over the messages delivered.
+    /// Processor time of the instance over the messages delivered.
     pub const MESSAGE_US: &str = "cpu us a message";
-    /// Processor time of the courier without load, as a share of one core.
+    /// Processor time of the instance without load, as a share of one core.
     pub const IDLE_PERCENT: &str = "idle cpu % of a core";
     /// Resident memory after the load.
     pub const MEMORY_MB: &str = "memory MB";
-    /// Bytes that the courier exchanges with discovery, platform and peers.
+    /// Bytes that the instance exchanges with discovery, platform and peers.
     pub const CONTROL_BYTES: &str = "control bytes a second";
     /// Packets of that.
     pub const CONTROL_PACKETS: &str = "control packets a second";
@@ -46,21 +46,21 @@
     pub const READY_S: &str = "ready s";
     /// Messages delivered.
     pub const DELIVERED: &str = "delivered a second";
-    /// Messages of the load that the courier rejected or did not answer, over all that were offered.
+    /// Messages of the load that the instance rejected or did not answer, over all that were offered.
     pub const REJECTED: &str = "rejected share";
     /// Time to hand in a backlog, over its messages: what it grows by is half of what the last one takes.
     pub const FILL_US: &str = "us to hand in a message of the backlog";
-    /// From the start of a courier that was killed with a backlog to its first answer.
+    /// From the start of an instance that was killed with a backlog to its first answer.
     pub const READY_AGAIN_S: &str = "ready after a kill s";
     /// Bytes of its state directory.
     pub const STATE_MB: &str = "state directory MB";
-    /// From the start of a courier that knows no list to its first delivery.
+    /// From the start of an instance that knows no list to its first delivery.
     pub const BY_DISCOVERY_S: &str = "first delivery by discovery s";
     /// Bytes of the whole list.
     pub const LIST_BYTES: &str = "whole list bytes";
     /// Open connections at discovery.
     pub const CONNECTIONS: &str = "discovery connections";
-    /// Bytes that discovery exchanges with all hollow couriers while nothing changes.
+    /// Bytes that discovery exchanges with all lightweight instances while nothing changes.
     pub const DISCOVERY_BYTES: &str = "discovery bytes a second";
     /// Processor time of discovery and platform while nothing changes.
     pub const DISCOVERY_US: &str = "discovery cpu us a second";
@@ -68,7 +68,7 @@
     pub const CHANGE_MS: &str = "discovery cpu ms a change";
     /// Bytes of one change told to all.
     pub const CHANGE_BYTES: &str = "discovery bytes a change";
-    /// Time until all hollow couriers that restart at once are ready again.
+    /// Time until all lightweight instances that restart at once are ready again.
     pub const RESTART_S: &str = "mass restart s";
     /// Processor time of discovery and platform for that.
     pub const RESTART_CPU_S: &str = "mass restart control cpu s";
@@ -78,11 +78,11 @@
     pub const RESTART_CONNECTIONS: &str = "mass restart discovery connections";
     /// Bytes of the platform for that.
     pub const RESTART_PLATFORM_BYTES: &str = "mass restart platform bytes";
-    /// Until a change is in force at half of the couriers.
+    /// Until a change is in force at half of the instances.
     pub const CALM_MEDIAN_S: &str = "in force median s";
     /// Until it is in force at the last.
     pub const CALM_WORST_S: &str = "in force worst s";
-    /// The same while a tenth of the couriers restarts.
+    /// The same while a tenth of the instances restarts.
     pub const RESTARTING_MEDIAN_S: &str = "in force median s, a tenth restarting";
     /// The same at the last.
     pub const RESTARTING_WORST_S: &str = "in force worst s, a tenth restarting";
@@ -121,7 +121,8 @@
     Err(Stop::Breaks(what.into()))
 }
 
-/// Plays `sizes` once with the courier's `program`. A size at which it breaks is a result; `Err` says that the rig failed.
+/// Plays `sizes` once with the instance's `program`. A size at which it breaks is a result; `Err` says that the rig
+/// failed.
 pub fn play(plan: &Plan, sizes: &Sizes, seed: u64, program: &Path) -> Result<Played, String> {
     let mut played = Played::default();
     let ended = on_one_thread(async {
@@ -147,7 +148,7 @@
     found.map_err(|e| format!("no port is free: {e}"))
 }
 
-/// Control traffic of the real courier by one instant.
+/// Control traffic of the real instance by one instant.
 #[derive(Clone, Copy)]
 struct Control {
     discovery: Counts,
@@ -167,7 +168,7 @@
     courier: InstanceProcess,
     listen: SocketAddr,
     ready: Duration,
-    /// Messages handed in before the measurement.
+    /// Messages submitted before the measurement.
     warmed: u64,
 }
 
@@ -315,7 +316,7 @@
         Ok(())
     }
 
-    /// What serves the couriers: changes, first calm and then beside restarts, and a restart of all.
+    /// What serves the instances: changes, first calm and then beside restarts, and a restart of all.
     async fn serving(&self, played: &mut Played) -> Result<(), Stop> {
         let (time, before) = (self.fleet.control_time(), self.fleet.exchanged());
         let calm = self.changes(|| ()).await?;
@@ -361,7 +362,7 @@
         Ok((medians / f64::from(TIMED_CHANGES), worst))
     }
 
-    /// Kills the courier with its backlog and starts it anew on the same state directory.
+    /// Kills the instance with its backlog and starts it anew on the same state directory.
     async fn restarted(&mut self, played: &mut Played) -> Result<(), Stop> {
         let state = size_of(&state_directory(&self.folder, "real"));
         played.put(figure::STATE_MB, state as f64 / (1024.0 * 1024.0));
@@ -377,7 +378,7 @@
         Ok(())
     }
 
-    /// Starts a second courier that knows no list, and waits for its first delivery.
+    /// Starts a second instance that knows no list, and waits for its first delivery.
     async fn by_discovery(&mut self, played: &mut Played) -> Result<(), Stop> {
         let list = self.fleet.control.list().await?;
         played.put(figure::LIST_BYTES, list.len() as f64);
@@ -409,7 +410,7 @@
     }
 }
 
-/// Writes the configuration and makes the state directory of the real courier `name`.
+/// Writes the configuration and makes the state directory of the real instance `name`.
 fn configure(
     fleet: &Fleet,
     folder: &Folder,
--- a/crates/quillhub-scale/src/results.rs
+++ b/crates/quillhub-scale/src/results.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The file of points in a folder of results.
+/// The file of points in a state directory of results.
 pub const FILE: &str = "points.jsonl";
 
 /// One size, played once.
@@ -63,7 +63,7 @@
     text.lines().enumerate().map(read).collect()
 }
 
-/// The points in a folder.
+/// The points in a state directory.
 pub fn read(folder: &Path) -> Result<Vec<Point>, String> {
     let path = folder.join(FILE);
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
--- a/crates/quillhub-scale/src/settings.rs
+++ b/crates/quillhub-scale/src/settings.rs
@@ -1,26 +1,27 @@
-//! The configuration that real and hollow couriers of one run share.
+//! The configuration that real and lightweight instances of one run share.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Calls out at once of each courier.
+/// Calls out at once of each instance.
 pub const CALLS: u64 = 400;
 /// The one service class: idempotent, so that its messages may be retried.
 pub const CLASS: &str = "status";
 /// Kind and zone of all endpoints.
 pub const KIND: &str = "library";
-/// Zone of all couriers and endpoints.
+/// Zone of all instances and endpoints.
 pub const ZONE: &str = "north";
 /// The longest deadline, in milliseconds: messages that are held outlast every measurement.
 pub const LONGEST_MS: u64 = 3_600_000;
-/// Megabytes of the state directory: a million messages of some hundred bytes each, with the room that cleaning needs.
+/// Megabytes of the state directory: a million messages of some hundred bytes each, with the room that cleaning
+/// needs.
 const STATE_MB: u64 = 2_048;
-/// Descriptors of a real courier.
+/// Descriptors of a real instance.
 const DESCRIPTORS: u64 = 4_096;
 
 const SECOND_US: u64 = 1_000_000;
 
-/// What the decisions go by, with so many couriers in all.
+/// What the decisions go by, with so many instances in all.
 pub fn decisions(couriers: u64) -> Value {
     json!({
         "nInstances": couriers,
@@ -37,7 +38,7 @@
     })
 }
 
-/// The addresses of one real courier.
+/// The addresses of one real instance.
 pub struct Addresses {
     /// Where its clients connect.
     pub listen: SocketAddr,
@@ -49,8 +50,8 @@
     pub peers: SocketAddr,
 }
 
-/// The configuration of a real courier. `known` is the endpoint list as text, spliced in as it is: a large one is not
-/// read into values here.
+/// The configuration of a real instance. `known` is the endpoint list as text, spliced in as it is: a large one is
+/// not read into values here.
 pub fn configuration(seed: u64, couriers: u64, at: &Addresses, known: Option<&str>) -> String {
     let rest = json!({
         "listen": at.listen.to_string(),
--- a/crates/quillhub-scale/tests/counts.rs
+++ b/crates/quillhub-scale/tests/counts.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_hollow_courier_asks_once_watches_once_and_tells_one_final_outcome() {
+fn a_lightweight_instance_asks_once_watches_once_and_reports_one_final_outcome() {
     on_one_thread(async {
         let fleet = Fleet::start(&SIZES, 1, 0).unwrap();
         assert!(fleet.ready(soon()).await);
--- a/crates/quillhub-scale/tests/points.rs
+++ b/crates/quillhub-scale/tests/points.rs
@@ -1,4 +1,4 @@
-//! Small points with a real courier's process: what is counted, not what is timed.
+//! Small points with a real instance's process: what is counted, not what is timed.
 
 use quillhub_scale::plan::{Load, Plan, Sizes, Slope};
 use quillhub_scale::{Played, figure, play};
@@ -7,7 +7,7 @@
 
 const BASE: Sizes = Sizes { destinations: 10, backlog: 0, couriers: 0, changes: 0 };
 
-/// The courier's program: an example of this package, built beside its tests.
+/// The instance's program: an example of this package, built beside its tests.
 fn courier() -> PathBuf {
     let own = std::env::current_exe().unwrap();
     own.parent().and_then(|deps| deps.parent()).unwrap().join("examples/courier")
