--- a/crates/quillhub-experiments/tests/digests.rs
+++ b/crates/quillhub-experiments/tests/digests.rs
@@ -7,11 +7,11 @@
 
 const RETRY_STORM: &str = include_str!("experiments/short-retry-storm.toml");
 const ZONE_CUT: &str = include_str!("experiments/short-zone-cut.toml");
-const REGISTER_LOST: &str = include_str!("experiments/short-register-lost.toml");
+const DISCOVERY_LOST: &str = include_str!("experiments/short-register-lost.toml");
 
 const RETRY_STORM_RECORD: &str = include_str!("experiments/short-retry-storm.txt");
 const ZONE_CUT_RECORD: &str = include_str!("experiments/short-zone-cut.txt");
-const REGISTER_LOST_RECORD: &str = include_str!("experiments/short-register-lost.txt");
+const DISCOVERY_LOST_RECORD: &str = include_str!("experiments/short-register-lost.txt");
 
 /// Numbers of threads that must give the same runs.
 const THREADS: [usize; 2] = [1, 4];
@@ -27,7 +27,7 @@
     format!("{digests}\n{}", report::table(runs))
 }
 
-fn played(name: &str, text: &str, threads: usize) -> String {
+fn run(name: &str, text: &str, threads: usize) -> String {
     let folder = Folder::new();
     let experiment = Planned::parse(name, text).unwrap_or_else(|e| panic!("{name}: {e:?}"));
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("a pool can be made");
@@ -35,24 +35,24 @@
     record(&runs)
 }
 
-fn assert_plays_as_recorded(name: &str, text: &str, recorded: &str) {
+fn assert_runs_as_recorded(name: &str, text: &str, recorded: &str) {
     for threads in THREADS {
-        let found = played(name, text, threads);
+        let found = run(name, text, threads);
         assert!(found == recorded, "{name} with {threads} threads, found:\n{found}expected:\n{recorded}");
     }
 }
 
 #[test]
 fn silent_destinations_give_the_recorded_digests_and_table() {
-    assert_plays_as_recorded("short-retry-storm", RETRY_STORM, RETRY_STORM_RECORD);
+    assert_runs_as_recorded("short-retry-storm", RETRY_STORM, RETRY_STORM_RECORD);
 }
 
 #[test]
 fn a_cut_between_zones_gives_the_recorded_digests_and_table() {
-    assert_plays_as_recorded("short-zone-cut", ZONE_CUT, ZONE_CUT_RECORD);
+    assert_runs_as_recorded("short-zone-cut", ZONE_CUT, ZONE_CUT_RECORD);
 }
 
 #[test]
-fn a_lost_register_gives_the_recorded_digests_and_table() {
-    assert_plays_as_recorded("short-register-lost", REGISTER_LOST, REGISTER_LOST_RECORD);
+fn a_lost_service_discovery_gives_the_recorded_digests_and_table() {
+    assert_runs_as_recorded("short-register-lost", DISCOVERY_LOST, DISCOVERY_LOST_RECORD);
 }
--- a/crates/quillhub-experiments/tests/fleet.rs
+++ b/crates/quillhub-experiments/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet's days in small: thirty couriers instead of three hundred, the same faults, fixed seeds. What each
-//! courier does alone must not add up to a broken rule, nor to less than a single try earns.
+//! The fleet's scenarios in small: thirty instances instead of three hundred, the same faults, fixed seeds. What each
+//! instance does alone must not add up to a broken rule, nor to less value than a single attempt for each message.
 
 use quillhub_experiments::experiment::Planned;
 use quillhub_experiments::results::{Kept, mean};
@@ -25,7 +25,7 @@
     sweep::run(&planned, &Folder::new().0, false).unwrap()
 }
 
-fn holds(kind: &str) {
+fn assert_keeps_all_rules_and_beats_single_attempts(kind: &str) {
     let runs = small(kind);
     let earned = |decider: &str| {
         let of: Vec<f64> =
@@ -41,26 +41,26 @@
 }
 
 #[test]
-fn calm() {
-    holds("calm");
+fn a_fleet_without_faults() {
+    assert_keeps_all_rules_and_beats_single_attempts("calm");
 }
 
 #[test]
-fn restarts_in_steps_while_endpoints_are_replaced() {
-    holds("roll");
+fn a_rolling_restart_while_endpoints_are_replaced() {
+    assert_keeps_all_rules_and_beats_single_attempts("roll");
 }
 
 #[test]
-fn most_couriers_killed_at_once() {
-    holds("herd");
+fn most_instances_killed_at_once() {
+    assert_keeps_all_rules_and_beats_single_attempts("herd");
 }
 
 #[test]
-fn destinations_that_return_cold_to_all() {
-    holds("zone");
+fn destinations_that_recover_cold_for_all_instances() {
+    assert_keeps_all_rules_and_beats_single_attempts("zone");
 }
 
 #[test]
-fn a_building_cut_off_and_the_register_with_it() {
-    holds("split");
+fn a_zone_cut_off_and_service_discovery_with_it() {
+    assert_keeps_all_rules_and_beats_single_attempts("split");
 }
--- a/crates/quillhub-experiments/tests/emulator.rs
+++ b/crates/quillhub-experiments/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! What the emulator must be trusted for: queues as theory has them, and the same run from the same seed.
+//! What the simulator must be trusted for: queues as theory has them, and the same run from the same seed.
 
 use quillhub_experiments::experiment::Planned;
 use quillhub_experiments::results::{Kept, mean};
@@ -57,10 +57,13 @@
     let waits: Vec<_> =
         planned.runs().iter().map(|run| planned.play(run, |_, _| {}).tally.queueing.mean() / 1e6).collect();
     let (mean, deviation) = mean(&waits);
-    let told = erlang_wait(workers, rate, 0.02);
+    let expected = erlang_wait(workers, rate, 0.02);
     let margin = 2.861 * deviation / (waits.len() as f64).sqrt(); // Student's t, 19 degrees of freedom
-    assert!((mean - told).abs() <= margin, "{workers} workers: {mean} s, theory {told} s, margin {margin} s");
-    assert!(margin < 0.1 * told, "the margin says too little: {margin} of {told} s");
+    assert!(
+        (mean - expected).abs() <= margin,
+        "{workers} workers: {mean} s, theory {expected} s, margin {margin} s"
+    );
+    assert!(margin < 0.1 * expected, "the margin says too little: {margin} of {expected} s");
 }
 
 #[test]
@@ -74,7 +77,7 @@
     agrees(4, 150.0);
 }
 
-const DAYS: &str = "format = 1
+const SCENARIOS: &str = "format = 1
 question = 'Same seed, same run?'
 seeds = [1, 2]
 deciders = ['module', 'single']
@@ -112,7 +115,7 @@
 ";
 
 fn swept(threads: usize, folder: &Folder) -> Vec<Kept> {
-    let planned = Planned::parse("days", DAYS).unwrap_or_else(|e| panic!("{e:?}"));
+    let planned = Planned::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().unwrap();
     pool.install(|| sweep::run(&planned, &folder.0, false)).unwrap()
 }
@@ -129,16 +132,16 @@
     assert!(one.iter().all(|run| run.decider != "module" || run.breaches == 0));
 }
 
-/// The hash of a baseline's run: what changes it changes the emulator's world, not the module.
+/// The hash of a baseline's run: what changes it changes the simulation, not the dispatcher.
 #[test]
-fn the_world_is_the_one_of_yesterday() {
-    let planned = Planned::parse("days", DAYS).unwrap_or_else(|e| panic!("{e:?}"));
+fn a_baseline_run_has_the_recorded_digest() {
+    let planned = Planned::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
     let runs = planned.runs();
     let run = runs.iter().find(|run| run.decider.word() == "single").unwrap();
-    assert_eq!(format!("{:016x}", planned.play(run, |_, _| {}).hash), GOLDEN);
+    assert_eq!(format!("{:016x}", planned.play(run, |_, _| {}).hash), RECORDED_DIGEST);
 }
 
-const GOLDEN: &str = "d52993388ef44c66";
+const RECORDED_DIGEST: &str = "d52993388ef44c66";
 
 #[test]
 fn a_sweep_that_was_cut_off_goes_on_from_there() {
@@ -153,10 +156,10 @@
 }
 
 #[test]
-fn a_notice_is_explained_from_its_taking_to_its_end_and_pages_stand_alone() {
+fn a_message_is_explained_from_acceptance_to_final_outcome_and_pages_stand_alone() {
     let folder = Folder::new();
     let runs = swept(4, &folder);
-    let planned = Planned::parse("days", DAYS).unwrap_or_else(|e| panic!("{e:?}"));
+    let planned = Planned::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
     let lines = explain::explain(&planned, &runs[0], 1).unwrap();
     assert!(
         lines[0].contains("accepts message") && lines.iter().any(|line| line.contains("Delivered")),
@@ -164,7 +167,7 @@
     );
     assert!(explain::explain(&planned, &runs[0], 99_999_999).is_err());
     report::write(&folder.0, &runs).unwrap();
-    let page = report::page("days", DAYS, "why", "", &runs).unwrap();
+    let page = report::page("days", SCENARIOS, "why", "", &runs).unwrap();
     assert!(page.contains("<svg") && !page.contains("href=") && !page.contains("src="));
     assert_eq!(std::fs::read_to_string(folder.0.join("table.csv")).unwrap().lines().count(), 5);
 }
