--- a/crates/quillhub-server/src/discovery/watch.rs
+++ b/crates/quillhub-server/src/discovery/watch.rs
@@ -19,7 +19,7 @@
 pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long a request may take from its begin to the end of its response's head: discovery answers at once, and this
 /// leaves time for a connection that comes up with its second try, after 1 s. One bound for all of it: a request that
-/// is lost as discovery comes back must leave time for the next (docs/architecture.md, "When a change is known").
+/// is lost as discovery comes back must leave time for the next (docs/discovery-timing.md).
 pub(super) const REQUEST_TIMEOUT: Duration = SILENCE_TIMEOUT;
 /// How long a list may take from its first byte to its last, if more of it keeps coming: the longest, at 140 KB/s.
 const LIST_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/quillhub-server/tests/process_signals.rs
+++ b/crates/quillhub-server/tests/process_signals.rs
@@ -198,6 +198,13 @@
     assert!(second.signal("TERM").unwrap()); // it ends once nothing is pending
     assert!(second.end().await.unwrap().success(), "{what}");
 
+    assert_one_outcome(&surroundings, step, class, signal);
+}
+
+/// Checks what the endpoint and the platform saw of one message's life.
+fn assert_one_outcome(surroundings: &Surroundings, step: Step, class: &str, signal: &str) {
+    let what = format!("{step:?}, {class}, {signal}");
+    let delivered = || surroundings.calls.borrow().iter().any(|(_, second)| *second);
     let (calls, finals) = (surroundings.calls.borrow(), surroundings.finals.borrow());
     let before = calls.iter().filter(|(_, second)| !second).count();
     let kinds = |kind: &str| finals.iter().filter(|line| line.contains(kind)).count();
--- a/crates/quillhub-server/tests/scenario.rs
+++ b/crates/quillhub-server/tests/scenario.rs
@@ -5,8 +5,10 @@
 use quillhub_fakes::endpoints::{self, EndpointEventKind};
 use quillhub_fakes::platform::{self, Discovery};
 use quillhub_fakes::{configuration, scratch};
-use quillhub_simulator::{FinalOutcome, Scenario, arrivals};
+use quillhub_simulator::{Arrival, FinalOutcome, Scenario, arrivals};
 use std::collections::BTreeMap;
+use std::path::PathBuf;
+use std::thread::JoinHandle;
 use std::time::Duration;
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::oneshot;
@@ -73,67 +75,84 @@
     Box::leak(Box::new(scenario))
 }
 
+fn scheduled_messages(scenario: &Scenario, seed: u64) -> Vec<ScheduledMessage> {
+    let schedule = |arrival: Arrival| ScheduledMessage {
+        at: arrival.at,
+        service_class: arrival.service_class,
+        destination: arrival.destination,
+    };
+    arrivals(scenario, seed).into_iter().map(schedule).collect()
+}
+
+/// Runs an instance on a thread of its own until it is stopped.
+fn serve(
+    configuration: String,
+    state: PathBuf,
+    stopped: oneshot::Receiver<()>,
+) -> JoinHandle<Result<(), quillhub_server::ServeError>> {
+    std::thread::spawn(move || {
+        scratch::on_one_thread(async {
+            let stop = async { drop(stopped.await) };
+            quillhub_server::serve(&configuration, &state, stop, std::future::pending).await
+        })
+    })
+}
+
 #[test]
 fn every_message_of_a_short_scenario_has_one_outcome() {
     let (scenario, state) = (scenario(SCENARIO), scratch::Folder::new());
     endpoints::check_supported(scenario).unwrap();
     scratch::on_one_thread(async {
         let started = Instant::now() + Duration::from_millis(200);
-        let ((tell_seen, mut seen), (tell_finals, mut finals)) = (unbounded_channel(), unbounded_channel());
-        let listed = endpoints::start(scenario, 7, started, tell_seen).await.unwrap();
+        let ((event_sender, mut events), (outcome_sender, mut outcomes)) =
+            (unbounded_channel(), unbounded_channel());
+        let listed = endpoints::start(scenario, 7, started, event_sender).await.unwrap();
         let discovery = Discovery::new(&listed);
-        let at = platform::start(discovery.clone(), tell_finals).await.unwrap();
+        let at = platform::start(discovery.clone(), outcome_sender).await.unwrap();
         platform::play_faults(scenario, 7, started, &discovery);
         let listen = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let known = discovery.borrow().list();
         let text = configuration::instance(scenario, 7, listen, at, known, 256).to_string();
         quillhub_server::check(&text).unwrap();
         let (stop, stopped) = oneshot::channel::<()>();
-        let path = state.0.clone();
-        let instance = std::thread::spawn(move || {
-            scratch::on_one_thread(async {
-                let stop = async { drop(stopped.await) };
-                quillhub_server::serve(&text, &path, stop, std::future::pending).await
-            })
-        });
+        let instance = serve(text, state.0.clone(), stopped);
         assert!(clients::ready(listen, Duration::from_secs(30)).await);
-        let book = RequestLog::new(scenario, 7, started);
-        let dues: Vec<_> = arrivals(scenario, 7)
-            .into_iter()
-            .map(|a| ScheduledMessage {
-                at: a.at,
-                service_class: a.service_class,
-                destination: a.destination,
-            })
-            .collect();
-        let count = dues.len();
-        let played = spawn_local(clients::play(book.clone(), listen, dues, 16, 50));
+        let requests = RequestLog::new(scenario, 7, started);
+        let messages = scheduled_messages(scenario, 7);
+        let count = messages.len();
+        let played = spawn_local(clients::play(requests.clone(), listen, messages, 16, 50));
         let mut ran = BTreeMap::<String, u32>::new();
-        while !(played.is_finished() && book.borrow().is_over()) {
+        while !(played.is_finished() && requests.borrow().is_over()) {
             tokio::select! {
-                Some(one) = seen.recv() => {
+                Some(one) = events.recv() => {
                     let is_run = matches!(one.kind, EndpointEventKind::Delivered | EndpointEventKind::ExecutedUnheard);
                     if let Some(key) = one.idempotency_key.filter(|_| is_run) {
                         *ran.entry(key).or_default() += 1;
                     }
                     if one.kind == EndpointEventKind::Delivered {
-                        book.borrow_mut().finish(&one.id, one.at, FinalOutcome::Delivered);
+                        requests.borrow_mut().finish(&one.id, one.at, FinalOutcome::Delivered);
                     }
                 }
-                Some(last) = finals.recv() => {
-                    let order = book.borrow().ids.get(&last.id).copied();
+                Some(last) = outcomes.recv() => {
+                    let order = requests.borrow().ids.get(&last.id).copied();
                     match order.filter(|_| last.rejected) {
-                        Some(order) => clients::retry_rejected(book.clone(), listen, order, last.retry_after, 50),
-                        None => drop(book.borrow_mut().finish(&last.id, last.at, FinalOutcome::Abandoned)),
+                        Some(order) => clients::retry_rejected(requests.clone(), listen, order, last.retry_after, 50),
+                        None => drop(requests.borrow_mut().finish(&last.id, last.at, FinalOutcome::Abandoned)),
                     }
                 }
                 () = tokio::time::sleep(Duration::from_millis(50)) => {}
             }
         }
-        let book = book.borrow();
-        let handled =
-            book.requests.iter().filter(|o| matches!(o.outcome, Some((_, FinalOutcome::Delivered)))).count();
-        assert!(book.requests.len() == count && handled * 2 > count, "{handled} of {count} handled");
+        let requests = requests.borrow();
+        let delivered = requests
+            .requests
+            .iter()
+            .filter(|o| matches!(o.outcome, Some((_, FinalOutcome::Delivered))))
+            .count();
+        assert!(
+            requests.requests.len() == count && delivered * 2 > count,
+            "{delivered} of {count} delivered"
+        );
         drop(stop);
         instance.join().unwrap().unwrap();
         // Retries with the same key may come, as their destination drops them; of most there is none.
@@ -142,7 +161,7 @@
 }
 
 #[test]
-fn what_sockets_cannot_show_is_refused_in_one_line() {
+fn a_fault_that_sockets_cannot_show_is_rejected_in_one_line() {
     let text = SCENARIO.replace("what = 'refuse'", "what = { cut = {} }");
     let error = endpoints::check_supported(scenario(&text)).unwrap_err();
     assert!(
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -164,7 +164,7 @@
     }
 
     /// Bytes that the host can still store; set before each message, without that message's own.
-    pub fn set_storage_room(&mut self, bytes: u64) {
+    pub fn set_storage_capacity(&mut self, bytes: u64) {
         self.state.admission.set_storage_capacity(bytes);
     }
 
--- a/src/policy/tests/admission.rs
+++ b/src/policy/tests/admission.rs
@@ -50,9 +50,9 @@
 fn without_storage_only_what_is_handed_in_just_then_is_rejected() {
     let mut dispatcher = dispatcher_for(DEDUPLICATED);
     assert_eq!(submit(&mut dispatcher, 1, None), ["attempt 1 a"]);
-    dispatcher.set_storage_room(0);
+    dispatcher.set_storage_capacity(0);
     assert_eq!(submit(&mut dispatcher, 2, None), ["reject 2 false"]);
-    dispatcher.set_storage_room(1);
+    dispatcher.set_storage_capacity(1);
     assert_eq!(submit(&mut dispatcher, 3, None).len(), 1);
     assert!(dispatcher.state.pending.contains_key(&1) && dispatcher.state.pending.contains_key(&3));
 }
