--- a/crates/quillhub-bench-adapter/src/session.rs
+++ b/crates/quillhub-bench-adapter/src/session.rs
@@ -1,6 +1,6 @@
 //! One session on the bench's wire: batches of lines, each answered with one reply.
 //!
-//! Invariant: a reply is written only once its whole batch was understood.
+//! Invariant: a reply is written only once all of its batch was understood.
 
 use crate::adapter::Adapter;
 use crate::error::{LineError, SessionError};
--- a/crates/quillhub-server/src/clients/admission.rs
+++ b/crates/quillhub-server/src/clients/admission.rs
@@ -13,7 +13,7 @@
 /// Large commands that may be read at the same time. Against many half-read commands: they take some megabytes at
 /// most.
 const LARGE_COMMAND_PERMITS: usize = 24;
-/// How old a connection without a whole command must be to close before one that is idle: a usual client's first
+/// How old a connection that never sent a complete command must be to close before one that is idle: a usual client's first
 /// command arrives with it.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(500);
 /// How long an evicted connection may take to close before the next is evicted.
@@ -61,7 +61,7 @@
 }
 
 impl Entry {
-    /// Entries of a lower rank are evicted first: one whose client only has to close, then one that never sent a whole
+    /// Entries of a lower rank are evicted first: one whose client only has to close, then one that never sent a complete
     /// command, then an idle one, then any.
     fn eviction_rank(&self, now: Instant) -> u8 {
         match self.activity {
--- a/crates/quillhub-server/src/clients/commands.rs
+++ b/crates/quillhub-server/src/clients/commands.rs
@@ -15,8 +15,8 @@
 /// What to reply to a command.
 #[derive(Debug)]
 pub(super) enum Reply {
-    /// The octets of an answer.
-    Answer(Vec<u8>),
+    /// The octets of a reply.
+    Octets(Vec<u8>),
     /// The confirmation of a message, which is accepted only once that is written.
     Accepted(MessageId),
     Error(CommandError),
@@ -111,8 +111,8 @@
 fn submit(instance: &RefCell<Instance>, submission: Submission) -> Reply {
     match instance.borrow_mut().submit(submission) {
         SubmitOutcome::Accepted(message) => Reply::Accepted(message),
-        SubmitOutcome::Busy { retry_after } => Reply::Answer(resp::busy(retry_after)),
-        SubmitOutcome::Failed(failure) => Reply::Answer(resp::error(failure)),
+        SubmitOutcome::Busy { retry_after } => Reply::Octets(resp::busy(retry_after)),
+        SubmitOutcome::Failed(failure) => Reply::Octets(resp::error(failure)),
         SubmitOutcome::Invalid(reason) => Reply::Error(reason.into()),
     }
 }
@@ -120,9 +120,9 @@
 /// Executes the command of these parts.
 pub(super) fn execute(instance: &RefCell<Instance>, parts: &[&[u8]]) -> Reply {
     match Command::parse(parts) {
-        Ok(Command::Empty) => Reply::Answer(Vec::new()),
-        Ok(Command::Ping { text: None }) => Reply::Answer(resp::PONG.to_vec()),
-        Ok(Command::Ping { text: Some(text) }) => Reply::Answer(resp::bulk(text)),
+        Ok(Command::Empty) => Reply::Octets(Vec::new()),
+        Ok(Command::Ping { text: None }) => Reply::Octets(resp::PONG.to_vec()),
+        Ok(Command::Ping { text: Some(text) }) => Reply::Octets(resp::bulk(text)),
         Ok(Command::Submit(submission)) => submit(instance, submission),
         Err(error) => Reply::Error(error),
     }
--- a/crates/quillhub-server/src/clients/connection.rs
+++ b/crates/quillhub-server/src/clients/connection.rs
@@ -19,7 +19,7 @@
 
 /// Bytes of a part of a command, a body being the longest.
 pub(super) const MAX_PART_BYTES: usize = 64 * 1024;
-/// Bytes of a whole command: a body and its small parts.
+/// Bytes of a complete command: a body and its small parts.
 const MAX_COMMAND_BYTES: usize = MAX_PART_BYTES + 16 * 1024;
 /// Bytes of a command that any connection may have read; for more it needs a permit for a large command.
 const SMALL_COMMAND_BYTES: usize = socket::READ_BYTES;
@@ -51,7 +51,7 @@
 /// What to do next, by the input that was read.
 enum Step {
     Reply(Reply),
-    /// No command is whole yet.
+    /// No command is complete yet.
     Receive,
     End(End),
 }
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Executes the first command of the input if it is whole.
+    /// Executes the first command of the input if it is complete.
     fn next_step(&mut self) -> Step {
         match resp::command(&self.input, MAX_PART_BYTES) {
             Ok(Some((parts, used))) => {
@@ -206,7 +206,7 @@
     /// Writes a reply; the end, if the connection closes with it.
     async fn reply(&mut self, reply: Reply) -> io::Result<Option<End>> {
         let (octets, accepted): (Cow<[u8]>, _) = match &reply {
-            Reply::Answer(octets) => (octets.into(), None),
+            Reply::Octets(octets) => (octets.into(), None),
             Reply::Accepted(message) => (resp::OK.into(), Some(*message)),
             Reply::Error(error) if error.closes_connection() || self.is_last_error() => {
                 return self.dismiss(error.clone()).await.map(Some);
--- a/crates/quillhub-server/src/clients/socket.rs
+++ b/crates/quillhub-server/src/clients/socket.rs
@@ -24,7 +24,7 @@
 }
 
 /// Takes what has arrived by now, though the runtime may not know of it yet; whether there was any. A command that is
-/// whole before our side is closed must be answered.
+/// complete before our side is closed must be answered.
 pub(super) fn read_pending(stream: &TcpStream, input: &mut Vec<u8>) -> bool {
     let mut octets = [0; READ_BYTES];
     let Ok(length @ 1..) = (&*socket2::SockRef::from(stream)).read(&mut octets) else { return false };
--- a/crates/quillhub-server/src/clients/tests.rs
+++ b/crates/quillhub-server/src/clients/tests.rs
@@ -151,8 +151,8 @@
         let (phase, seen) = watch::channel(Phase::Serving);
         let permits = Arc::new(Semaphore::new(1));
         let admission = Admission::new(seen, permits.clone());
-        let host = instance(&folder, at);
-        spawn_local(accept(host.clone(), Rc::new(listener), admission.clone()));
+        let instance = instance(&folder, at);
+        spawn_local(accept(instance.clone(), Rc::new(listener), admission.clone()));
         let mut client = TcpStream::connect(at).await.unwrap();
         if end != End::NoCommand {
             client.write_all(PING).await.unwrap();
@@ -177,7 +177,7 @@
         let mut client = TcpStream::from_std(client).unwrap();
         let mut read = String::new();
         client.read_to_string(&mut read).await.unwrap();
-        // Of a connection that was closed whole the first half brings a reset, which the second finds.
+        // Of a connection that was closed in both directions the first half brings a reset, which the second finds.
         let (begin, rest) = late.split_at(late.len() / 2);
         client.write_all(begin).await.unwrap();
         let after = client.write_all(rest).await;
@@ -185,7 +185,7 @@
         while permits.available_permits() == 0 {
             tokio::task::yield_now().await;
         }
-        let accepted = !host.borrow().is_idle();
+        let accepted = !instance.borrow().is_idle();
         (read, after, accepted)
     })
 }
--- a/crates/quillhub-server/src/configuration.rs
+++ b/crates/quillhub-server/src/configuration.rs
@@ -20,8 +20,10 @@
 /// Why a configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
+    /// It is no JSON text.
     #[error("the configuration is no JSON: {0}")]
     NotJson(#[from] serde_json::Error),
+    /// One of its settings is missing, or has a value that it cannot have.
     #[error(transparent)]
     Setting(#[from] SettingsError),
 }
--- a/crates/quillhub-server/src/discovery/return_tests.rs
+++ b/crates/quillhub-server/src/discovery/return_tests.rs
@@ -47,8 +47,8 @@
 
 async fn lose(loss: Loss, stream: TcpStream) -> std::io::Result<()> {
     let mut stream = Served::new(stream);
-    let Some(asked) = stream.next().await? else { return Ok(()) };
-    let is_watch = asked.path.contains("watch");
+    let Some(requested) = stream.next().await? else { return Ok(()) };
+    let is_watch = requested.path.contains("watch");
     let length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LIST.len());
     let head = if is_watch { CHUNKED } else { &length };
     match loss {
@@ -70,8 +70,8 @@
 
 async fn answer(stream: TcpStream) -> std::io::Result<()> {
     let mut stream = Served::new(stream);
-    while let Some(asked) = stream.next().await? {
-        if !asked.path.contains("watch") {
+    while let Some(requested) = stream.next().await? {
+        if !requested.path.contains("watch") {
             stream.answer(200, "", LIST.as_bytes()).await?;
             continue;
         }
@@ -127,40 +127,41 @@
     settings
 }
 
-async fn known(host: &RefCell<Instance>) {
-    while host.borrow().endpoint_address("f").is_none() {
+async fn known(instance: &RefCell<Instance>) {
+    while instance.borrow().endpoint_address("f").is_none() {
         sleep(Duration::from_millis(10)).await;
     }
 }
 
 /// How long after its return what discovery has is known.
-fn known_after(seed: u64, loss: Loss, must_be_polled: bool, whole: bool, down: Duration) -> Duration {
+fn known_after(seed: u64, loss: Loss, must_be_polled: bool, complete: bool, down: Duration) -> Duration {
     let folder = Folder::new();
     on_one_thread(async {
         tokio::time::pause();
         let back = Instant::now() + down;
         let at = discovery(loss, back);
-        let host = instance_with(seed, &settings(must_be_polled), &folder, "127.0.0.1:1".parse().unwrap());
+        let instance =
+            instance_with(seed, &settings(must_be_polled), &folder, "127.0.0.1:1".parse().unwrap());
         let (_at, seen) = watch_channel::channel(at);
-        let progress = Progress::new(Some(6).filter(|_| !whole));
-        spawn_local(follow(host.clone(), seen, progress, must_be_polled));
-        host.borrow_mut().handle_event(|_| ());
-        timeout(down + 10 * KNOWN_WITHIN, known(&host)).await.expect("it is never known");
+        let progress = Progress::new(Some(6).filter(|_| !complete));
+        spawn_local(follow(instance.clone(), seen, progress, must_be_polled));
+        instance.borrow_mut().handle_event(|_| ());
+        timeout(down + 10 * KNOWN_WITHIN, known(&instance)).await.expect("it is never known");
         back.elapsed()
     })
 }
 
 /// The sum of all waits, for each kind of loss and each moment of the return against that of the last lost request.
 fn assert_known_in_time(must_be_polled: bool) {
-    for (loss, whole) in ALL.into_iter().flat_map(|loss| [(loss, false), (loss, true)]) {
+    for (loss, complete) in ALL.into_iter().flat_map(|loss| [(loss, false), (loss, true)]) {
         let downs = (0..24).map(|nth| Duration::from_millis(8_000 + nth * 233));
         let delays = downs.enumerate().map(|(seed, down)| {
-            let after = known_after(seed as u64, loss, must_be_polled, whole, down);
+            let after = known_after(seed as u64, loss, must_be_polled, complete, down);
             (after, down)
         });
         let (longest, down) = delays.max().unwrap();
-        println!("{loss:?}, whole list {whole}: known {longest:?} after the return at {down:?}");
-        assert!(longest < KNOWN_WITHIN, "{loss:?}, whole list {whole}: {longest:?}, down for {down:?}");
+        println!("{loss:?}, complete list {complete}: known {longest:?} after the return at {down:?}");
+        assert!(longest < KNOWN_WITHIN, "{loss:?}, complete list {complete}: {longest:?}, down for {down:?}");
     }
 }
 
@@ -214,27 +215,28 @@
         on_one_thread(async {
             tokio::time::pause();
             let watched = format!("{CHUNKED}{}", chunk(&format!("{LIST}\n"))).leak().as_bytes();
-            let (at, mut asked) = answering(vec![watched; 2]).await;
-            let host = instance_with(7, &settings(must_be_polled), &folder, "127.0.0.1:1".parse().unwrap());
+            let (at, mut requested) = answering(vec![watched; 2]).await;
+            let instance =
+                instance_with(7, &settings(must_be_polled), &folder, "127.0.0.1:1".parse().unwrap());
             let (_at, seen) = watch_channel::channel(at);
-            let (job, progress) = (host.clone(), Progress::new(Some(6)));
+            let (job, progress) = (instance.clone(), Progress::new(Some(6)));
             crate::startup::supervise(move || {
                 follow(job.clone(), seen.clone(), progress.clone(), must_be_polled)
             });
-            host.borrow_mut().handle_event(|_| ());
-            asked.recv().await.unwrap();
-            let borrowed = host.borrow_mut(); // so that the list, which has arrived, cannot be applied
+            instance.borrow_mut().handle_event(|_| ());
+            requested.recv().await.unwrap();
+            let borrowed = instance.borrow_mut(); // so that the list, which has arrived, cannot be applied
             sleep(Duration::from_millis(10)).await;
             drop(borrowed);
             let failed = Instant::now();
-            assert!(host.borrow().endpoint_address("f").is_none(), "it panicked before");
-            timeout(KNOWN_WITHIN, known(&host)).await.expect("it is not polled again");
+            assert!(instance.borrow().endpoint_address("f").is_none(), "it panicked before");
+            timeout(KNOWN_WITHIN, known(&instance)).await.expect("it is not polled again");
             assert!(failed.elapsed() < KNOWN_WITHIN);
         });
     }
 }
 
-/// A list of 3 MiB over some seconds, whole at once or as a watch's line, indented: it is read as long as it comes.
+/// A list of 3 MiB over some seconds, complete at once or as a watch's line, indented: it is read as long as it comes.
 #[test]
 fn a_long_list_over_a_slow_connection_is_read_to_its_end() {
     let rows = (0..22_000).map(|n| {
@@ -244,26 +246,26 @@
     let list = json!({"revision": 9, "complete": true, "members": rows.chain([last]).collect::<Vec<_>>()});
     let text: &str = serde_json::to_string_pretty(&list).unwrap().leak();
     assert!((3 << 20..MOST_LINE).contains(&text.len()), "{}", text.len());
-    for whole in [false, true] {
+    for complete in [false, true] {
         let folder = Folder::new();
         on_one_thread(async {
             tokio::time::pause();
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let at = listener.local_addr().unwrap();
-            let host = instance_with(7, &settings(false), &folder, "127.0.0.1:1".parse().unwrap());
+            let instance = instance_with(7, &settings(false), &folder, "127.0.0.1:1".parse().unwrap());
             let (_at, seen) = watch_channel::channel(at);
-            spawn_local(follow(host.clone(), seen, Progress::new(Some(6).filter(|_| !whole)), false));
+            spawn_local(follow(instance.clone(), seen, Progress::new(Some(6).filter(|_| !complete)), false));
             let mut stream = Served::new(listener.accept().await.unwrap().0);
             stream.next().await.unwrap();
             let length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
-            stream.write(if whole { length.as_bytes() } else { CHUNKED.as_bytes() }).await.unwrap();
+            stream.write(if complete { length.as_bytes() } else { CHUNKED.as_bytes() }).await.unwrap();
             for piece in text.as_bytes().chunks(64 << 10) {
                 let piece = std::str::from_utf8(piece).unwrap();
-                let octets = if whole { piece.to_owned() } else { chunk(piece) };
+                let octets = if complete { piece.to_owned() } else { chunk(piece) };
                 stream.write(octets.as_bytes()).await.unwrap();
                 advance(Duration::from_millis(200)).await;
             }
-            timeout(SILENCE_TIMEOUT, known(&host)).await.expect("it is given up in the midst of it");
+            timeout(SILENCE_TIMEOUT, known(&instance)).await.expect("it is given up in the midst of it");
         });
     }
 }
--- a/crates/quillhub-server/src/discovery/stream.rs
+++ b/crates/quillhub-server/src/discovery/stream.rs
@@ -1,6 +1,6 @@
 //! The JSON values of a stream that may be cut anywhere.
 //!
-//! Invariant: each byte is looked at once before its value is whole.
+//! Invariant: each byte is looked at once before its value is complete.
 
 use serde_json::Value;
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Takes the whole JSON values from the start of `text`, each of which may be written over several lines; empty lines
+/// Takes the complete JSON values from the start of `text`, each of which may be written over several lines; empty lines
 /// are none.
 ///
 /// # Errors
--- a/crates/quillhub-server/src/discovery/tests.rs
+++ b/crates/quillhub-server/src/discovery/tests.rs
@@ -9,23 +9,23 @@
     json!({"id": id, "host_port": format!("127.0.0.1:{port}"), "cell": 9, "phase": phase, "size": 1.0})
 }
 
-fn list(whole: bool, members: &[Value]) -> Value {
-    json!({"revision": 41, "complete": whole, "members": members})
+fn list(complete: bool, members: &[Value]) -> Value {
+    json!({"revision": 41, "complete": complete, "members": members})
 }
 
 /// Of endpoints `e`, `f` and `g`, the ports that are known after `lists`.
 fn ports(lists: &[Value]) -> [Option<u16>; 3] {
     let folder = Folder::new();
     on_one_thread(async {
-        let host = instance(&folder, "127.0.0.1:1".parse().unwrap());
-        let mut host = host.borrow_mut();
+        let instance = instance(&folder, "127.0.0.1:1".parse().unwrap());
+        let mut instance = instance.borrow_mut();
         for list in lists {
             assert_eq!(
-                update_endpoints(&mut host, list, Origin::Discovery).map_err(|error| error.to_string()),
+                update_endpoints(&mut instance, list, Origin::Discovery).map_err(|error| error.to_string()),
                 Ok(41)
             );
         }
-        ["e", "f", "g"].map(|name| host.endpoint_address(name).map(|at| at.port()))
+        ["e", "f", "g"].map(|name| instance.endpoint_address(name).map(|at| at.port()))
     })
 }
 
@@ -42,7 +42,7 @@
 fn a_list_that_cannot_be_read_changes_nothing() {
     let folder = Folder::new();
     on_one_thread(async {
-        let host = instance(&folder, "127.0.0.1:1".parse().unwrap());
+        let instance = instance(&folder, "127.0.0.1:1".parse().unwrap());
         for bad in [
             json!([]),
             json!({"revision": 1}),
@@ -51,10 +51,11 @@
             list(true, &[json!({"id": "f", "host_port": "here", "cell": 9, "phase": "up"})]),
             list(true, &[member("f", 2, "up"), json!({"id": "g"})]),
         ] {
-            let error =
-                update_endpoints(&mut host.borrow_mut(), &bad, Origin::Discovery).unwrap_err().to_string();
+            let error = update_endpoints(&mut instance.borrow_mut(), &bad, Origin::Discovery)
+                .unwrap_err()
+                .to_string();
             assert!(!error.contains('\n'), "{error}");
-            let known = ["e", "f"].map(|name| host.borrow().endpoint_address(name).is_some());
+            let known = ["e", "f"].map(|name| instance.borrow().endpoint_address(name).is_some());
             assert_eq!(known, [true, false], "{bad}");
         }
     });
@@ -68,10 +69,10 @@
             1f\r\n{\"revision\":7,\"complete\":true,\"\r\n10\r\nmembers\":[]}\n{\"r\r\n\
             26\r\nevision\":8,\"members\":[],\"more\":[null]}\r\n1\r\n\n\r\n0\r\n\r\n";
         let (at, mut requests) = answering(vec![answer]).await;
-        let host = instance(&folder, at);
+        let instance = instance(&folder, at);
         let revision = Cell::new(Some(6));
-        assert!(matches!(watch(&host, at, &revision).await, Err(ConnectionError::Ended)));
-        assert_eq!((revision.get(), host.borrow().endpoint_address("e")), (Some(8), None));
+        assert!(matches!(watch(&instance, at, &revision).await, Err(ConnectionError::Ended)));
+        assert_eq!((revision.get(), instance.borrow().endpoint_address("e")), (Some(8), None));
         let request = requests.recv().await.unwrap();
         assert!(request.starts_with("GET /registry/instances?watch=1&after=6 HTTP/1.1\r\n"), "{request}");
     });
@@ -86,14 +87,14 @@
             \"members\":[{\"id\":\"f\",\"host_port\":\"127.0.0.1:2\",\"cell\":9,\"phase\":\"up\"}]}";
         let (old, mut asked_old) = answering(vec![watched]).await;
         let (new, mut asked_new) = answering(vec![listed, watched]).await;
-        let host = instance(&folder, old);
+        let instance = instance(&folder, old);
         let (at, seen) = watch_channel::channel(old);
-        spawn_local(follow(host.clone(), seen, Progress::new(Some(6)), false));
+        spawn_local(follow(instance.clone(), seen, Progress::new(Some(6)), false));
         assert!(asked_old.recv().await.unwrap().contains("after=6 "));
         at.send_replace(new);
         assert!(asked_new.recv().await.unwrap().starts_with("GET /registry/instances HTTP/1.1\r\n"));
         assert!(asked_new.recv().await.unwrap().starts_with("GET /registry/instances?watch=1&after=2 "));
-        let known = ["e", "f"].map(|name| host.borrow().endpoint_address(name).is_some());
+        let known = ["e", "f"].map(|name| instance.borrow().endpoint_address(name).is_some());
         assert_eq!(known, [false, true]);
     });
 }
@@ -109,10 +110,10 @@
         }
         answer += if ends { "0\r\n\r\n" } else { "" };
         let (at, _requests) = answering(vec![answer.leak().as_bytes()]).await;
-        let host = instance(&folder, at);
+        let instance = instance(&folder, at);
         let revision = Cell::new(Some(6));
-        let ended = watch(&host, at, &revision).await;
-        let known = ["e", "f"].map(|name| host.borrow().endpoint_address(name).is_some());
+        let ended = watch(&instance, at, &revision).await;
+        let known = ["e", "f"].map(|name| instance.borrow().endpoint_address(name).is_some());
         (ended, revision.get(), known)
     })
 }
--- a/crates/quillhub-server/src/discovery/watch.rs
+++ b/crates/quillhub-server/src/discovery/watch.rs
@@ -23,7 +23,7 @@
 pub(super) const REQUEST_TIMEOUT: Duration = SILENCE_TIMEOUT;
 /// How long a list may take from its first byte to its last, if more of it keeps coming: the longest, at 140 KB/s.
 const LIST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes of a line that an instance takes from discovery: the whole list of a large deployment.
+/// Bytes of a line that an instance takes from discovery: the complete list of a large deployment.
 pub const MOST_LINE: usize = 4 * 1024 * 1024;
 
 /// Sends a request to discovery; its response as far as the head, and where its body ends.
