--- a/crates/quillhub-simulator/src/faults/discovery_outage.rs
+++ b/crates/quillhub-simulator/src/faults/discovery_outage.rs
@@ -6,7 +6,7 @@
 
 /// Service discovery is out of reach, or late.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(expecting = "struct Register", deny_unknown_fields)]
 pub struct DiscoveryOutage {
     /// So much later; absent, it is out of reach.
     #[serde(default, with = "humantime_serde")]
--- a/crates/quillhub-simulator/src/faults/gossip.rs
+++ b/crates/quillhub-simulator/src/faults/gossip.rs
@@ -6,7 +6,7 @@
 
 /// Gossip between instances is lost, or late.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(expecting = "struct Notes", deny_unknown_fields)]
 pub struct Gossip {
     /// Share of the gossip lost.
     #[serde(default)]
--- a/crates/quillhub-simulator/src/faults/hot_destinations.rs
+++ b/crates/quillhub-simulator/src/faults/hot_destinations.rs
@@ -5,7 +5,7 @@
 
 /// Some destinations get more than their share of the messages.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(expecting = "struct Hot", deny_unknown_fields)]
 pub struct HotDestinations {
     /// How many times their share they get.
     pub factor: f64,
--- a/crates/quillhub-simulator/src/faults/lost_responses.rs
+++ b/crates/quillhub-simulator/src/faults/lost_responses.rs
@@ -6,7 +6,7 @@
 
 /// A share of the answers is lost.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(expecting = "struct Mute", deny_unknown_fields)]
 pub struct LostResponses {
     /// Share of the answers lost.
     pub share: f64,
--- a/crates/quillhub-simulator/src/faults/partial_snapshot.rs
+++ b/crates/quillhub-simulator/src/faults/partial_snapshot.rs
@@ -5,7 +5,7 @@
 
 /// Service discovery tells a list that is not whole.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(expecting = "struct Partial", deny_unknown_fields)]
 pub struct PartialSnapshot {
     /// Share of the endpoints that the list leaves out.
     pub share: f64,
--- a/crates/quillhub-simulator/src/faults/target.rs
+++ b/crates/quillhub-simulator/src/faults/target.rs
@@ -7,7 +7,7 @@
 
 /// Who is struck by a fault; all that fit, where nothing is said.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default)]
+#[serde(expecting = "struct Whom", deny_unknown_fields, default)]
 pub struct Target {
     /// Destinations of this kind.
     pub kind: Option<String>,
--- a/crates/quillhub-simulator/src/faults/traffic_surge.rs
+++ b/crates/quillhub-simulator/src/faults/traffic_surge.rs
@@ -5,7 +5,7 @@
 
 /// More messages come than usual.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(expecting = "struct Crowd", deny_unknown_fields)]
 pub struct TrafficSurge {
     /// How many times as many messages come.
     pub factor: f64,
--- a/crates/quillhub-simulator/src/scenario/destinations.rs
+++ b/crates/quillhub-simulator/src/scenario/destinations.rs
@@ -104,7 +104,7 @@
 
 /// What all instances together may send a route.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(expecting = "struct LimitOf", deny_unknown_fields)]
 pub struct RateLimitSpec {
     /// Calls a second.
     pub per_s: f64,
--- a/crates/quillhub-simulator/src/scenario/discovery.rs
+++ b/crates/quillhub-simulator/src/scenario/discovery.rs
@@ -6,7 +6,7 @@
 
 /// How service discovery tells of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
+#[serde(expecting = "enum RegisterForm", rename_all = "lowercase")]
 pub enum DiscoveryForm {
     /// Tells changes to every instance.
     Push,
@@ -16,7 +16,7 @@
 
 /// Service discovery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default)]
+#[serde(expecting = "struct Register", deny_unknown_fields, default)]
 pub struct DiscoverySpec {
     /// How it tells of changes.
     pub form: DiscoveryForm,
--- a/crates/quillhub-simulator/src/scenario/instances.rs
+++ b/crates/quillhub-simulator/src/scenario/instances.rs
@@ -5,7 +5,7 @@
 
 /// The instances, and the front that deals messages out to them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default)]
+#[serde(expecting = "struct Couriers", deny_unknown_fields, default)]
 pub struct Instances {
     /// How many there are.
     pub count: u32,
--- a/crates/quillhub-simulator/src/scenario/mod.rs
+++ b/crates/quillhub-simulator/src/scenario/mod.rs
@@ -27,7 +27,7 @@
 
 /// A scenario: everything that a run needs but its seed and its deciders.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(expecting = "struct Day", deny_unknown_fields)]
 pub struct Scenario {
     /// From the first arrival to the last; messages pending then still get their final outcome.
     #[serde(with = "humantime_serde")]
--- a/crates/quillhub-simulator/src/scenario/rules.rs
+++ b/crates/quillhub-simulator/src/scenario/rules.rs
@@ -5,7 +5,7 @@
 
 /// The figures of the rules.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default)]
+#[serde(expecting = "struct Returns", deny_unknown_fields, default)]
 pub struct RuleSettings {
     /// Nothing new goes to an endpoint so long after its drain was known.
     #[serde(with = "humantime_serde")]
--- a/crates/quillhub-simulator/src/scenario/service_class.rs
+++ b/crates/quillhub-simulator/src/scenario/service_class.rs
@@ -7,7 +7,7 @@
 
 /// What a retry of a message may do at its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
+#[serde(expecting = "enum EffectOf", rename_all = "lowercase")]
 pub enum RepeatSafetyKind {
     /// A retry does no harm.
     #[serde(rename = "retriable")]
@@ -22,7 +22,7 @@
 
 /// A service class: what a message of it may do, until when it is needed, and what it is worth.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(expecting = "struct GradeOf", deny_unknown_fields)]
 pub struct ServiceClassSpec {
     /// Its name.
     pub name: String,
