--- a/crates/quillhub-experiments/src/capacity/evidence.rs
+++ b/crates/quillhub-experiments/src/capacity/evidence.rs
@@ -20,12 +20,12 @@
     pub run: String,
 }
 
-/// The experiment that found how much one courier carries.
+/// The experiment that found how much one instance carries.
 const KNEE: &str = "socket-knee";
 /// Share of the messages within their soft deadline up to which a rate counts as carried.
 const IN_TIME: f64 = 0.99;
 
-/// The kept runs of all slopes, and of the load on one courier.
+/// The kept runs of all slopes, and of the load on one instance.
 pub struct Evidence {
     slopes: BTreeMap<Slope, Vec<Point>>,
     /// Steps of that load: messages a second, and the share of them in time.
@@ -47,7 +47,7 @@
         Self { slopes, steps: Vec::new() }
     }
 
-    /// With the steps of a load on one courier, as its results have them.
+    /// With the steps of a load on one instance, as its results have them.
     pub fn with_load(mut self, text: &str) -> Result<Self, String> {
         for (at, line) in text.lines().enumerate() {
             let step: serde_json::Value = serde_json::from_str(line).unwrap_or_default();
@@ -60,7 +60,7 @@
         Ok(self)
     }
 
-    /// The highest rate that one courier carried.
+    /// The highest rate that one instance carried.
     pub fn carried(&self) -> Result<Figure, String> {
         let carried = self.steps.iter().filter(|(_, in_time)| *in_time >= IN_TIME).map(|(rate, _)| *rate);
         let value = carried.reduce(f64::max).ok_or(format!("{KNEE}: expected steps in time, found none"))?;
--- a/crates/quillhub-experiments/src/capacity/mod.rs
+++ b/crates/quillhub-experiments/src/capacity/mod.rs
@@ -1,4 +1,4 @@
-//! The capacity page: its marked blocks are written from the kept runs of the slopes, and nothing else.
+//! The capacity page: its deduplicated blocks are written from the kept runs of the slopes, and nothing else.
 //!
 //! A block lies between `<!-- capacity:NAME -->` and `<!-- end -->`. Outside the blocks a line with a number names where
 //! that is from.
--- a/crates/quillhub-experiments/src/capacity/needs.rs
+++ b/crates/quillhub-experiments/src/capacity/needs.rs
@@ -11,9 +11,9 @@
 const US: f64 = 1e6;
 /// Network of one machine, in bytes a second: ten gigabits, the least that is usual in a data centre today.
 const NETWORK: f64 = 1.25e9;
-/// Memory of a courier's machine for it, in MB: four gigabytes a core, as usual machines have.
+/// Memory of an instance's machine for it, in MB: four gigabytes a core, as usual machines have.
 const MEMORY_MB: f64 = 4_096.0;
-/// Descriptors of a courier, as its configuration names them in the runs.
+/// Descriptors of an instance, as its configuration names them in the runs.
 const DESCRIPTORS: f64 = 4_096.0;
 /// Share of the messages offered that must be delivered for a size to count as carried.
 const ALL: f64 = 0.99;
@@ -193,7 +193,7 @@
     Ok(rows?.concat())
 }
 
-/// Processor time of the messages of one courier, in cores, at `rate` a second.
+/// Processor time of the messages of one instance, in cores, at `rate` a second.
 fn cores(
     evidence: &Evidence,
     role: Role,
--- a/crates/quillhub-experiments/src/capacity/target.rs
+++ b/crates/quillhub-experiments/src/capacity/target.rs
@@ -1,6 +1,6 @@
 //! The operators' target, and plain arithmetic on it. Everything else on the page is measured or called an estimate.
 
-/// Couriers of the whole system.
+/// Instances of the whole system.
 pub const COURIERS: f64 = 1_300.0;
 /// Messages a second of the whole system.
 pub const MESSAGES_PER_S: f64 = 550_000.0;
@@ -16,7 +16,7 @@
 pub const CHANGES_PER_DAY: f64 = 1_700.0;
 /// Within which a change is in force everywhere, in seconds.
 pub const IN_FORCE_S: f64 = 16.0;
-/// What a courier may spend on control, as a share of a core in percent.
+/// What an instance may spend on control, as a share of a core in percent.
 pub const CONTROL_CPU_PERCENT: f64 = 4.7;
 /// What it may spend of memory on control, in MB.
 pub const CONTROL_MEMORY_MB: f64 = 32.0;
@@ -26,9 +26,9 @@
 pub const CONTROL_MACHINES: f64 = 20.0;
 /// Machines that fail on an ordinary day.
 pub const MACHINES_DOWN: f64 = 3.0;
-/// Within which a restarted courier is ready, in seconds.
+/// Within which a restarted instance is ready, in seconds.
 pub const READY_S: f64 = 10.0;
-/// Destinations that a courier serves where they are divided: the largest share that the page plans with.
+/// Destinations that an instance serves where they are divided: the largest share that the page plans with.
 pub const SHARE: f64 = 740.0;
 
 /// Seconds of a day.
@@ -36,12 +36,12 @@
 /// Hours of a day.
 pub const DAY_H: f64 = 24.0;
 
-/// Messages a second of one courier when `couriers` share all.
+/// Messages a second of one instance when `instances` share all.
 pub fn rate(couriers: f64) -> f64 {
     MESSAGES_PER_S / couriers
 }
 
-/// Messages of the full backlog at one courier.
+/// Messages of the full backlog at one instance.
 pub fn backlog_each() -> f64 {
     BACKLOG / COURIERS
 }
--- a/crates/quillhub-experiments/src/chart.rs
+++ b/crates/quillhub-experiments/src/chart.rs
@@ -5,8 +5,11 @@
 
 const SIZE: (u32, u32) = (820, 380);
 
+/// A curve of a chart.
 pub struct Line {
+    /// Its name in the legend.
     pub name: String,
+    /// Its points, from left to right.
     pub points: Vec<(f64, f64)>,
 }
 
@@ -56,10 +59,20 @@
     Ok(svg)
 }
 
+/// A chart over the seconds of a run, as SVG.
+///
+/// # Errors
+///
+/// If it cannot be drawn.
 pub fn over_time(title: &str, lines: &[Line]) -> Result<String, String> {
     draw(title, lines, "s", &|at| format!("{at:.0}"), 10)
 }
 
+/// A chart over the offered rate, as SVG.
+///
+/// # Errors
+///
+/// If it cannot be drawn.
 pub fn over_rate(title: &str, lines: &[Line]) -> Result<String, String> {
     draw(title, lines, "notices offered a second", &|at| format!("{at:.0}"), 10)
 }
--- a/crates/quillhub-experiments/src/command.rs
+++ b/crates/quillhub-experiments/src/command.rs
@@ -196,95 +196,109 @@
     given.unwrap_or_else(|| Path::new("found").join(path.file_stem().unwrap_or_default()))
 }
 
-fn obey(command: Command) -> Result<(), String> {
+fn play(line: Run) -> Result<(), String> {
+    let planned = Planned::read(&line.experiment)?;
+    if let Some(threads) = line.threads {
+        let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build_global();
+        pool.map_err(|e| format!("--threads: {e}"))?;
+    }
+    let directory = line.out.unwrap_or_else(|| Path::new("found").join(&planned.name));
+    let runs = sweep::run(&planned, &directory, true)?;
+    report::write(&directory, &runs)?;
+    println!("{} (simulated)\n\n{}", planned.name, report::table(&runs));
+    println!("in {}", directory.display());
+    Ok(())
+}
+
+fn check(line: &Check) -> Result<(), String> {
+    let faults: Vec<_> = line.experiments.iter().filter_map(|path| Planned::read(path).err()).collect();
+    if faults.is_empty() { Ok(()) } else { Err(faults.join("\n")) }
+}
+
+/// The runs of one decider.
+fn runs_of<'a>(runs: &'a [Kept], decider: &str) -> Result<Vec<&'a Kept>, String> {
+    let runs: Vec<_> = runs.iter().filter(|run| run.decider == decider).collect();
+    if runs.is_empty() { Err(format!("expected runs of '{decider}', found none")) } else { Ok(runs) }
+}
+
+fn compare(line: &Compare) -> Result<(), String> {
+    let ((_, first), (_, second)) = (kept(&line.first)?, kept(&line.second)?);
+    let first = runs_of(&first, &line.first_decider)?;
+    let second = runs_of(&second, &line.second_decider)?;
+    let (pairs, differences) = compare::compare(&first, &second);
+    if pairs == 0 {
+        return Err("expected runs with the same days and seeds, found none".into());
+    }
+    let name = |directory: &Path, decider: &str| format!("{decider} of {}", directory.display());
+    let names = (name(&line.first, &line.first_decider), name(&line.second, &line.second_decider));
+    print!("{}", compare::told((&names.0, &names.1), pairs, &differences));
+    Ok(())
+}
+
+fn write_report(line: Report) -> Result<(), String> {
+    let (planned, runs) = kept(&line.results)?;
+    let (question, found) = (&planned.of.question, &planned.of.found);
+    let page = report::page(&planned.name, &planned.text, question, found, &runs)?;
+    let out = line.out.unwrap_or_else(|| line.results.join("report.html"));
+    std::fs::write(&out, page).map_err(|e| format!("{}: {e}", out.display()))?;
+    println!("{}", out.display());
+    Ok(())
+}
+
+fn load_instance(line: Load) -> Result<(), String> {
+    let planned = Planned::read(&line.experiment)?;
+    let rates = line.rates.as_deref().map_or(Ok(Vec::new()), rates)?;
+    let program = courier(line.courier)?;
+    let seed = planned.of.seeds[0];
+    let (connections, body, sockets) = (line.connections, line.body, line.sockets);
+    let made = load::Made { program: &program, connections, body, sockets, seed };
+    let directory = line.out.unwrap_or_else(|| Path::new("found").join(&planned.name));
+    load::run(&planned, &rates, &made, &directory)?;
+    println!("in {} (on sockets)", directory.display());
+    Ok(())
+}
+
+fn measure_cost(line: &Cost) -> Result<(), String> {
+    let planned = Planned::read(&line.experiment)?;
+    for run in planned.runs().iter().filter(|run| run.seed == planned.of.seeds[0]) {
+        println!("{}", cost::measure(&planned, run).line(run).trim_start());
+    }
+    Ok(())
+}
+
+fn explain_message(line: &Explain) -> Result<(), String> {
+    let split = line.run.rsplit_once(':').and_then(|(f, n)| Some((f, n.parse::<usize>().ok()?)));
+    let (directory, nth) = split.unwrap_or((&line.run, 1));
+    let (planned, runs) = kept(Path::new(directory))?;
+    let many = runs.len();
+    let run = nth.checked_sub(1).and_then(|nth| runs.get(nth));
+    let run = run.ok_or(format!("{directory}: expected a line from 1 to {many}, found {nth}"))?;
+    explain::explain(&planned, run, line.notice)?.iter().for_each(|line| println!("{line}"));
+    Ok(())
+}
+
+fn execute(command: Command) -> Result<(), String> {
     match command {
-        Command::Run(line) => {
-            let planned = Planned::read(&line.experiment)?;
-            if let Some(threads) = line.threads {
-                let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build_global();
-                pool.map_err(|e| format!("--threads: {e}"))?;
-            }
-            let folder = line.out.unwrap_or_else(|| Path::new("found").join(&planned.name));
-            let runs = sweep::run(&planned, &folder, true)?;
-            report::write(&folder, &runs)?;
-            println!("{} (simulated)\n\n{}", planned.name, report::table(&runs));
-            println!("in {}", folder.display());
-        }
-        Command::Check(line) => {
-            let faults: Vec<_> =
-                line.experiments.iter().filter_map(|path| Planned::read(path).err()).collect();
-            if !faults.is_empty() {
-                return Err(faults.join("\n"));
-            }
-        }
-        Command::Compare(line) => {
-            let ((_, first), (_, second)) = (kept(&line.first)?, kept(&line.second)?);
-            fn of<'a>(runs: &'a [Kept], decider: &str) -> Result<Vec<&'a Kept>, String> {
-                let runs: Vec<_> = runs.iter().filter(|run| run.decider == decider).collect();
-                if runs.is_empty() {
-                    Err(format!("expected runs of '{decider}', found none"))
-                } else {
-                    Ok(runs)
-                }
-            }
-            let first = of(&first, &line.first_decider)?;
-            let second = of(&second, &line.second_decider)?;
-            let (pairs, differences) = compare::compare(&first, &second);
-            if pairs == 0 {
-                return Err("expected runs with the same days and seeds, found none".into());
-            }
-            let name = |folder: &Path, decider: &str| format!("{} of {}", decider, folder.display());
-            let names = (name(&line.first, &line.first_decider), name(&line.second, &line.second_decider));
-            print!("{}", compare::told((&names.0, &names.1), pairs, &differences));
-        }
-        Command::Report(line) => {
-            let (planned, runs) = kept(&line.results)?;
-            let (question, found) = (&planned.of.question, &planned.of.found);
-            let page = report::page(&planned.name, &planned.text, question, found, &runs)?;
-            let out = line.out.unwrap_or_else(|| line.results.join("report.html"));
-            std::fs::write(&out, page).map_err(|e| format!("{}: {e}", out.display()))?;
-            println!("{}", out.display());
-        }
-        Command::Load(line) => {
-            let planned = Planned::read(&line.experiment)?;
-            let rates = line.rates.as_deref().map_or(Ok(Vec::new()), rates)?;
-            let program = courier(line.courier)?;
-            let seed = planned.of.seeds[0];
-            let (connections, body, sockets) = (line.connections, line.body, line.sockets);
-            let made = load::Made { program: &program, connections, body, sockets, seed };
-            let folder = line.out.unwrap_or_else(|| Path::new("found").join(&planned.name));
-            load::run(&planned, &rates, &made, &folder)?;
-            println!("in {} (on sockets)", folder.display());
-        }
-        Command::Cost(line) => {
-            let planned = Planned::read(&line.experiment)?;
-            for run in planned.runs().iter().filter(|run| run.seed == planned.of.seeds[0]) {
-                println!("{}", cost::measure(&planned, run).line(run).trim_start());
-            }
-        }
+        Command::Run(line) => play(line),
+        Command::Check(line) => check(&line),
+        Command::Compare(line) => compare(&line),
+        Command::Report(line) => write_report(line),
+        Command::Load(line) => load_instance(line),
+        Command::Cost(line) => measure_cost(&line),
         Command::Scale(line) => {
             let program = courier(line.courier)?;
-            scale::run(&line.experiment, &program, &folder(line.out, &line.experiment))?;
-        }
-        Command::Capacity(line) if line.check => capacity::check(&line.page, &line.results)?,
-        Command::Capacity(line) => capacity::write(&line.page, &line.results)?,
-        Command::Explain(line) => {
-            let split = line.run.rsplit_once(':').and_then(|(f, n)| Some((f, n.parse::<usize>().ok()?)));
-            let (folder, nth) = split.unwrap_or((&line.run, 1));
-            let (planned, runs) = kept(Path::new(folder))?;
-            let many = runs.len();
-            let run = nth.checked_sub(1).and_then(|nth| runs.get(nth));
-            let run = run.ok_or(format!("{folder}: expected a line from 1 to {many}, found {nth}"))?;
-            explain::explain(&planned, run, line.notice)?.iter().for_each(|line| println!("{line}"));
+            scale::run(&line.experiment, &program, &folder(line.out, &line.experiment))
         }
+        Command::Capacity(line) if line.check => capacity::check(&line.page, &line.results),
+        Command::Capacity(line) => capacity::write(&line.page, &line.results),
+        Command::Explain(line) => explain_message(&line),
     }
-    Ok(())
 }
 
-/// Reads the command line and obeys it; what is wrong is told in one line, with exit status 2.
+/// Reads the command line and executes it; what is wrong is told in one line, with exit status 2.
 pub fn main() -> ExitCode {
     let line: Line = argh::from_env();
-    match obey(line.command) {
+    match execute(line.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
--- a/crates/quillhub-experiments/src/compare.rs
+++ b/crates/quillhub-experiments/src/compare.rs
@@ -1,4 +1,4 @@
-//! Compares runs of two folders, or of two deciders, paired by day and seed: the mean difference of each figure and
+//! Compares runs of two state directories, or of two deciders, paired by day and seed: the mean difference of each figure and
 //! an interval for it by bootstrap.
 
 use crate::results::{Kept, mean};
@@ -17,9 +17,13 @@
 /// The difference of one figure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
+    /// The name of the figure.
     pub figure: String,
+    /// Its mean over the first runs.
     pub first: f64,
+    /// Its mean over the second runs.
     pub second: f64,
+    /// The mean of the differences by pair.
     pub difference: f64,
     /// Where the difference lies with 95% confidence; nothing with too few pairs.
     pub interval: Option<(f64, f64)>,
--- a/crates/quillhub-experiments/src/experiment.rs
+++ b/crates/quillhub-experiments/src/experiment.rs
@@ -18,28 +18,37 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
+    /// The version of the format.
     pub format: u32,
     /// What is asked, in one paragraph, and what was found.
     pub question: String,
+    /// What was found, as text for the report.
     #[serde(default)]
     pub found: String,
+    /// The seeds that each variant is played with.
     pub seeds: Vec<u64>,
+    /// The deciders that are compared.
     pub deciders: Vec<Named>,
+    /// The baselines' figures.
     #[serde(default)]
     pub baselines: Baselines,
-    /// Places of the day ("couriers.count", "faults.0.what.slow.factor") and the values each takes; all with all.
+    /// Places of the scenario ("instances.count", "faults.0.what.slow.factor") and the values each takes; all with all.
     #[serde(default)]
     pub sweep: BTreeMap<String, Vec<Value>>,
     /// Named sets of values that belong together; each with all of the sweep.
     #[serde(default)]
     pub points: Vec<Point>,
+    /// The scenario, before anything is varied.
     pub day: Value,
 }
 
+/// A named variant of the scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Point {
+    /// Its name.
     pub name: String,
+    /// What it sets, by path.
     #[serde(default)]
     pub set: BTreeMap<String, Value>,
 }
@@ -47,15 +56,21 @@
 /// One day of an experiment, with the name that tells it from the others.
 #[derive(Clone, Debug)]
 pub struct Variant {
+    /// Its name; empty if nothing is varied.
     pub name: String,
+    /// Its scenario.
     pub day: Scenario,
 }
 
 /// A read experiment: its text, and all its days.
 pub struct Planned {
+    /// The experiment's name.
     pub name: String,
+    /// Its file, as written.
     pub text: String,
+    /// What the file says.
     pub of: Experiment,
+    /// The scenarios that are played.
     pub variants: Vec<Variant>,
 }
 
@@ -83,7 +98,7 @@
     at
 }
 
-/// Puts `new` at a place of the day. The place, or the table it stands in, must be there.
+/// Puts `new` at a place of the scenario. The place, or the table it stands in, must be there.
 fn put(day: &mut Value, place: &str, new: &Value) -> Result<(), String> {
     let mut at = day;
     let mut words = place.split('.').peekable();
@@ -112,6 +127,11 @@
 }
 
 impl Planned {
+    /// Reads an experiment file.
+    ///
+    /// # Errors
+    ///
+    /// In one line: what is wrong with it, and where.
     pub fn read(path: &Path) -> Result<Self, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let name = path.file_stem().map_or(String::new(), |stem| stem.to_string_lossy().into());
@@ -121,79 +141,118 @@
         })
     }
 
-    /// The experiment in `text`, or what is wrong with it and at which byte.
+    /// The experiment in `text`.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong with it, and at which byte.
     pub fn parse(name: &str, text: &str) -> Result<Self, (usize, String)> {
-        let failed = |e: toml::de::Error| (e.span().map_or(0, |span| span.start), one_line(e.message()));
-        let of: Experiment = toml::from_str(text).map_err(failed)?;
-        let wrong = |place: &str, what: String| (find(text, place), what);
-        let at = |place: &str, what: String| Err(wrong(place, what));
-        if of.format != FORMAT {
-            return at("format", format!("format: expected {FORMAT}, found {}", of.format));
-        }
-        for (place, empty) in [
-            ("seeds", of.seeds.is_empty()),
-            ("deciders", of.deciders.is_empty()),
-            ("question", of.question.trim().is_empty()),
-        ] {
-            if empty {
-                return at(place, format!("{place}: expected one at least, found none"));
-            }
-        }
-        let each = of.sweep.values().map(Vec::len).product::<usize>() * of.points.len().max(1);
-        let runs = each * of.seeds.len() * of.deciders.len();
-        if runs == 0 || runs > MOST_RUNS {
-            return at("sweep", format!("sweep: expected 1 to {MOST_RUNS} runs in all, found {runs}"));
-        }
-        // The day as it stands first, so that its faults are told at their own places.
-        #[derive(Deserialize)]
-        struct Only {
-            day: Scenario,
-        }
-        let Only { day } = toml::from_str(text).map_err(failed)?;
-        if let Err(invalid) = day.check() {
-            return at(&format!("day.{}", invalid.place), format!("day.{invalid}"));
+        let of: Experiment = toml::from_str(text).map_err(malformed)?;
+        check_frame(&of, text)?;
+        check_first_scenario(text)?;
+        let points = with_points(&of, text)?;
+        let varied = with_sweep(&of, text, points)?;
+        let variants = varied.into_iter().map(|varied| read_variant(&of, text, varied));
+        let variants = variants.collect::<Result<_, _>>()?;
+        Ok(Self { name: name.into(), text: text.into(), of, variants })
+    }
+}
+
+/// What is wrong with an experiment, and at which byte of its text.
+type Wrong = (usize, String);
+
+fn malformed(error: toml::de::Error) -> Wrong {
+    (error.span().map_or(0, |span| span.start), one_line(error.message()))
+}
+
+/// Checks all that is no scenario.
+fn check_frame(of: &Experiment, text: &str) -> Result<(), Wrong> {
+    let at = |place: &str, what: String| Err((find(text, place), what));
+    if of.format != FORMAT {
+        return at("format", format!("format: expected {FORMAT}, found {}", of.format));
+    }
+    for (place, empty) in [
+        ("seeds", of.seeds.is_empty()),
+        ("deciders", of.deciders.is_empty()),
+        ("question", of.question.trim().is_empty()),
+    ] {
+        if empty {
+            return at(place, format!("{place}: expected one at least, found none"));
         }
-        let mut variants = vec![(String::new(), of.day.clone())];
-        let points = of.points.iter().enumerate();
-        let sets: Vec<_> =
-            points.map(|(n, p)| (format!("points[{n}]"), p.name.clone(), p.set.clone())).collect();
-        if !sets.is_empty() {
-            let mut varied = Vec::new();
-            for (place, name, set) in sets {
-                let mut day = of.day.clone();
-                for (path, value) in &set {
-                    put(&mut day, path, value)
-                        .map_err(|what| wrong(&place, format!("{place}.set: {what}")))?;
-                }
-                varied.push((name, day));
-            }
-            variants = varied;
+    }
+    let each = of.sweep.values().map(Vec::len).product::<usize>() * of.points.len().max(1);
+    let runs = each * of.seeds.len() * of.deciders.len();
+    if runs == 0 || runs > MOST_RUNS {
+        return at("sweep", format!("sweep: expected 1 to {MOST_RUNS} runs in all, found {runs}"));
+    }
+    Ok(())
+}
+
+/// Checks the scenario as it stands first, so that its faults are reported at their own places.
+fn check_first_scenario(text: &str) -> Result<(), Wrong> {
+    #[derive(Deserialize)]
+    struct Only {
+        day: Scenario,
+    }
+    let Only { day } = toml::from_str(text).map_err(malformed)?;
+    day.check().map_err(|invalid| {
+        let place = find(text, &format!("day.{}", invalid.place));
+        (place, format!("day.{invalid}"))
+    })
+}
+
+/// A scenario before it is read, and the name of its variant.
+struct Varied {
+    name: String,
+    scenario: Value,
+}
+
+/// The variants that the experiment's points make; one without a name if there are none.
+fn with_points(of: &Experiment, text: &str) -> Result<Vec<Varied>, Wrong> {
+    if of.points.is_empty() {
+        return Ok(vec![Varied { name: String::new(), scenario: of.day.clone() }]);
+    }
+    let vary = |(nth, point): (usize, &Point)| {
+        let place = format!("points[{nth}]");
+        let mut scenario = of.day.clone();
+        for (path, value) in &point.set {
+            put(&mut scenario, path, value)
+                .map_err(|what| (find(text, &place), format!("{place}.set: {what}")))?;
         }
-        for (path, values) in &of.sweep {
-            let mut varied = Vec::new();
-            for (name, day) in &variants {
-                for value in values {
-                    let mut day = day.clone();
-                    put(&mut day, path, value).map_err(|what| wrong("sweep", format!("sweep: {what}")))?;
-                    let short = path.rsplit('.').next().unwrap_or(path);
-                    let word = value.as_str().map_or_else(|| value.to_string(), String::from);
-                    let join = if name.is_empty() { "" } else { " " };
-                    varied.push((format!("{name}{join}{short}={word}"), day));
-                }
+        Ok(Varied { name: point.name.clone(), scenario })
+    };
+    of.points.iter().enumerate().map(vary).collect()
+}
+
+/// Crosses the variants with each value that the experiment sweeps over.
+fn with_sweep(of: &Experiment, text: &str, mut variants: Vec<Varied>) -> Result<Vec<Varied>, Wrong> {
+    for (path, values) in &of.sweep {
+        let mut crossed = Vec::new();
+        for Varied { name, scenario } in &variants {
+            for value in values {
+                let mut scenario = scenario.clone();
+                put(&mut scenario, path, value)
+                    .map_err(|what| (find(text, "sweep"), format!("sweep: {what}")))?;
+                let short = path.rsplit('.').next().unwrap_or(path);
+                let word = value.as_str().map_or_else(|| value.to_string(), String::from);
+                let join = if name.is_empty() { "" } else { " " };
+                crossed.push(Varied { name: format!("{name}{join}{short}={word}"), scenario });
             }
-            variants = varied;
         }
-        let mut read = Vec::new();
-        for (name, day) in variants {
-            // Told at the points where they are all there is, else at the sweep that is crossed with them.
-            let place = if of.sweep.is_empty() { "points" } else { "sweep" };
-            let told = |what: String| (find(text, place), format!("{place}: with {name}, {what}"));
-            let day: Scenario = day.try_into().map_err(|e: toml::de::Error| told(one_line(e.message())))?;
-            day.check().map_err(|e| told(e.to_string()))?;
-            read.push(Variant { name, day });
-        }
-        Ok(Self { name: name.into(), text: text.into(), of, variants: read })
+        variants = crossed;
     }
+    Ok(variants)
+}
+
+/// Reads a variant's scenario. What is wrong with it is reported at the points where they are all there is, otherwise
+/// at the sweep that is crossed with them.
+fn read_variant(of: &Experiment, text: &str, varied: Varied) -> Result<Variant, Wrong> {
+    let Varied { name, scenario } = varied;
+    let place = if of.sweep.is_empty() { "points" } else { "sweep" };
+    let wrong = |what: String| (find(text, place), format!("{place}: with {name}, {what}"));
+    let day: Scenario = scenario.try_into().map_err(|e: toml::de::Error| wrong(one_line(e.message())))?;
+    day.check().map_err(|e| wrong(e.to_string()))?;
+    Ok(Variant { name, day })
 }
 
 #[cfg(test)]
--- a/crates/quillhub-experiments/src/lib.rs
+++ b/crates/quillhub-experiments/src/lib.rs
@@ -1,4 +1,4 @@
-//! The laboratory: experiments with couriers in the emulator, deciders to compare the module with, and what is
+//! The experiments: experiments with instances in the simulation, deciders to compare the dispatcher with, and what is
 //! kept of their runs as tables and charts.
 //!
 //! An [`experiment::Experiment`] is a file: a question, a day, and what is varied. [`sweep::run`] plays every run of
--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -1,5 +1,5 @@
-//! An open-loop load on a real courier on loopback, step by step: endpoints, register, platform and clients are
-//! stand-ins, arrivals and faults those of the experiment's day. These figures are of sockets, not simulated.
+//! An open-loop load on a real instance on loopback, step by step: endpoints, discovery, platform and clients are
+//! fakes, arrivals and faults those of the experiment's day. These figures are of sockets, not simulated.
 
 use crate::chart::{self, Line};
 use crate::experiment::Planned;
@@ -10,53 +10,65 @@
 use quillhub_fakes::platform::{self, Discovery, OutcomeNotification};
 use quillhub_fakes::process::{InstanceProcess, Usage};
 use quillhub_fakes::{configuration, scratch};
-use quillhub_simulator::{FinalOutcome, Scenario, arrivals};
+use quillhub_simulator::{Arrival, FinalOutcome, Scenario, arrivals};
 use serde::Serialize;
+use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::Path;
+use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// From the start of the stand-ins to the day's first instant: a courier starts in far less.
+/// From the start of the fakes to the scenario's first instant: an instance starts in far less.
 const LEAD: Duration = Duration::from_secs(2);
 /// After the last limit, for what is on its way.
 const TAIL: Duration = Duration::from_secs(1);
-/// Notices of one step beyond which it is taken for a mistake.
-const MOST_NOTICES: usize = 2_000_000;
-/// Share of notices in their contract time that a step under the knee keeps.
+/// Messages of one step beyond which it is taken for a mistake.
+const MAX_MESSAGES: usize = 2_000_000;
+/// Share of messages in their soft deadline that a step under the knee keeps.
 const KEPT: f64 = 0.99;
 /// Steps looked for between one under the knee and one over it.
 const NARROWING: usize = 3;
-/// Rates beyond which no knee is looked for, in notices a second.
-const MOST_RATE: f64 = 50_000.0;
+/// Rates beyond which no knee is looked for, in messages a second.
+const MAX_RATE: f64 = 50_000.0;
 
 /// One step.
 #[derive(Clone, Debug, Serialize)]
 pub struct Step {
+    /// The name of the experiment.
     pub experiment: String,
+    /// Messages offered a second.
     pub rate: f64,
+    /// The figures, by name.
     pub figures: BTreeMap<String, f64>,
-    /// CPU share and memory in kB of the courier, by second.
+    /// CPU share and memory in kB of the instance, by second.
     pub cpu: Vec<f64>,
+    /// Memory of the instance in kB, by second.
     pub memory_kb: Vec<u64>,
 }
 
 impl Step {
+    /// A figure by its name; 0 if there is none.
     pub fn figure(&self, name: &str) -> f64 {
         self.figures.get(name).copied().unwrap_or_default()
     }
 }
 
-/// What a load is made with, beside the day.
+/// What a load is made with, beside the scenario.
 pub struct Made<'a> {
+    /// The instance's program.
     pub program: &'a Path,
+    /// Connections of clients.
     pub connections: usize,
+    /// Bytes of a body.
     pub body: usize,
+    /// Descriptors that the instance may have.
     pub sockets: u64,
+    /// Seed of arrivals, faults and the instance.
     pub seed: u64,
 }
 
@@ -65,57 +77,58 @@
     listed: Vec<Listed>,
     platform: SocketAddr,
     seen: UnboundedReceiver<EndpointEvent>,
-    finals: UnboundedReceiver<OutcomeNotification>,
+    outcomes: UnboundedReceiver<OutcomeNotification>,
     _stop: oneshot::Sender<()>,
 }
 
 fn endpoints(day: &'static Scenario, seed: u64, started: Instant) -> Result<Endpoints, String> {
-    type Told = Result<(Vec<Listed>, SocketAddr), String>;
-    let (tell, told) = std::sync::mpsc::channel::<Told>();
-    let (tell_seen, seen) = unbounded_channel();
-    let (tell_finals, finals) = unbounded_channel();
+    type Started = Result<(Vec<Listed>, SocketAddr), String>;
+    let (started_sender, started_receiver) = std::sync::mpsc::channel::<Started>();
+    let (event_sender, seen) = unbounded_channel();
+    let (outcome_sender, outcomes) = unbounded_channel();
     let (stop, stopped) = oneshot::channel::<()>();
     std::thread::spawn(move || {
         scratch::on_one_thread(async move {
             let made = async {
-                let listed = endpoints::start(day, seed, started, tell_seen).await?;
-                let register = Discovery::new(&listed);
-                let at = platform::start(register.clone(), tell_finals).await?;
-                platform::play_faults(day, seed, started, &register);
+                let listed = endpoints::start(day, seed, started, event_sender).await?;
+                let discovery = Discovery::new(&listed);
+                let at = platform::start(discovery.clone(), outcome_sender).await?;
+                platform::play_faults(day, seed, started, &discovery);
                 Ok::<_, std::io::Error>((listed, at))
             };
-            let _ = tell.send(made.await.map_err(|e| format!("a stand-in cannot start: {e}")));
+            let _ = started_sender.send(made.await.map_err(|e| format!("a stand-in cannot start: {e}")));
             let _ = stopped.await;
         });
     });
-    let (listed, platform) = told.recv().map_err(|_| "a stand-in's thread ended".to_string())??;
-    Ok(Endpoints { listed, platform, seen, finals, _stop: stop })
+    let (listed, platform) =
+        started_receiver.recv().map_err(|_| "a stand-in's thread ended".to_string())??;
+    Ok(Endpoints { listed, platform, seen, outcomes, _stop: stop })
 }
 
 /// Counts of what endpoints saw.
 #[derive(Default)]
 struct Arrived {
-    sends: u64,
-    turned_away: u64,
-    handled: u64,
+    attempts: u64,
+    rejected: u64,
+    delivered: u64,
     /// Marks that ran, with when, and how often one ran again.
-    marks: BTreeSet<String>,
+    executed_keys: BTreeSet<String>,
     again: u64,
 }
 
 impl Arrived {
-    fn seen(&mut self, book: &mut RequestLog, seen: &EndpointEvent) {
+    fn seen(&mut self, requests: &mut RequestLog, seen: &EndpointEvent) {
         match seen.kind {
-            EndpointEventKind::Arrived => self.sends += 1,
-            EndpointEventKind::Rejected => self.turned_away += 1,
+            EndpointEventKind::Arrived => self.attempts += 1,
+            EndpointEventKind::Rejected => self.rejected += 1,
             EndpointEventKind::Failed => {}
             EndpointEventKind::Delivered | EndpointEventKind::ExecutedUnheard => {
-                if let Some(mark) = &seen.idempotency_key {
-                    self.again += u64::from(!self.marks.insert(mark.clone()));
+                if let Some(key) = &seen.idempotency_key {
+                    self.again += u64::from(!self.executed_keys.insert(key.clone()));
                 }
                 if seen.kind == EndpointEventKind::Delivered {
-                    self.handled += 1;
-                    book.finish(&seen.id, seen.at, FinalOutcome::Delivered);
+                    self.delivered += 1;
+                    requests.finish(&seen.id, seen.at, FinalOutcome::Delivered);
                 }
             }
         }
@@ -126,80 +139,133 @@
     Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("the bounds are in order")
 }
 
-/// Plays the day once with its arrivals `factor` times as dense.
-pub fn step(planned: &Planned, factor: f64, made: &Made) -> Result<Step, String> {
-    let mut day = planned.variants[0].day.clone();
-    day.arrivals.iter_mut().for_each(|stream| stream.per_s *= factor);
-    let rate = day.arrivals.iter().map(|stream| stream.per_s).sum();
-    // Kept as long as the process: tasks of the stand-ins' thread look at it until they end. One for each step.
-    let day: &'static Scenario = Box::leak(Box::new(day));
-    let dues: Vec<_> = arrivals(day, made.seed)
-        .into_iter()
-        .map(|a| ScheduledMessage { at: a.at, service_class: a.service_class, destination: a.destination })
-        .collect();
-    if dues.len() > MOST_NOTICES {
-        return Err(format!("expected at most {MOST_NOTICES} notices in a step, found {}", dues.len()));
+/// One step while it is played.
+struct Playing<'a> {
+    scenario: &'static Scenario,
+    made: &'a Made<'a>,
+    started: Instant,
+    listen: SocketAddr,
+    instance: InstanceProcess,
+    requests: Rc<RefCell<RequestLog>>,
+    arrived: Arrived,
+    usage: Vec<Usage>,
+}
+
+/// The messages of a scenario, as clients hand them in.
+fn scheduled(scenario: &Scenario, seed: u64) -> Result<Vec<ScheduledMessage>, String> {
+    let schedule = |arrival: Arrival| ScheduledMessage {
+        at: arrival.at,
+        service_class: arrival.service_class,
+        destination: arrival.destination,
+    };
+    let messages: Vec<_> = arrivals(scenario, seed).into_iter().map(schedule).collect();
+    if messages.len() > MAX_MESSAGES {
+        return Err(format!("expected at most {MAX_MESSAGES} notices in a step, found {}", messages.len()));
     }
-    let folder = scratch::Folder::new();
-    let told = |e: std::io::Error| format!("a courier cannot be started: {e}");
+    Ok(messages)
+}
+
+/// Plays the scenario once with its arrivals `factor` times as dense.
+pub fn step(planned: &Planned, factor: f64, made: &Made) -> Result<Step, String> {
+    let mut scenario = planned.variants[0].day.clone();
+    scenario.arrivals.iter_mut().for_each(|stream| stream.per_s *= factor);
+    let rate = scenario.arrivals.iter().map(|stream| stream.per_s).sum();
+    // Kept as long as the process: tasks of the fakes' thread look at it until they end. One for each step.
+    let scenario: &'static Scenario = Box::leak(Box::new(scenario));
+    let messages = scheduled(scenario, made.seed)?;
+    let directory = scratch::Folder::new();
     scratch::on_one_thread(async {
         let started = Instant::now() + LEAD;
-        let mut others = endpoints(day, made.seed, started)?;
-        // A port that was free a moment ago; nothing else on this machine is asked for one.
-        let listen = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(told)?;
-        let known = Discovery::new(&others.listed).borrow().list();
-        let config = configuration::instance(day, made.seed, listen, others.platform, known, made.sockets);
-        let (at, state) = (folder.0.join("config.json"), folder.0.join("state"));
-        std::fs::write(&at, config.to_string()).map_err(told)?;
-        std::fs::create_dir(&state).map_err(told)?;
-        let courier =
-            InstanceProcess::start(made.program, &at, &state, &folder.0.join("log")).map_err(told)?;
-        if !clients::ready(listen, LEAD).await {
-            let log = std::fs::read_to_string(folder.0.join("log")).unwrap_or_default();
-            return Err(format!("expected a courier that answers, found none; its log: {}", log.trim()));
-        }
-        let book = RequestLog::new(day, made.seed, started);
-        let count = dues.len();
-        let played = spawn_local(clients::play(book.clone(), listen, dues, made.connections, made.body));
-        let limit = day.service_classes.iter().map(|grade| grade.deadline).max().unwrap_or_default();
-        let end = started + day.length + limit + TAIL;
-        let (mut came, mut uses) = (Arrived::default(), vec![courier.usage().unwrap_or_default()]);
-        let mut next_use = started + Duration::from_secs(1);
-        while Instant::now() < end && !(played.is_finished() && book.borrow().is_over()) {
+        let mut others = endpoints(scenario, made.seed, started)?;
+        let mut playing = start(scenario, made, started, &others, &directory.0).await?;
+        let count = messages.len();
+        let (connections, body) = (made.connections, made.body);
+        let clients = clients::play(playing.requests.clone(), playing.listen, messages, connections, body);
+        let played = spawn_local(clients);
+        playing.watch(&mut others, || played.is_finished()).await?;
+        let last = playing.instance.usage().unwrap_or_default();
+        let requests = playing.requests.borrow();
+        let step = Counted {
+            day: scenario,
+            requests: &requests,
+            came: &playing.arrived,
+            uses: &playing.usage,
+            last,
+            count,
+        };
+        Ok(step.figures(&planned.name, rate))
+    })
+}
+
+/// Starts the instance that is loaded, and waits until it answers.
+async fn start<'a>(
+    scenario: &'static Scenario,
+    made: &'a Made<'a>,
+    started: Instant,
+    others: &Endpoints,
+    directory: &Path,
+) -> Result<Playing<'a>, String> {
+    let failed = |e: std::io::Error| format!("a courier cannot be started: {e}");
+    // A port that was free a moment ago; nothing else on this machine is asked for one.
+    let listen = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(failed)?;
+    let known = Discovery::new(&others.listed).borrow().list();
+    let config = configuration::instance(scenario, made.seed, listen, others.platform, known, made.sockets);
+    let (at, state, log) = (directory.join("config.json"), directory.join("state"), directory.join("log"));
+    std::fs::write(&at, config.to_string()).map_err(failed)?;
+    std::fs::create_dir(&state).map_err(failed)?;
+    let instance = InstanceProcess::start(made.program, &at, &state, &log).map_err(failed)?;
+    if !clients::ready(listen, LEAD).await {
+        let log = std::fs::read_to_string(log).unwrap_or_default();
+        return Err(format!("expected a courier that answers, found none; its log: {}", log.trim()));
+    }
+    let requests = RequestLog::new(scenario, made.seed, started);
+    let usage = vec![instance.usage().unwrap_or_default()];
+    Ok(Playing { scenario, made, started, listen, instance, requests, arrived: Arrived::default(), usage })
+}
+
+impl Playing<'_> {
+    /// Takes in what endpoints and platform report until all requests are over, or their time is.
+    async fn watch(&mut self, others: &mut Endpoints, played: impl Fn() -> bool) -> Result<(), String> {
+        let deadlines = self.scenario.service_classes.iter().map(|class| class.deadline);
+        let longest = deadlines.max().unwrap_or_default();
+        let end = self.started + self.scenario.length + longest + TAIL;
+        let mut next_usage = self.started + Duration::from_secs(1);
+        while Instant::now() < end && !(played() && self.requests.borrow().is_over()) {
             tokio::select! {
-                Some(seen) = others.seen.recv() => came.seen(&mut book.borrow_mut(), &seen),
-                Some(last) = others.finals.recv() => {
-                    if last.rejected {
-                        let order = book.borrow().ids.get(&last.id).copied();
-                        if let Some(order) = order {
-                            clients::retry_rejected(book.clone(), listen, order, last.retry_after, made.body);
-                        }
-                    } else {
-                        book.borrow_mut().finish(&last.id, last.at, FinalOutcome::Abandoned);
-                    }
-                }
-                () = sleep_until(next_use) => {
-                    next_use += Duration::from_secs(1);
-                    let used = courier.usage().ok_or("the courier ended in the midst of a step")?;
-                    uses.push(used);
+                Some(event) = others.seen.recv() => self.arrived.seen(&mut self.requests.borrow_mut(), &event),
+                Some(outcome) = others.outcomes.recv() => self.notified(&outcome),
+                () = sleep_until(next_usage) => {
+                    next_usage += Duration::from_secs(1);
+                    let usage = self.instance.usage().ok_or("the courier ended in the midst of a step")?;
+                    self.usage.push(usage);
                 }
             }
         }
         // What was seen at the last instant.
         sleep(Duration::from_millis(20)).await;
-        while let Ok(seen) = others.seen.try_recv() {
-            came.seen(&mut book.borrow_mut(), &seen);
+        while let Ok(event) = others.seen.try_recv() {
+            self.arrived.seen(&mut self.requests.borrow_mut(), &event);
         }
-        let last = courier.usage().unwrap_or_default();
-        let book = book.borrow();
-        let step = Counted { day, book: &book, came: &came, uses: &uses, last, count };
-        Ok(step.figures(&planned.name, rate))
-    })
+        Ok(())
+    }
+
+    /// The platform was notified of a final outcome: a client retries what was rejected.
+    fn notified(&mut self, outcome: &OutcomeNotification) {
+        if outcome.rejected {
+            let order = self.requests.borrow().ids.get(&outcome.id).copied();
+            if let Some(order) = order {
+                let (requests, body) = (self.requests.clone(), self.made.body);
+                clients::retry_rejected(requests, self.listen, order, outcome.retry_after, body);
+            }
+        } else {
+            self.requests.borrow_mut().finish(&outcome.id, outcome.at, FinalOutcome::Abandoned);
+        }
+    }
 }
 
 struct Counted<'a> {
     day: &'a Scenario,
-    book: &'a RequestLog,
+    requests: &'a RequestLog,
     came: &'a Arrived,
     uses: &'a [Usage],
     last: Usage,
@@ -208,41 +274,41 @@
 
 impl Counted<'_> {
     fn figures(&self, experiment: &str, rate: f64) -> Step {
-        let (mut word, mut end, mut denial) = (histogram(), histogram(), histogram());
+        let (mut first_reply, mut end, mut rejection) = (histogram(), histogram(), histogram());
         let put = |into: &mut Histogram<u64>, time: &Duration| {
             into.saturating_record((time.as_micros() as u64).max(1));
         };
-        let (mut handled, mut in_contract, mut earned, mut worth) = (0u64, 0u64, 0.0, 0.0);
-        for order in &self.book.requests {
-            let grade = self.day.service_classes[order.message.service_class].service_class();
-            worth += grade.value;
-            order.first_reply.iter().for_each(|time| put(&mut word, time));
+        let (mut delivered, mut in_soft_deadline, mut earned, mut value) = (0u64, 0u64, 0.0, 0.0);
+        for order in &self.requests.requests {
+            let class = self.day.service_classes[order.message.service_class].service_class();
+            value += class.value;
+            order.first_reply.iter().for_each(|time| put(&mut first_reply, time));
             if let Some((after, FinalOutcome::Delivered)) = order.outcome {
-                handled += 1;
-                in_contract += u64::from(after <= grade.soft_deadline);
-                earned += grade.value * grade.value_share(after);
+                delivered += 1;
+                in_soft_deadline += u64::from(after <= class.soft_deadline);
+                earned += class.value * class.value_share(after);
                 put(&mut end, &after);
             }
         }
-        self.book.rejection_times.iter().for_each(|time| put(&mut denial, time));
+        self.requests.rejection_times.iter().for_each(|time| put(&mut rejection, time));
         let count = self.count.max(1) as f64;
         let time = |of: &Histogram<u64>, quantile: f64| of.value_at_quantile(quantile) as f64 / 1e6;
         let cpu = (self.last.cpu.saturating_sub(self.uses[0].cpu)).as_secs_f64();
         let memory = self.uses.iter().chain([&self.last]).map(|used| used.memory_kb).max().unwrap_or(0);
         let figures = [
             ("notices", count),
-            ("earned", earned / f64::max(worth, f64::MIN_POSITIVE)),
-            ("handled", handled as f64 / count),
-            ("handled a second", handled as f64 / self.day.length.as_secs_f64()),
-            ("in contract", in_contract as f64 / count),
-            ("sends each", self.came.sends as f64 / count),
-            ("turned away each", self.came.turned_away as f64 / count),
+            ("earned", earned / f64::max(value, f64::MIN_POSITIVE)),
+            ("handled", delivered as f64 / count),
+            ("handled a second", delivered as f64 / self.day.length.as_secs_f64()),
+            ("in contract", in_soft_deadline as f64 / count),
+            ("sends each", self.came.attempts as f64 / count),
+            ("turned away each", self.came.rejected as f64 / count),
             ("ran again", self.came.again as f64),
-            ("denied at once", self.book.rejected as f64),
-            ("no word", self.book.failed as f64),
-            ("word p50 s", time(&word, 0.5)),
-            ("word p99 s", time(&word, 0.99)),
-            ("denial p99 s", time(&denial, 0.99)),
+            ("denied at once", self.requests.rejected as f64),
+            ("no word", self.requests.failed as f64),
+            ("word p50 s", time(&first_reply, 0.5)),
+            ("word p99 s", time(&first_reply, 0.99)),
+            ("denial p99 s", time(&rejection, 0.99)),
             ("p50 s", time(&end, 0.5)),
             ("p99 s", time(&end, 0.99)),
             ("p99.9 s", time(&end, 0.999)),
@@ -260,7 +326,7 @@
     }
 }
 
-/// Plays the steps; without rates, doubles from the day's own until the knee is passed, then narrows it down.
+/// Plays the steps; without rates, doubles from the scenario's own until the knee is passed, then narrows it down.
 pub fn run(planned: &Planned, rates: &[f64], made: &Made, folder: &Path) -> Result<Vec<Step>, String> {
     let day = &planned.variants[0].day;
     endpoints::check_supported(day)?;
@@ -279,7 +345,7 @@
     };
     if rates.is_empty() {
         let (mut under, mut over) = (0.0, own);
-        while over <= MOST_RATE && play(over)? {
+        while over <= MAX_RATE && play(over)? {
             (under, over) = (over, over * 2.0);
         }
         for _ in 0..NARROWING {
@@ -301,13 +367,13 @@
 pub fn line(step: &Step) -> String {
     let f = |name| step.figure(name);
     format!(
-        "{:8.0}/s offered {:8.0}/s handled  in contract {:.4}  word {:.4}/{:.4} s  end {:.4}/{:.4}/{:.4} s  \
+        "{:8.0}/s offered {:8.0}/s delivered  in contract {:.4}  first_reply {:.4}/{:.4} s  end {:.4}/{:.4}/{:.4} s  \
          denied {:.0}  {:.0} us CPU each  {:.1} MB",
         step.rate,
-        f("handled a second"),
+        f("delivered a second"),
         f("in contract"),
-        f("word p50 s"),
-        f("word p99 s"),
+        f("first_reply p50 s"),
+        f("first_reply p99 s"),
         f("p50 s"),
         f("p99 s"),
         f("p99.9 s"),
@@ -335,9 +401,9 @@
         let points = |name: &str| steps.iter().map(|step| (step.rate, step.figure(name))).collect();
         wanted.iter().map(|name| Line { name: (*name).into(), points: points(name) }).collect()
     };
-    at("load-handled.svg", chart::over_rate("handled a second", &lines(&["handled a second"]))?)?;
+    at("load-delivered.svg", chart::over_rate("delivered a second", &lines(&["delivered a second"]))?)?;
     at(
         "load-latency.svg",
-        chart::over_rate("time to the end", &lines(&["p50 s", "p99 s", "p99.9 s", "word p99 s"]))?,
+        chart::over_rate("time to the end", &lines(&["p50 s", "p99 s", "p99.9 s", "first_reply p99 s"]))?,
     )
 }
--- a/crates/quillhub-experiments/src/report.rs
+++ b/crates/quillhub-experiments/src/report.rs
@@ -20,12 +20,16 @@
 
 /// Runs that differ only in their seed.
 pub struct Group<'a> {
+    /// The variant.
     pub variant: &'a str,
+    /// The decider.
     pub decider: &'a str,
+    /// Its runs, by seed.
     pub runs: Vec<&'a Kept>,
 }
 
 impl Group<'_> {
+    /// A figure of each run that has it.
     pub fn values(&self, figure: &str) -> Vec<f64> {
         self.runs.iter().filter_map(|run| run.figures.get(figure)).copied().collect()
     }
@@ -190,7 +194,7 @@
     ))
 }
 
-/// Writes the table, the charts and nothing else into the folder of the runs.
+/// Writes the table, the charts and nothing else into the state directory of the runs.
 pub fn write(folder: &Path, runs: &[Kept]) -> Result<(), String> {
     let at = |path: &Path, error: std::io::Error| format!("{}: {error}", path.display());
     let path = folder.join("table.csv");
--- a/crates/quillhub-experiments/src/results.rs
+++ b/crates/quillhub-experiments/src/results.rs
@@ -12,16 +12,23 @@
 /// One run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Kept {
+    /// The name of the experiment.
     pub experiment: String,
     /// Of the program, and of the experiment's text: runs of another are not taken for this one's.
     pub version: String,
+    /// The digest of the experiment's file.
     pub text: String,
+    /// The variant.
     pub variant: String,
+    /// The decider.
     pub decider: String,
+    /// The seed.
     pub seed: u64,
     /// Of all facts of the run.
     pub hash: String,
+    /// How often a rule was broken.
     pub breaches: usize,
+    /// The first breach, in words.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub first_breach: Option<String>,
     /// By name; shares from 0 to 1, times in seconds.
@@ -98,11 +105,12 @@
     .into()
 }
 
+/// The first breach in words, if there is one.
 pub fn first(breaches: &[Breach]) -> Option<String> {
     breaches.first().map(Breach::to_string)
 }
 
-/// The runs in a folder's `runs.jsonl`, in order; none if there is no such file.
+/// The runs in a state directory's `runs.jsonl`, in order; none if there is no such file.
 pub fn read(folder: &Path) -> Result<Vec<Kept>, String> {
     let path = folder.join("runs.jsonl");
     let text = match std::fs::read_to_string(&path) {
--- a/crates/quillhub-experiments/src/scale.rs
+++ b/crates/quillhub-experiments/src/scale.rs
@@ -1,4 +1,4 @@
-//! Slopes: how a courier's cost grows with one size, played on loopback by `quillhub-scale`, as table, CSV and charts.
+//! Slopes: how an instance's cost grows with one size, played on loopback by `quillhub-scale`, as table, CSV and charts.
 
 use crate::chart::{self, Line};
 use crate::results::round;
@@ -91,7 +91,7 @@
     std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Plays the experiment at `path` with the courier's `program`, keeps what came of it in `folder`, and prints a table.
+/// Plays the experiment at `path` with the instance's `program`, keeps what came of it in `state directory`, and prints a table.
 pub fn run(path: &Path, program: &Path, folder: &Path) -> Result<(), String> {
     let plan = Plan::read(path)?;
     check(&plan, path)?;
--- a/crates/quillhub-experiments/src/sweep.rs
+++ b/crates/quillhub-experiments/src/sweep.rs
@@ -20,8 +20,11 @@
 
 /// A run to be played.
 pub struct Run<'a> {
+    /// The variant that is played.
     pub variant: &'a Variant,
+    /// The decider.
     pub decider: Named,
+    /// The seed.
     pub seed: u64,
 }
 
@@ -46,6 +49,7 @@
         format!("{:016x}", hasher.finish())
     }
 
+    /// Plays one run; `seen` is handed each fact.
     pub fn play(&self, run: &Run, seen: impl FnMut(Duration, &Fact)) -> Report {
         let make =
             |start: &quillhub_simulator::Start| baselines::make(run.decider, &self.of.baselines, start);
@@ -75,7 +79,7 @@
     move |error| format!("{}: {error}", path.display())
 }
 
-/// Plays what is not yet kept in `folder`, and gives all runs in order. `shown` shows how far it came.
+/// Plays what is not yet kept in `state directory`, and gives all runs in order. `shown` shows how far it came.
 pub fn run(planned: &Planned, folder: &Path, shown: bool) -> Result<Vec<Kept>, String> {
     std::fs::create_dir_all(folder).map_err(at(folder))?;
     let text = planned.text_hash();
--- a/crates/quillhub-experiments/tests/article.rs
+++ b/crates/quillhub-experiments/tests/article.rs
@@ -1,12 +1,12 @@
-//! The source's worked examples, played in the emulator by the baselines. Minutes are counted as the article does: what
-//! is new in a minute is first repeated in the next, so its notices come in each minute's second half.
+//! The source's worked examples, played in the simulation by the baselines. Minutes are counted as the article does: what
+//! is new in a minute is first repeated in the next, so its messages come in each minute's second half.
 
 use quillhub_experiments::baselines::{Baselines, ideal_gap};
 use quillhub_experiments::experiment::Planned;
 use quillhub_simulator::{Fact, Report};
 use std::time::Duration;
 
-/// A day with one destination, one courier without bounds and a network that takes no time.
+/// A day with one destination, one instance without bounds and a network that takes no time.
 fn plan(decider: &str, [length, limit]: [&str; 2], arrivals: &str, baselines: &str, more: &str) -> Planned {
     let text = format!(
         "format = 1
@@ -54,7 +54,7 @@
     planned.play(&planned.runs()[0], seen)
 }
 
-/// Instants of all sends.
+/// Instants of all attempts.
 fn sends(planned: &Planned) -> Vec<Duration> {
     let mut at = Vec::new();
     play(planned, |now, fact| {
@@ -97,7 +97,7 @@
     assert!((18.8..19.2).contains(&(minutes[9] as f64 / 600.0)));
 }
 
-/// What the article's rounding leaves out: with notices spread evenly, half of a minute's own repeat within it.
+/// What the article's rounding leaves out: with messages spread evenly, half of a minute's own retry within it.
 #[test]
 fn an_even_stream_has_half_a_minute_more() {
     let minutes = storm("{ law = 'even' }");
@@ -204,7 +204,7 @@
         &outage("hang", "10 min"),
     );
     let minutes = per(&sends(&planned), 60, 10);
-    // From the second on: 600 first tries, and a tenth; one more where a span's ends fall into a minute.
+    // From the second on: 600 first attempts, and a tenth; one more where a span's ends fall into a minute.
     assert!(minutes[1..].iter().all(|count| (650..=662).contains(count)), "{minutes:?}");
 }
 
--- a/crates/quillhub-experiments/tests/capacity.rs
+++ b/crates/quillhub-experiments/tests/capacity.rs
@@ -141,7 +141,7 @@
     command.current_dir(folder).args(arguments).output().unwrap()
 }
 
-/// A refused run: one line, status 2, and nothing made.
+/// A rejected run: one line, status 2, and nothing made.
 fn refused(text: &str, told: &str) {
     let folder = Folder::new();
     std::fs::write(folder.0.join("scale-bad.toml"), text).unwrap();
--- a/crates/quillhub-scale/src/clients.rs
+++ b/crates/quillhub-scale/src/clients.rs
@@ -19,7 +19,7 @@
 /// Deadline of the load's messages, in milliseconds.
 const DEADLINE_MS: u64 = 8_000;
 /// Messages of the load that may be on their way: none more are offered until some are delivered, so that an instance
-/// that is too slow is measured at its own pace and not while it drowns.
+/// that is too slow is measured at its adaptive rate and not while it drowns.
 const MOST_OUTSTANDING: u64 = 64;
 /// How long a client waits for a word.
 const PATIENCE: Duration = Duration::from_secs(10);
--- a/crates/quillhub-scale/src/lightweight.rs
+++ b/crates/quillhub-scale/src/lightweight.rs
@@ -8,7 +8,7 @@
     NewMessage,
 };
 use quillhub_server::MOST_LINE;
-use quillhub_server::connection::{ConnectionError as Broken, HttpConnection as Link};
+use quillhub_server::connection::{ConnectionError, HttpConnection};
 use quillhub_server::http::{self, Head};
 use serde_json::Value;
 use std::cell::RefCell;
@@ -77,7 +77,7 @@
     pub beginning: Instant,
 }
 
-/// What the module asked for in one round.
+/// What the dispatcher asked for in one round.
 #[derive(Default)]
 struct Actions {
     calls: Vec<MessageId>,
@@ -87,10 +87,10 @@
 }
 
 impl Driver for Actions {
-    fn start_attempt(&mut self, id: MessageId, _endpoint: &str, _patience: Duration) {
+    fn start_attempt(&mut self, id: MessageId, _endpoint: &str, _timeout: Duration) {
         self.calls.push(id);
     }
-    fn reject(&mut self, id: MessageId, _come_back: Option<Duration>) {
+    fn reject(&mut self, id: MessageId, _retry_after: Option<Duration>) {
         self.ended.push((id, true));
     }
     fn abandon(&mut self, id: MessageId) {
@@ -109,12 +109,12 @@
 
 /// The state of one lightweight instance.
 struct State {
-    courier: Dispatcher,
+    dispatcher: Dispatcher,
     started: Instant,
     wakes: BinaryHeap<Reverse<Instant>>,
     /// Calls of each message so far, by its id; ids count up.
     calls: std::collections::BTreeMap<MessageId, u32>,
-    finals: VecDeque<(MessageId, bool)>,
+    outcomes: VecDeque<(MessageId, bool)>,
     gossip: VecDeque<Vec<u8>>,
     next: MessageId,
 }
@@ -123,7 +123,7 @@
     state: RefCell<State>,
     /// There is something to do for the tasks that wait: a timer, a final outcome, gossip.
     timer: Notify,
-    finals: Notify,
+    outcomes: Notify,
     gossip: Notify,
     status: Arc<Status>,
     common: Common,
@@ -138,18 +138,18 @@
         let mut calls = VecDeque::from(calls);
         while let Some(id) = calls.pop_front() {
             let nth = *state.calls.entry(id).and_modify(|calls| *calls += 1).or_insert(0);
-            let handled = nth >= FAILED_CALLS;
-            let outcome = if handled { AttemptOutcome::Delivered } else { AttemptOutcome::ConnectFailed };
-            if handled {
+            let delivered = nth >= FAILED_CALLS;
+            let outcome = if delivered { AttemptOutcome::Delivered } else { AttemptOutcome::ConnectFailed };
+            if delivered {
                 state.calls.remove(&id);
             }
-            let more = self.round(&mut state, |courier| {
-                courier.attempt_ended(AttemptResult {
+            let more = self.round(&mut state, |dispatcher| {
+                dispatcher.attempt_ended(AttemptResult {
                     message: id,
                     attempt: nth,
                     outcome,
                     duration: Duration::from_millis(1),
-                    finished: handled,
+                    finished: delivered,
                     load_report: None,
                 });
             });
@@ -161,9 +161,9 @@
     /// One event, and the calls that it leads to.
     fn round<T>(&self, state: &mut State, event: impl FnOnce(&mut Dispatcher) -> T) -> (T, Vec<MessageId>) {
         let mut actions = Actions::default();
-        state.courier.advance_to(state.started.elapsed());
-        let told = event(&mut state.courier);
-        state.courier.apply_rules(&mut actions);
+        state.dispatcher.advance_to(state.started.elapsed());
+        let told = event(&mut state.dispatcher);
+        state.dispatcher.apply_rules(&mut actions);
         let now = Instant::now();
         if !actions.wakes.is_empty() {
             state.wakes.extend(actions.wakes.iter().map(|wait| Reverse(now + *wait)));
@@ -173,8 +173,8 @@
             actions.ended.iter().for_each(|(id, _)| {
                 state.calls.remove(id);
             });
-            state.finals.extend(actions.ended);
-            self.finals.notify_one();
+            state.outcomes.extend(actions.ended);
+            self.outcomes.notify_one();
         }
         if !actions.gossip.is_empty() {
             state.gossip.extend(actions.gossip);
@@ -198,11 +198,11 @@
             tenant: None,
             destination,
         };
-        let accepted = self.event(|courier| courier.accept(message));
+        let accepted = self.event(|dispatcher| dispatcher.accept(message));
         accepted.expect("the settings have this service class");
     }
 
-    /// Tells the module a list or changes of it.
+    /// Tells the dispatcher a list or changes of it.
     fn apply(&self, list: &Value) -> io::Result<u64> {
         let malformed = || io::Error::from(io::ErrorKind::InvalidData);
         let revision = list["revision"].as_u64().ok_or_else(malformed)?;
@@ -210,7 +210,7 @@
         let whole = list["complete"].as_bool().unwrap_or(false);
         let word = |row: &Value, name: &str| row[name].as_str().unwrap_or_default().to_owned();
         let names: BTreeSet<String> = rows.iter().map(|row| word(row, "id")).collect();
-        self.event(|courier| {
+        self.event(|dispatcher| {
             for row in rows {
                 let listing = match row["phase"].as_str() {
                     Some("up") => EndpointState::Available,
@@ -219,7 +219,7 @@
                 };
                 let (name, zone, kind) = (word(row, "id"), word(row, "locality"), word(row, "flavor"));
                 let owner = row["cell"].as_u64().unwrap_or_default();
-                courier.endpoint_updated(EndpointUpdate {
+                dispatcher.endpoint_updated(EndpointUpdate {
                     name: &name,
                     zone: &zone,
                     kind: &kind,
@@ -228,7 +228,7 @@
                     listed_rate: row["size"].as_f64(),
                 });
             }
-            courier.endpoint_list_ended(whole.then_some(&names), true);
+            dispatcher.endpoint_list_ended(whole.then_some(&names), true);
         });
         let since = self.common.beginning.elapsed().as_nanos() as u64;
         self.status.in_force_ns.store(since, Ordering::Release);
@@ -241,9 +241,9 @@
         let after = match *revision {
             Some(revision) => revision,
             None => {
-                let mut link = Link::open(at).await?;
+                let mut link = HttpConnection::open(at).await?;
                 let head = ask(&mut link, at, "GET", "/registry/instances", &[]).await?;
-                let framing = head.framing().map_err(Broken::from)?;
+                let framing = head.framing().map_err(ConnectionError::from)?;
                 let body = timeout(SILENCE, link.body(framing, MOST_LINE)).await??;
                 let first = self.apply(&serde_json::from_slice(&body)?)?;
                 *revision = Some(first);
@@ -252,7 +252,7 @@
                 first
             }
         };
-        let mut link = Link::open(at).await?;
+        let mut link = HttpConnection::open(at).await?;
         ask(&mut link, at, "GET", &format!("/registry/instances?watch=1&after={after}"), &[]).await?;
         let mut text = Vec::new();
         loop {
@@ -279,7 +279,7 @@
         }
     }
 
-    async fn tell_platform(&self) {
+    async fn report_outcomes(&self) {
         let mut link = None;
         loop {
             let (count, body) = {
@@ -288,15 +288,15 @@
                     let result = if *rejected { "bounced" } else { "dead" };
                     format!("{{\"ref\":\"h{}-{id}\",\"result\":\"{result}\"}}\n", self.number)
                 };
-                (state.finals.len(), state.finals.iter().map(line).collect::<String>())
+                (state.outcomes.len(), state.outcomes.iter().map(line).collect::<String>())
             };
             if count == 0 {
-                self.finals.notified().await;
+                self.outcomes.notified().await;
                 continue;
             }
             match self.post(link.take(), body.as_bytes()).await {
                 Ok(kept) => {
-                    self.state.borrow_mut().finals.drain(..count);
+                    self.state.borrow_mut().outcomes.drain(..count);
                     self.status.confirmed.fetch_add(count as u64, Ordering::Release);
                     link = Some(kept);
                 }
@@ -305,11 +305,11 @@
         }
     }
 
-    async fn post(&self, link: Option<Link>, body: &[u8]) -> io::Result<Link> {
+    async fn post(&self, link: Option<HttpConnection>, body: &[u8]) -> io::Result<HttpConnection> {
         let at = self.common.control;
         let mut link = match link {
             Some(link) => link,
-            None => Link::open(at).await?,
+            None => HttpConnection::open(at).await?,
         };
         let head = timeout(SILENCE, ask(&mut link, at, "POST", "/v2/finals", body)).await??;
         if head.status == 204 { Ok(link) } else { Err(io::ErrorKind::InvalidData.into()) }
@@ -337,7 +337,7 @@
         loop {
             tokio::select! {
                 came = socket.recv_from(&mut octets) => if let Ok((length, _)) = came {
-                    self.event(|courier| courier.gossip_received(&octets[..length]));
+                    self.event(|dispatcher| dispatcher.gossip_received(&octets[..length]));
                 },
                 () = self.gossip.notified() => {
                     let messages = std::mem::take(&mut self.state.borrow_mut().gossip);
@@ -363,21 +363,21 @@
 
 async fn live(common: Common, number: u64, status: Arc<Status>, socket: Rc<UdpSocket>) {
     let read = quillhub_settings::read(common.seed + number, &settings::decisions(common.couriers));
-    let (mut courier, _) = read.expect("the rig's own settings can be read");
-    courier.disable_batching();
+    let (mut dispatcher, _) = read.expect("the rig's own settings can be read");
+    dispatcher.disable_batching();
     let state = State {
-        courier,
+        dispatcher,
         started: Instant::now(),
         wakes: BinaryHeap::new(),
         calls: Default::default(),
-        finals: VecDeque::new(),
+        outcomes: VecDeque::new(),
         gossip: VecDeque::new(),
         next: 0,
     };
     let lightweight = Lightweight {
         state: RefCell::new(state),
         timer: Notify::new(),
-        finals: Notify::new(),
+        outcomes: Notify::new(),
         gossip: Notify::new(),
         status,
         common,
@@ -385,7 +385,7 @@
     };
     tokio::join!(
         lightweight.follow_discovery(),
-        lightweight.tell_platform(),
+        lightweight.report_outcomes(),
         lightweight.keep_timers(),
         lightweight.exchange_gossip(&socket),
         lightweight.make_gossip(),
@@ -393,7 +393,13 @@
 }
 
 /// Asks on `link`, a connection to `at`; the answer's head.
-async fn ask(link: &mut Link, at: SocketAddr, method: &str, path: &str, body: &[u8]) -> io::Result<Head> {
+async fn ask(
+    link: &mut HttpConnection,
+    at: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &[u8],
+) -> io::Result<Head> {
     link.write(&http::request(method, path, &at.to_string(), &[], body)).await?;
     Ok(link.head().await?)
 }
--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -112,8 +112,8 @@
 }
 
 impl From<String> for Stop {
-    fn from(trouble: String) -> Self {
-        Self::Fails(trouble)
+    fn from(fault: String) -> Self {
+        Self::Fails(fault)
     }
 }
 
@@ -121,7 +121,7 @@
     Err(Stop::Breaks(what.into()))
 }
 
-/// Plays `sizes` once with the instance's `program`. A size at which it breaks is a result; `Err` says that the rig
+/// Plays `sizes` once with the instance's `program`. A size at which it breaks is a result; `Err` says that the scale tests
 /// failed.
 pub fn play(plan: &Plan, sizes: &Sizes, seed: u64, program: &Path) -> Result<Played, String> {
     let mut played = Played::default();
@@ -165,7 +165,7 @@
     until: Instant,
     fleet: Fleet,
     folder: Folder,
-    courier: InstanceProcess,
+    instance: InstanceProcess,
     listen: SocketAddr,
     ready: Duration,
     /// Messages submitted before the measurement.
@@ -190,7 +190,7 @@
         let configured = configure(&fleet, &folder, "real", listen, sizes, seed, Some(&known))?;
         drop(known);
         let begun = Instant::now();
-        let courier = start(program, &folder, "real", &configured)?;
+        let instance = start(program, &folder, "real", &configured)?;
         if !ready(listen, until.saturating_duration_since(begun)).await {
             return breaks("the courier does not answer within the time of a point");
         }
@@ -203,7 +203,7 @@
             until,
             fleet,
             folder,
-            courier,
+            instance,
             listen,
             ready,
             warmed: 0,
@@ -235,7 +235,7 @@
 
     fn processor_time(&self) -> Result<Duration, Stop> {
         let lost = || Stop::Breaks("the courier's process ended".into());
-        self.courier.processor_time().ok_or_else(lost)
+        self.instance.processor_time().ok_or_else(lost)
     }
 
     fn control(&self) -> Control {
@@ -311,7 +311,7 @@
         played.put(figure::DELIVERED, delivered() as f64 / span);
         let all = (offered.accepted + offered.refused).max(1);
         played.put(figure::REJECTED, offered.refused as f64 / all as f64);
-        let used = self.courier.usage().ok_or_else(|| Stop::Breaks("the courier's process ended".into()))?;
+        let used = self.instance.usage().ok_or_else(|| Stop::Breaks("the courier's process ended".into()))?;
         played.put(figure::MEMORY_MB, used.memory_kb as f64 / 1_024.0);
         Ok(())
     }
@@ -367,10 +367,10 @@
         let state = size_of(&state_directory(&self.folder, "real"));
         played.put(figure::STATE_MB, state as f64 / (1024.0 * 1024.0));
         let fails = |e: std::io::Error| Stop::Fails(format!("the courier cannot be ended: {e}"));
-        self.courier.signal("KILL").map_err(fails)?;
-        self.courier.end().await.map_err(fails)?;
+        self.instance.signal("KILL").map_err(fails)?;
+        self.instance.end().await.map_err(fails)?;
         let begun = Instant::now();
-        self.courier = start(self.program, &self.folder, "real", &self.folder.0.join("real.json"))?;
+        self.instance = start(self.program, &self.folder, "real", &self.folder.0.join("real.json"))?;
         if !ready(self.listen, self.until.saturating_duration_since(begun)).await {
             return breaks("the restarted courier does not answer within the time of a point");
         }
@@ -382,20 +382,20 @@
     async fn by_discovery(&mut self, played: &mut Played) -> Result<(), Stop> {
         let list = self.fleet.control.list().await?;
         played.put(figure::LIST_BYTES, list.len() as f64);
-        self.courier.signal("KILL").map_err(|e| Stop::Fails(e.to_string()))?;
+        self.instance.signal("KILL").map_err(|e| Stop::Fails(e.to_string()))?;
         let listen = free_port()?;
         let configured = configure(&self.fleet, &self.folder, "bare", listen, &self.sizes, self.seed, None)?;
         let begun = Instant::now();
-        let _courier = start(self.program, &self.folder, "bare", &configured)?;
-        let patience = self.until.saturating_duration_since(begun);
-        if !ready(listen, patience).await {
+        let _instance = start(self.program, &self.folder, "bare", &configured)?;
+        let timeout_span = self.until.saturating_duration_since(begun);
+        if !ready(listen, timeout_span).await {
             return breaks("the courier does not answer within the time of a point");
         }
         let counter = self.fleet.destinations.delivered();
         let before = counter.load(Ordering::Relaxed);
         let load = crate::plan::Load { connections: 1, per_s: 1.0, loaded: LOOK, ..self.plan.load };
         clients::play(listen, &load, 1, &counter, 1 << 32).await?;
-        let most = begun + FIRST_DELIVERY.min(patience);
+        let most = begun + FIRST_DELIVERY.min(timeout_span);
         while counter.load(Ordering::Relaxed) == before {
             if Instant::now() >= most {
                 let (bytes, span) = (list.len(), FIRST_DELIVERY.as_secs());
