--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -10,7 +10,7 @@
 use quillhub_fakes::platform::{self, Discovery, OutcomeNotification};
 use quillhub_fakes::process::{InstanceProcess, Usage};
 use quillhub_fakes::{configuration, scratch};
-use quillhub_simulator::{Arrival, FinalOutcome, Scenario, arrivals};
+use quillhub_simulator::{FinalOutcome, Scenario, arrivals};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -153,12 +153,7 @@
 
 /// The messages of a scenario, as clients hand them in.
 fn scheduled(scenario: &Scenario, seed: u64) -> Result<Vec<ScheduledMessage>, String> {
-    let schedule = |arrival: Arrival| ScheduledMessage {
-        at: arrival.at,
-        service_class: arrival.service_class,
-        destination: arrival.destination,
-    };
-    let messages: Vec<_> = arrivals(scenario, seed).into_iter().map(schedule).collect();
+    let messages: Vec<_> = arrivals(scenario, seed).into_iter().map(ScheduledMessage::from).collect();
     if messages.len() > MAX_MESSAGES {
         return Err(format!("expected at most {MAX_MESSAGES} notices in a step, found {}", messages.len()));
     }
--- a/crates/quillhub-fakes/src/accept.rs
+++ b/crates/quillhub-fakes/src/accept.rs
@@ -1,4 +1,4 @@
-//! The accept loop of every stand-in.
+//! The accept loop of every fake.
 
 use std::future::Future;
 use std::time::Duration;
--- a/crates/quillhub-fakes/src/clients.rs
+++ b/crates/quillhub-fakes/src/clients.rs
@@ -1,7 +1,7 @@
 //! Open-loop clients of one instance: each message has its instant, and its times count from then on, whether or not
 //! a connection was free. What is rejected is submitted again as the scenario's clients do.
 
-use quillhub_simulator::{FinalOutcome, Scenario};
+use quillhub_simulator::{Arrival, FinalOutcome, Scenario};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
@@ -31,6 +31,12 @@
     pub destination: u64,
 }
 
+impl From<Arrival> for ScheduledMessage {
+    fn from(arrival: Arrival) -> Self {
+        Self { at: arrival.at, service_class: arrival.service_class, destination: arrival.destination }
+    }
+}
+
 /// What a client knows of a message, from its instant on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
--- a/crates/quillhub-server/tests/scenario.rs
+++ b/crates/quillhub-server/tests/scenario.rs
@@ -5,7 +5,7 @@
 use quillhub_fakes::endpoints::{self, EndpointEventKind};
 use quillhub_fakes::platform::{self, Discovery};
 use quillhub_fakes::{configuration, scratch};
-use quillhub_simulator::{Arrival, FinalOutcome, Scenario, arrivals};
+use quillhub_simulator::{FinalOutcome, Scenario, arrivals};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::thread::JoinHandle;
@@ -75,15 +75,6 @@
     Box::leak(Box::new(scenario))
 }
 
-fn scheduled_messages(scenario: &Scenario, seed: u64) -> Vec<ScheduledMessage> {
-    let schedule = |arrival: Arrival| ScheduledMessage {
-        at: arrival.at,
-        service_class: arrival.service_class,
-        destination: arrival.destination,
-    };
-    arrivals(scenario, seed).into_iter().map(schedule).collect()
-}
-
 /// Runs an instance on a thread of its own until it is stopped.
 fn serve(
     configuration: String,
@@ -118,7 +109,7 @@
         let instance = serve(text, state.0.clone(), stopped);
         assert!(clients::ready(listen, Duration::from_secs(30)).await);
         let requests = RequestLog::new(scenario, 7, started);
-        let messages = scheduled_messages(scenario, 7);
+        let messages: Vec<_> = arrivals(scenario, 7).into_iter().map(ScheduledMessage::from).collect();
         let count = messages.len();
         let played = spawn_local(clients::play(requests.clone(), listen, messages, 16, 50));
         let mut ran = BTreeMap::<String, u32>::new();
