--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
-//! The dispatcher of quillhub, an outbound message gateway: it decides when a message is attempted, at which
-//! endpoint, when it is retried and when it is given up.
+//! Decision logic of quillhub, an outbound message gateway: when a message is attempted, at which endpoint, when it
+//! is retried and when it is given up.
 //!
-//! There is no I/O, no clock and no randomness of its own here. A host makes one [`Dispatcher`] for each gateway
-//! instance, tells it what happened through its methods, and carries out what it decides through [`Driver`].
-//! Times are spans since that instance's own start.
+//! The crate performs no I/O and reads no clock, and a seed determines its random draws. The host, the program that
+//! embeds the crate, creates one [`Dispatcher`] per gateway instance, reports events through its methods, and carries
+//! out its decisions by implementing [`Driver`]. A point in time is a [`Duration`] on the instance's own clock, which
+//! starts at zero.
 
 mod attempt;
 mod dispatcher;
@@ -25,6 +26,7 @@
 
 use std::time::Duration;
 
+/// Shorthand for [`Duration::from_millis`].
 pub(crate) const fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
