--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -1,68 +1,68 @@
-//! Attempts: one call each made to deliver a message, and how it ended.
+//! Attempts to deliver a message, their outcomes, and the load reports in responses.
 
 use crate::MessageId;
 use std::time::Duration;
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptOutcome {
-    /// The endpoint did what was asked.
+    /// The endpoint reported success.
     Delivered,
-    /// The endpoint answered with an error; the message may have been executed.
+    /// The endpoint reported an error; the message may have been executed.
     Failed,
-    /// The endpoint turned the message away unexecuted.
+    /// The endpoint rejected the message without executing it.
     Rejected {
-        /// How long the endpoint asks to wait, if it does.
+        /// Delay that the endpoint requests before the next attempt, if any.
         retry_after: Option<Duration>,
     },
-    /// The same, by a response that is not well-formed: the message may have been executed.
+    /// The response is a rejection but not well-formed, so the message may have been executed.
     AmbiguousRejection {
-        /// How long the endpoint asks to wait, if it does.
+        /// Delay that the endpoint requests before the next attempt, if any.
         retry_after: Option<Duration>,
     },
-    /// No response came within the attempt timeout.
+    /// No response arrived within the attempt timeout; the message may have been executed.
     TimedOut,
-    /// The connection did not come up, or broke before the request was written.
+    /// The connection could not be established, or broke before the request was written.
     ConnectFailed,
-    /// The connection broke after the request was written.
+    /// The connection broke after the request was written; the message may have been executed.
     ConnectionReset,
-    /// The attempt was called off.
+    /// The attempt was cancelled; the message may have been executed.
     Cancelled,
     /// The request never left this instance.
     NotSent,
-    /// Turned away on a new connection, as one more than the endpoint holds.
+    /// The endpoint refused the call because it holds as many connections as it allows.
     ConnectionLimit,
 }
 
 impl AttemptOutcome {
-    /// True if the message is known not to have been executed.
+    /// Returns `true` if the message is known not to have been executed by the attempt.
     pub fn never_executed(self) -> bool {
         matches!(self, Self::Rejected { .. } | Self::ConnectFailed | Self::ConnectionLimit | Self::NotSent)
     }
 }
 
-/// What a response tells of its route's rate limit.
+/// State of a route's rate limit, as reported in a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// The share of the limit that is left, from 0 to 1.
+    /// Share of the rate limit that is left, from 0 to 1.
     pub remaining_share: f64,
-    /// The limit in calls a second; 0 if there is none.
+    /// Rate limit in calls per second; 0 if the route has none.
     pub rate_limit: f64,
 }
 
-/// The end of an attempt, as its host tells it.
+/// Result of an attempt, reported through [`Dispatcher::attempt_ended`](crate::Dispatcher::attempt_ended).
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
-    /// The message.
+    /// Message that was attempted.
     pub message: MessageId,
-    /// The attempt's number, counted from 0.
+    /// Number of the attempt among those of its message, counted from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// How long it took.
+    /// Time from the start of the attempt to its end.
     pub duration: Duration,
-    /// Whether the message has its final outcome by it.
+    /// `true` if the message has its final outcome with this attempt.
     pub finished: bool,
-    /// The endpoint's load report, if it gave one.
+    /// Load report in the response, if any.
     pub load_report: Option<LoadReport>,
 }
