--- a/src/driver.rs
+++ b/src/driver.rs
@@ -1,26 +1,26 @@
-//! What a host does for a dispatcher.
+//! Interface between a dispatcher and its host: the actions it requests and the events it logs.
 
 use crate::{DestinationId, Health, MessageId};
 use std::fmt;
 use std::time::Duration;
 
-/// What a dispatcher reports for the log.
+/// Event that a dispatcher reports for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// What this instance takes an endpoint for has changed.
+    /// This instance's assessment of an endpoint's health changed.
     HealthChanged {
-        /// The endpoint's name.
+        /// Name of the endpoint.
         endpoint: String,
-        /// Its destination.
+        /// Destination that the endpoint belongs to.
         destination: DestinationId,
-        /// What it was taken for.
+        /// Health before the change.
         before: Health,
-        /// What it is taken for from now on.
+        /// Health after the change.
         after: Health,
     },
-    /// The queue is nearly full, and the message of the least value was rejected.
+    /// The queue was nearly full, and the pending message of the least value was rejected.
     QueueShort {
-        /// Messages still pending.
+        /// Messages still pending after the rejection.
         pending: usize,
         /// Attempts in flight.
         in_flight: usize,
@@ -40,21 +40,23 @@
     }
 }
 
-/// Carries out what a dispatcher decides. Each call takes effect at the time of the event being handled.
+/// Actions that a dispatcher requests from its host. Each takes effect at the time of the event being handled.
 pub trait Driver {
-    /// Calls `endpoint` for `message`; without a response after `timeout` the attempt ends as timed out.
+    /// Starts an attempt to deliver `message` to `endpoint`. Without a response within `timeout`, its outcome is
+    /// [`AttemptOutcome::TimedOut`](crate::AttemptOutcome::TimedOut).
     fn start_attempt(&mut self, message: MessageId, endpoint: &str, timeout: Duration);
-    /// Final outcome: not delivered, and harmless to hand in again, best after `retry_after`.
+    /// Gives `message` the final outcome rejected: it was not delivered and is safe to submit again, preferably after
+    /// `retry_after`.
     fn reject(&mut self, message: MessageId, retry_after: Option<Duration>);
-    /// Final outcome: not delivered as far as is known; it may have been executed.
+    /// Gives `message` the final outcome abandoned: it is not known to be delivered, but may have been executed.
     fn abandon(&mut self, message: MessageId);
-    /// Closes this instance's idle connections to `endpoint`.
+    /// Closes the instance's idle connections to `endpoint`.
     fn close_idle_connections(&mut self, endpoint: &str);
-    /// Sends a gossip message to every other instance; it may be lost.
+    /// Sends a gossip message to every other instance, without any guarantee of delivery.
     fn broadcast(&mut self, gossip: &[u8]);
-    /// Asks for [`Dispatcher::timer_fired`](crate::Dispatcher::timer_fired) after `wait`.
+    /// Schedules a call of [`Dispatcher::timer_fired`](crate::Dispatcher::timer_fired) after `wait`.
     fn set_timer(&mut self, wait: Duration);
-    /// Asks discovery for the endpoint list's changes from now on.
+    /// Requests changes of the endpoint list from discovery from now on.
     fn watch_endpoints(&mut self);
     /// Writes an event to the log.
     fn log(&mut self, event: &LogEvent);
