--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,42 +1,42 @@
-//! Endpoints as the endpoint list describes them.
+//! Entries of the endpoint list.
 
 use crate::DestinationId;
 
-/// An endpoint's state in the endpoint list.
+/// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EndpointState {
-    /// It takes calls.
+    /// The endpoint accepts calls.
     Available,
-    /// It finishes what it has and takes nothing new.
+    /// The endpoint completes the calls in progress and accepts no new ones.
     Draining,
-    /// It is no longer there.
+    /// The endpoint has left the endpoint list.
     Removed,
 }
 
-/// How far the rates of the endpoint list can be relied on.
+/// Accuracy of the rates in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedRate {
-    /// The list gives none, or they mean nothing.
+    /// No rates are listed, or they are meaningless.
     Absent,
-    /// They are what the endpoints take.
+    /// The listed rates are those that the endpoints accept.
     Exact,
-    /// They are up to half too high or too low.
+    /// The listed rates are up to half too high or too low.
     Approximate,
 }
 
-/// One entry of the endpoint list, or a change of it.
+/// Entry of the endpoint list, or a change to one.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointUpdate<'a> {
-    /// The endpoint's name.
+    /// Name of the endpoint.
     pub name: &'a str,
-    /// The zone that it stands in.
+    /// Zone in which the endpoint runs.
     pub zone: &'a str,
-    /// The kind of its destination.
+    /// Kind of the endpoint's destination, to which batch limits and separate routes apply.
     pub kind: &'a str,
-    /// The destination that it belongs to.
+    /// Destination that the endpoint belongs to.
     pub destination: DestinationId,
-    /// Its state.
+    /// State of the endpoint from now on.
     pub state: EndpointState,
-    /// The calls a second that its destination takes, where the list tells.
+    /// Calls per second that the destination accepts, if listed.
     pub listed_rate: Option<f64>,
 }
