--- a/src/message.rs
+++ b/src/message.rs
@@ -1,61 +1,64 @@
-//! Messages and their service classes: what a message is worth, how long it lasts, and what a retry may do.
+//! Messages and their service classes: value, deadlines, and the effect of a retry.
 
 use std::time::Duration;
 
-/// A message's identifier, as its host gives it.
+/// Identifier of a message, assigned by the host.
 pub type MessageId = u64;
-/// A destination's number, as its host gives it.
+/// Number of a destination, assigned by the host.
 pub type DestinationId = u64;
 
-/// What a second execution of a message would do at its destination.
+/// Effect of executing a message a second time at its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatSafety {
-    /// It may be executed again without harm.
+    /// The message can be executed again without harm.
     Idempotent,
-    /// It carries an idempotency key by which its destination recognises a retry.
+    /// The message carries an idempotency key by which its destination recognizes a retry.
     Deduplicated {
-        /// How long the key is remembered, counted from the first attempt that may have been executed.
+        /// Deduplication window: how long the destination remembers the key, counted from the first attempt that may
+        /// have been executed.
         window: Duration,
-        /// Whether the key is known only to the endpoints of the zone that saw it first.
+        /// `true` if only the endpoints in the zone that first received the key know it.
         per_zone: bool,
     },
-    /// It must never be executed twice.
+    /// The message must never be executed twice.
     AtMostOnce,
 }
 
-/// How a message's value falls once its soft deadline has passed.
+/// Decline of a message's value after its soft deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueDecay {
-    /// Evenly, until the deadline.
+    /// The value falls linearly until the deadline.
     Linear,
-    /// By half with each further soft deadline's time.
+    /// The value halves with each further period as long as the soft deadline, down to the share left at the deadline.
     Halving,
 }
 
-/// A service class: what a message of it is worth, and until when.
+/// Service class of a message: its value, its deadlines, and the constraints on its attempts.
+///
+/// The age of a message counts from its first submission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceClass {
-    /// What a second execution would do.
+    /// Effect of a second execution.
     pub repeat_safety: RepeatSafety,
-    /// Delivered at this age or earlier, a message has its full value.
+    /// Age up to which a delivered message has its full value.
     pub soft_deadline: Duration,
-    /// At this age a message is given up.
+    /// Age at which an undelivered message is given up.
     pub deadline: Duration,
-    /// The value of a message delivered before its soft deadline.
+    /// Value of a message delivered by its soft deadline, in a unit common to all service classes.
     pub value: f64,
-    /// The share of the value that is left at the deadline.
+    /// Share of the value that is left at the deadline, from 0 to 1.
     pub late_value_share: f64,
-    /// How the value falls between the two deadlines.
+    /// Decline of the value between the soft deadline and the deadline.
     pub decay: ValueDecay,
-    /// Whether messages with the same ordering key are delivered one at a time, in order.
+    /// `true` if messages with the same ordering key are delivered one at a time, in order of acceptance.
     pub ordered: bool,
 }
 
-/// The least span over which a linear decay runs, in seconds.
-const LEAST_DECAY_SPAN: f64 = 0.001;
+/// Minimum length of a linear decay, which keeps the division by it defined when both deadlines are equal.
+const MIN_DECAY_SECS: f64 = 0.001;
 
 impl ServiceClass {
-    /// The share of the value that is left when a message is delivered at `age`.
+    /// Returns the share of the value that is left when a message is delivered at `age`.
     ///
     /// ```
     /// use quillhub::{RepeatSafety, ServiceClass, ValueDecay};
@@ -81,56 +84,56 @@
         if age <= self.soft_deadline {
             return 1.0;
         }
-        let late = (age - self.soft_deadline).as_secs_f64();
+        let late_secs = (age - self.soft_deadline).as_secs_f64();
         match self.decay {
             ValueDecay::Halving => {
-                0.5f64.powf(late / self.soft_deadline.as_secs_f64()).max(self.late_value_share)
+                0.5f64.powf(late_secs / self.soft_deadline.as_secs_f64()).max(self.late_value_share)
             }
             ValueDecay::Linear => {
-                let span = self.deadline.saturating_sub(self.soft_deadline);
-                let span = span.as_secs_f64().max(LEAST_DECAY_SPAN);
-                1.0 - (1.0 - self.late_value_share) * (late / span).min(1.0)
+                let decay_period = self.deadline.saturating_sub(self.soft_deadline);
+                let decay_secs = decay_period.as_secs_f64().max(MIN_DECAY_SECS);
+                1.0 - (1.0 - self.late_value_share) * (late_secs / decay_secs).min(1.0)
             }
         }
     }
 }
 
-/// A message that a client hands in.
+/// Message submitted by a client.
 #[derive(Clone, Copy, Debug)]
 pub struct NewMessage<'a> {
-    /// Its identifier, which no pending message has.
+    /// Identifier, which no pending message has.
     pub id: MessageId,
-    /// The name of its service class.
+    /// Name of the message's service class.
     pub service_class: &'a str,
-    /// Messages with the same key keep their order, where their class asks for it.
+    /// Key whose messages are delivered in order if their service class is ordered; `None` if order is irrelevant.
     pub ordering_key: Option<u64>,
-    /// When it ends at the latest.
+    /// Time by which the message is to have its final outcome, capped by the deadline of its service class.
     pub deadline: Duration,
-    /// The tenant that it belongs to, if any.
+    /// Name of the tenant whose quota applies, if any.
     pub tenant: Option<&'a str>,
-    /// Where it goes.
+    /// Destination of the message.
     pub destination: DestinationId,
 }
 
-/// A message names a service class that the dispatcher was not given; nothing was accepted.
+/// Error for a message that names a service class unknown to the dispatcher; the message is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unknown service class")]
 pub struct UnknownServiceClass;
 
-/// What is known of a message's attempts before a restart.
+/// Attempts of a recovered message that were made before the restart.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RecoveredAttempts<'a> {
-    /// Attempts made so far.
+    /// Number of attempts made.
     pub count: u32,
-    /// The first of them that may have been executed.
+    /// First attempt that may have been executed, if any.
     pub first_execution: Option<PossibleExecution<'a>>,
 }
 
-/// An attempt that may have been executed at its endpoint.
+/// Attempt that may have been executed at its endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct PossibleExecution<'a> {
-    /// When the attempt started.
+    /// Time at which the attempt started.
     pub started: Duration,
-    /// The name of its endpoint.
+    /// Name of the endpoint that was called.
     pub endpoint: &'a str,
 }
