--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,21 +1,22 @@
-//! Gossip between instances: the octets of the message that a route answers again.
+//! Encoding of gossip messages, by which an instance announces that a route has recovered.
 //!
-//! A version, the destination's number in eight octets (little-endian), and the route's name; that is empty unless the
-//! endpoints of the destination are routes of their own. Nothing may depend on a message's arrival.
+//! A gossip message consists of a version octet, the destination's number in eight octets (little-endian), and the
+//! name of the route, which is empty unless each endpoint of the destination is a separate route. Delivery is not
+//! guaranteed, so correctness must not depend on it.
 
 use crate::DestinationId;
 
-/// First octet of a message; messages of other versions are passed over.
+/// Version in the first octet of a gossip message; messages of other versions are ignored.
 const VERSION: u8 = 1;
 
-/// The message that a route of `destination` answers again.
+/// Encodes the gossip message that `route` of `destination` has recovered.
 pub(crate) fn encode_return(destination: DestinationId, route: &str) -> Vec<u8> {
     [&[VERSION], &destination.to_le_bytes()[..], route.as_bytes()].concat()
 }
 
-/// The destination and route that a message tells of; none if it cannot be read.
-pub(crate) fn decode_return(octets: &[u8]) -> Option<(DestinationId, &str)> {
-    let (destination, route) = octets.strip_prefix(&[VERSION])?.split_first_chunk()?;
+/// Returns the destination and the route that have recovered according to `datagram`, or `None` if it is malformed.
+pub(crate) fn decode_return(datagram: &[u8]) -> Option<(DestinationId, &str)> {
+    let (destination, route) = datagram.strip_prefix(&[VERSION])?.split_first_chunk()?;
     Some((DestinationId::from_le_bytes(*destination), std::str::from_utf8(route).ok()?))
 }
 
