--- a/src/gossip_tests.rs
+++ b/src/gossip_tests.rs
@@ -1,5 +1,4 @@
-//! Pins the datagrams between instances: the octets that are sent once a route answers again, and how datagrams are
-//! read.
+//! Tests of the gossip wire format: the octets that are sent once a route has recovered, and the decoding of datagrams.
 
 use crate::{
     AttemptOutcome, AttemptResult, DestinationId, Dispatcher, Driver, EndpointState, EndpointUpdate,
@@ -7,22 +6,22 @@
 };
 use std::time::Duration;
 
-/// Its octets differ from each other, so that their order shows.
+/// Destination whose octets all differ, so that a wrong byte order is detected.
 const DESTINATION: DestinationId = 0x0102_0304_0506_0708;
 const MESSAGE: MessageId = 1;
-/// Failed attempts after which an endpoint counts as out.
-const FAILURES: u32 = 6;
-/// Looks until the endpoint has failed and answered; each is as long as the longest gap between health checks.
-const MOST_LOOKS: u64 = 100;
+/// Failed attempts after which the endpoint is certainly ejected.
+const FAILED_ATTEMPTS: u32 = 6;
+/// Steps of 2 s within which the endpoint has failed and recovered; health checks are less than a step apart.
+const MAX_STEPS: u64 = 100;
 
-/// Keeps the attempts and the datagrams that a dispatcher asks for.
+/// Records the attempts and the datagrams that a dispatcher requests.
 #[derive(Default)]
-struct Asked {
+struct RecordingDriver {
     attempts: u32,
     datagrams: Vec<Vec<u8>>,
 }
 
-impl Driver for Asked {
+impl Driver for RecordingDriver {
     fn start_attempt(&mut self, _: MessageId, _: &str, _: Duration) {
         self.attempts += 1;
     }
@@ -37,7 +36,7 @@
     fn log(&mut self, _: &LogEvent) {}
 }
 
-/// The end of an attempt; a delivery finishes the message.
+/// Returns the result of an attempt; a delivery finishes the message.
 fn result(attempt: u32, outcome: AttemptOutcome) -> AttemptResult {
     AttemptResult {
         message: MESSAGE,
@@ -49,16 +48,16 @@
     }
 }
 
-/// The datagrams of a dispatcher whose only endpoint, `e1`, fails for a while and then answers.
-fn datagrams_of_a_return(separate_routes: bool) -> Vec<Vec<u8>> {
-    let lasts = ms(3_600_000);
+/// Returns the datagrams of a dispatcher whose only endpoint, `e1`, fails for a while and then recovers.
+fn recovery_datagrams(separate_routes: bool) -> Vec<Vec<u8>> {
+    let one_hour = ms(3_600_000);
     let mut dispatcher = Dispatcher::new(7, 1, "");
     dispatcher.allow_gossip(true);
     dispatcher.set_slow_start(2.0, 0.2, ms(10_000));
     let class = ServiceClass {
         repeat_safety: RepeatSafety::Idempotent,
-        soft_deadline: lasts,
-        deadline: lasts,
+        soft_deadline: one_hour,
+        deadline: one_hour,
         value: 1.0,
         late_value_share: 1.0,
         decay: ValueDecay::Linear,
@@ -80,42 +79,42 @@
         id: MESSAGE,
         service_class: "free",
         ordering_key: None,
-        deadline: lasts,
+        deadline: one_hour,
         tenant: None,
         destination: DESTINATION,
     };
     assert!(dispatcher.accept(message).is_ok());
-    let mut asked = Asked::default();
-    for look in 0..MOST_LOOKS {
-        dispatcher.advance_to(ms(2_000 * look));
-        let before = asked.attempts;
-        dispatcher.apply_rules(&mut asked);
-        if asked.attempts == before {
+    let mut driver = RecordingDriver::default();
+    for step in 0..MAX_STEPS {
+        dispatcher.advance_to(ms(2_000 * step));
+        let attempts_before = driver.attempts;
+        dispatcher.apply_rules(&mut driver);
+        if driver.attempts == attempts_before {
             continue;
         }
-        assert!(asked.datagrams.is_empty(), "no gossip of failures");
-        if asked.attempts > FAILURES {
-            dispatcher.attempt_ended(result(before, AttemptOutcome::Delivered));
-            dispatcher.apply_rules(&mut asked);
-            return asked.datagrams;
+        assert!(driver.datagrams.is_empty(), "no gossip of failures");
+        if driver.attempts > FAILED_ATTEMPTS {
+            dispatcher.attempt_ended(result(attempts_before, AttemptOutcome::Delivered));
+            dispatcher.apply_rules(&mut driver);
+            return driver.datagrams;
         }
-        dispatcher.attempt_ended(result(before, AttemptOutcome::ConnectFailed));
+        dispatcher.attempt_ended(result(attempts_before, AttemptOutcome::ConnectFailed));
     }
-    panic!("{} attempts only", asked.attempts);
+    panic!("{} attempts only", driver.attempts);
 }
 
 #[test]
-fn the_return_of_a_destination_is_gossiped_in_these_octets() {
-    assert_eq!(datagrams_of_a_return(false), [b"\x01\x08\x07\x06\x05\x04\x03\x02\x01"]);
+fn the_recovery_of_a_destination_is_gossiped_in_these_octets() {
+    assert_eq!(recovery_datagrams(false), [b"\x01\x08\x07\x06\x05\x04\x03\x02\x01"]);
 }
 
 #[test]
-fn the_return_of_a_route_is_gossiped_in_these_octets() {
-    assert_eq!(datagrams_of_a_return(true), [b"\x01\x08\x07\x06\x05\x04\x03\x02\x01e1"]);
+fn the_recovery_of_a_route_is_gossiped_in_these_octets() {
+    assert_eq!(recovery_datagrams(true), [b"\x01\x08\x07\x06\x05\x04\x03\x02\x01e1"]);
 }
 
 #[test]
-fn a_datagram_of_the_first_version_is_read() {
+fn a_datagram_of_version_1_is_decoded() {
     let datagram = b"\x01\x08\x07\x06\x05\x04\x03\x02\x01e1";
     assert_eq!(gossip::decode_return(datagram), Some((DESTINATION, "e1")));
     assert_eq!(gossip::decode_return(&datagram[..9]), Some((DESTINATION, "")), "the route may be empty");
@@ -123,7 +122,7 @@
 }
 
 #[test]
-fn a_datagram_of_another_version_or_cut_short_or_not_in_utf_8_is_passed_over() {
+fn a_datagram_of_another_version_or_truncated_or_not_in_utf_8_is_ignored() {
     let datagram = b"\x01\x08\x07\x06\x05\x04\x03\x02\x01e1";
     for length in 0..9 {
         assert_eq!(gossip::decode_return(&datagram[..length]), None, "cut to {length}");
