--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -1,7 +1,8 @@
-//! The dispatcher: typed inputs, and the ordered list of rules that follows from them.
+//! The dispatcher: its configuration, the events that it receives, and the ordered list of rules.
 //!
-//! A host tells one input at a time, after [`Dispatcher::advance_to`]; then [`Dispatcher::apply_rules`] goes through
-//! the rules, in order and again from the first, until none acts. The state and the decisions are in [`crate::policy`].
+//! A host reports one event at a time, after [`Dispatcher::advance_to`]. [`Dispatcher::apply_rules`] then tries the
+//! rules in order, starting over after each one that acts, until none acts. The state and the decisions are in
+//! [`crate::policy`].
 
 use crate::policy::slow_start::SlowStart;
 use crate::policy::state::State;
@@ -12,10 +13,10 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A rule: a condition and what is done then; whether it acted.
+/// Rule of the dispatcher: acts if its condition holds, and returns `true` if it acted.
 type Rule = fn(&mut State, &mut dyn Driver) -> bool;
 
-/// The rules, in the order in which they are tried.
+/// Rules in the order in which they are tried.
 const RULES: [Rule; 6] = [
     State::poll_discovery,
     State::shed_unstorable,
@@ -25,19 +26,21 @@
     State::close_idle_connections,
 ];
 
-/// Decides for one gateway instance which message is attempted when and where, and when it is given up.
+/// Decides for one gateway instance when and at which endpoint each message is attempted, and when it is given up.
 pub struct Dispatcher {
     pub(crate) state: State,
 }
 
-/// What a dispatcher is started with.
 impl Dispatcher {
-    /// A dispatcher for one of `instances` that share the work, in `zone`; `seed` settles its random draws.
+    /// Creates the dispatcher of one of `instances` gateway instances that share the work. The instance runs in `zone`;
+    /// `seed` determines its random draws.
     pub fn new(seed: u64, instances: u32, zone: &str) -> Self {
         Self { state: State::new(seed, instances, zone) }
     }
 
-    /// Attempts in flight at once, messages pending at once, and attempts for one message, where limited.
+    /// Limits the attempts in flight, the pending messages, and the attempts of one message.
+    ///
+    /// With `None`, one attempt may be in flight at a time, and the other two are unlimited.
     pub fn set_limits(
         &mut self,
         concurrency: Option<usize>,
@@ -49,168 +52,187 @@
         self.state.max_attempts = max_attempts.unwrap_or(u32::MAX);
     }
 
-    /// For hosts that have capacity for so many attempts in flight only, whatever the settings allow.
-    pub fn cap_concurrency(&mut self, most: usize) {
-        self.state.slots.cap(most);
+    /// Lowers the limit of attempts in flight to `max_in_flight`, or to 1 if that is 0.
+    ///
+    /// For hosts that have less capacity than the settings allow.
+    pub fn cap_concurrency(&mut self, max_in_flight: usize) {
+        self.state.slots.cap(max_in_flight);
     }
 
-    /// The longest Retry-After that a rejection may carry; none if it may carry none.
-    pub fn set_longest_retry_after(&mut self, longest: Option<Duration>) {
-        self.state.longest_retry_after = longest.unwrap_or_default();
+    /// Sets the maximum `retry_after` of [`Driver::reject`]; with `None`, rejections carry none.
+    pub fn set_longest_retry_after(&mut self, max: Option<Duration>) {
+        self.state.longest_retry_after = max.unwrap_or_default();
     }
 
-    /// How far over its capacity a returning destination may be loaded, the share of it that it begins with, and how
-    /// long it warms up.
+    /// Configures slow start for destinations that recover.
+    ///
+    /// A recovering destination has `initial_share` of its capacity at first and all of it after `warm_up`; it may be
+    /// loaded with up to `overload_factor` times the capacity that it has at the time.
     pub fn set_slow_start(&mut self, overload_factor: f64, initial_share: f64, warm_up: Duration) {
         self.state.slow_start = SlowStart { overload_factor, initial_share, warm_up };
     }
 
-    /// For how long a returning destination bears too much before it falls; zero, as at first, if that is not known.
-    pub fn set_overload_tolerance(&mut self, span: Duration) {
-        self.state.overload_tolerance = span;
+    /// Sets how long a recovering destination withstands overload before it fails. Zero, the default, means unknown.
+    pub fn set_overload_tolerance(&mut self, tolerance: Duration) {
+        self.state.overload_tolerance = tolerance;
     }
 
-    /// After which an idle connection closes by itself; zero, as at first, if that is not known.
-    pub fn set_idle_timeout(&mut self, after: Duration) {
-        self.state.shared.connections.set_endpoint_timeout(after);
+    /// Sets the time after which an endpoint closes an idle connection. Zero, the default, means unknown.
+    pub fn set_idle_timeout(&mut self, timeout: Duration) {
+        self.state.shared.connections.set_endpoint_timeout(timeout);
     }
 
-    /// Whether gossip may be sent to other instances.
+    /// Allows or forbids sending gossip to other instances; it is forbidden by default.
     pub fn allow_gossip(&mut self, allowed: bool) {
         self.state.shared.gossip.is_allowed = allowed;
     }
 
-    /// How long an ordering key pauses after an attempt that may still be executed.
+    /// Sets how long the other messages with an ordering key are held back after an attempt that may still be
+    /// executed.
     pub fn set_ordering_pause(&mut self, pause: Duration) {
         self.state.ordering.set_pause(pause);
     }
 
-    /// Whether discovery notifies changes only to those that poll, and what the rates of its list mean.
-    pub fn set_discovery(&mut self, must_poll: bool, rates: ListedRate) {
+    /// Configures discovery: `must_poll` if it reports changes only to instances that poll it, and how accurate the
+    /// rates in its list are.
+    pub fn set_discovery(&mut self, must_poll: bool, rate_accuracy: ListedRate) {
         self.state.discovery.set_must_poll(must_poll);
-        self.state.listed_rates = rates;
+        self.state.listed_rates = rate_accuracy;
     }
 
-    /// The period in which a discovery that must be polled wants each instance to poll once.
+    /// Sets the period in which each instance should poll discovery once, if discovery must be polled.
     pub fn set_poll_period(&mut self, period: Duration) {
         self.state.discovery.set_period(period);
     }
 
-    /// A service class that messages may name.
+    /// Adds a service class that messages may name.
     pub fn add_service_class(&mut self, name: &str, class: ServiceClass) {
         self.state.add_class(name, class);
     }
 
-    /// A kind of destination whose endpoints are routes of their own.
+    /// Makes each endpoint of destinations of `kind` a separate route; otherwise a destination is one route.
     pub fn separate_routes(&mut self, kind: &str) {
         self.state.separate_routes.insert(kind.into());
     }
 
-    /// A kind of destination that takes up to so many messages in one call; only from hosts that send those that are
-    /// asked for at one instant, to one endpoint, in one call.
-    pub fn set_batch_limit(&mut self, kind: &str, most: u32) {
-        self.state.batch_limits.insert(kind.into(), most);
+    /// Sets how many messages destinations of `kind` accept in one call.
+    ///
+    /// Only for hosts that combine the attempts started at one time and at one endpoint into one call.
+    pub fn set_batch_limit(&mut self, kind: &str, max_messages: u32) {
+        self.state.batch_limits.insert(kind.into(), max_messages);
     }
 
-    /// For hosts that send each message in a call of its own, whatever the settings allow.
+    /// Removes all batch limits set so far, for hosts that send each message in its own call whatever the
+    /// settings allow.
     pub fn disable_batching(&mut self) {
         self.state.batch_limits.clear();
     }
 
-    /// What rejected calls cost, in points of the result if there were one for each first attempt; 0 if nothing.
-    pub fn set_rejection_cost(&mut self, points: f64) {
-        self.state.shared.retry_credit.set_rejection_cost(points);
+    /// Sets the cost of rejected calls, in points of the result if there were one rejected call per first attempt.
+    ///
+    /// Zero, the default, means that rejected calls cost nothing.
+    pub fn set_rejection_cost(&mut self, cost: f64) {
+        self.state.shared.retry_credit.set_rejection_cost(cost);
     }
 
-    /// What a call to an endpoint of `zone` costs.
-    pub fn set_zone_cost(&mut self, zone: &str, points: f64) {
-        self.state.zone_costs.insert(zone.into(), points);
+    /// Sets the cost of a call to an endpoint in `zone`, in points; calls to other zones cost nothing by default.
+    pub fn set_zone_cost(&mut self, zone: &str, cost: f64) {
+        self.state.zone_costs.insert(zone.into(), cost);
     }
 
-    /// A tenant's rate for the whole pool; what comes over it has only `excess_value_share` of its value.
-    pub fn add_tenant(&mut self, name: &str, rate: f64, excess_value_share: f64) {
-        self.state.add_tenant(name, rate, excess_value_share);
+    /// Adds a tenant with a quota of `rate_per_s` messages per second at all instances together.
+    ///
+    /// A message beyond the quota keeps only `excess_value_share` of its value; the share set last applies to all
+    /// tenants.
+    pub fn add_tenant(&mut self, name: &str, rate_per_s: f64, excess_value_share: f64) {
+        self.state.add_tenant(name, rate_per_s, excess_value_share);
     }
 }
 
-/// Inputs.
 impl Dispatcher {
-    /// The time of the inputs that follow.
+    /// Sets the time of the events that follow; a `now` before the current time is ignored.
     pub fn advance_to(&mut self, now: Duration) {
         self.state.now = self.state.now.max(now);
     }
 
-    /// An entry of the endpoint list, or a change of it.
+    /// Handles an entry of the endpoint list, or a change to one.
     pub fn endpoint_updated(&mut self, update: EndpointUpdate) {
         self.state.update_endpoint(update);
     }
 
-    /// The end of a list or of changes; what a `snapshot` leaves out is removed. `from_discovery` is false for a list
-    /// that the host knew by itself.
+    /// Handles the end of an endpoint list or of a series of changes.
+    ///
+    /// `snapshot` holds the names of a complete list: endpoints missing from it are removed. `from_discovery` is
+    /// `false` for a list that the host did not receive from discovery.
     pub fn endpoint_list_ended(&mut self, snapshot: Option<&BTreeSet<String>>, from_discovery: bool) {
         self.state.end_endpoint_list(snapshot, from_discovery);
     }
 
-    /// A poll or watch of discovery failed or ended.
+    /// Handles the failure or the end of a poll or watch of discovery.
     pub fn endpoint_list_failed(&mut self) {
         let state = &mut self.state;
         state.discovery.on_failure(state.now, &mut state.shared.rng);
     }
 
-    /// Whether there is such a destination, as far as the endpoint list tells; one without endpoints now may have some
-    /// soon. With no list at all there may be any.
+    /// Returns `true` if the destination exists according to the endpoint list.
+    ///
+    /// A destination that lost its endpoints is known for a while longer, as it may get new ones. Before the first
+    /// list, every destination counts as known.
     pub fn knows_destination(&self, destination: DestinationId) -> bool {
         self.state.known_destinations.contains(destination)
     }
 
-    /// Bytes that the host can still store; set before each message, without that message's own.
-    pub fn set_storage_capacity(&mut self, bytes: u64) {
-        self.state.admission.set_storage_capacity(bytes);
+    /// Sets the storage, in bytes, that the host will have left after storing the message accepted next.
+    ///
+    /// With zero, that message is rejected.
+    pub fn set_storage_capacity(&mut self, remaining_bytes: u64) {
+        self.state.admission.set_storage_capacity(remaining_bytes);
     }
 
-    /// A message was handed in.
+    /// Accepts a message that a client submitted.
     ///
     /// # Errors
     ///
-    /// If its service class is unknown: then nothing was accepted.
+    /// Returns [`UnknownServiceClass`], and accepts nothing, if the message names an unknown service class.
     pub fn accept(&mut self, message: NewMessage) -> Result<(), UnknownServiceClass> {
         self.state.accept(message)
     }
 
-    /// What is known of the attempts before a restart, of a message that was just accepted.
+    /// Restores the attempts that were made before a restart for a message that was just accepted.
     pub fn recover(&mut self, message: MessageId, attempts: RecoveredAttempts) {
         self.state.recover(message, attempts);
     }
 
-    /// Whether an attempt may begin whose connection has come up; asked before its first byte.
+    /// Returns `true` if an attempt may proceed once its connection is established.
+    ///
+    /// The host calls this before it sends the first byte of the request.
     pub fn may_begin(&self, message: MessageId, attempt: u32, now: Duration) -> bool {
         self.state.may_begin(message, attempt, now)
     }
 
-    /// An attempt ended.
+    /// Handles the end of an attempt.
     pub fn attempt_ended(&mut self, result: AttemptResult) {
         self.state.attempt_ended(&result);
     }
 
-    /// The client left, or the message has its final outcome: nothing more is done for it.
+    /// Stops handling a message, because its client left or because it has its final outcome.
     pub fn finish(&mut self, message: MessageId) {
         self.state.finish(message);
     }
 
-    /// A gossip message came from another instance.
-    pub fn gossip_received(&mut self, octets: &[u8]) {
-        self.state.gossip_received(octets);
+    /// Handles a gossip message from another instance.
+    pub fn gossip_received(&mut self, datagram: &[u8]) {
+        self.state.gossip_received(datagram);
     }
 
-    /// The timer that was asked for last has run out.
+    /// Handles the expiry of the timer that [`Driver::set_timer`] requested last.
     pub fn timer_fired(&mut self) {
         self.state.timer_fired();
     }
 }
 
-/// What follows from the inputs.
 impl Dispatcher {
-    /// Goes through the rules until none acts, then asks for the next call back.
+    /// Applies the rules until none acts, then requests the next timer.
     pub fn apply_rules(&mut self, driver: &mut dyn Driver) {
         self.write_events(driver);
         let state = &mut self.state;
