--- a/crates/quillhub-settings/src/dispatcher.rs
+++ b/crates/quillhub-settings/src/dispatcher.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{Excerpt, SettingsError};
 use crate::setting::Setting;
-use quillhub::{Dispatcher, ListedRate, RepeatSafety, ServiceClass, ValueDecay};
+use quillhub::{Dispatcher, ListedRateAccuracy, RepeatSafety, ServiceClass, ValueDecay};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -118,9 +118,9 @@
     fn set_discovery(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
         let mode = self.root.optional("membershipMode", Setting::as_str)?;
         let rate = match self.root.optional("weights", Setting::as_str)? {
-            Some("nominal") => ListedRate::Exact,
-            Some("rough") => ListedRate::Approximate,
-            _ => ListedRate::Absent,
+            Some("nominal") => ListedRateAccuracy::Exact,
+            Some("rough") => ListedRateAccuracy::Approximate,
+            _ => ListedRateAccuracy::Absent,
         };
         dispatcher.set_discovery(mode == Some("subscribe"), rate);
         dispatcher.set_poll_period(duration_or_zero(&self.rules, "askEveryUs")?);
--- a/crates/quillhub-simulator/src/scenario/discovery.rs
+++ b/crates/quillhub-simulator/src/scenario/discovery.rs
@@ -1,6 +1,6 @@
 //! Service discovery: how it tells of changes, and which rates it lists.
 
-use quillhub::ListedRate;
+use quillhub::ListedRateAccuracy;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -47,11 +47,11 @@
 }
 
 impl Rates {
-    pub(crate) fn listed_rate(self) -> ListedRate {
+    pub(crate) fn listed_rate(self) -> ListedRateAccuracy {
         match self {
-            Self::Absent => ListedRate::Absent,
-            Self::Exact => ListedRate::Exact,
-            Self::Rough => ListedRate::Approximate,
+            Self::Absent => ListedRateAccuracy::Absent,
+            Self::Exact => ListedRateAccuracy::Exact,
+            Self::Rough => ListedRateAccuracy::Approximate,
         }
     }
 }
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -7,7 +7,7 @@
 use crate::policy::slow_start::SlowStart;
 use crate::policy::state::State;
 use crate::{
-    AttemptResult, DestinationId, Driver, EndpointUpdate, ListedRate, MessageId, NewMessage,
+    AttemptResult, DestinationId, Driver, EndpointUpdate, ListedRateAccuracy, MessageId, NewMessage,
     RecoveredAttempts, ServiceClass, UnknownServiceClass, gossip,
 };
 use std::collections::BTreeSet;
@@ -95,7 +95,7 @@
 
     /// Configures discovery: `must_poll` if it reports changes only to instances that poll it, and how accurate the
     /// rates in its list are.
-    pub fn set_discovery(&mut self, must_poll: bool, rate_accuracy: ListedRate) {
+    pub fn set_discovery(&mut self, must_poll: bool, rate_accuracy: ListedRateAccuracy) {
         self.state.discovery.set_must_poll(must_poll);
         self.state.listed_rates = rate_accuracy;
     }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -15,7 +15,7 @@
 
 /// Accuracy of the rates in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListedRate {
+pub enum ListedRateAccuracy {
     /// No rates are listed, or they are meaningless.
     Absent,
     /// The listed rates are those that the endpoints accept.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,7 +17,7 @@
 pub use attempt::{AttemptOutcome, AttemptResult, LoadReport};
 pub use dispatcher::Dispatcher;
 pub use driver::{Driver, LogEvent};
-pub use endpoint::{EndpointState, EndpointUpdate, ListedRate};
+pub use endpoint::{EndpointState, EndpointUpdate, ListedRateAccuracy};
 pub use message::{
     DestinationId, MessageId, NewMessage, PossibleExecution, RecoveredAttempts, RepeatSafety, ServiceClass,
     UnknownServiceClass, ValueDecay,
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -5,7 +5,7 @@
 use super::rate_limit::{RateEstimate, RouteLimit, TokenBucket};
 use super::slow_start::SlowStartBudget;
 use super::state::{Destination, Endpoint, Route, State};
-use crate::{DestinationId, Driver, EndpointState, EndpointUpdate, ListedRate, ms};
+use crate::{DestinationId, Driver, EndpointState, EndpointUpdate, ListedRateAccuracy, ms};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -133,9 +133,9 @@
     }
 
     fn rate_estimate(&self, listed_rate: Option<f64>) -> RateEstimate {
-        let is_known = self.listed_rates != ListedRate::Absent;
+        let is_known = self.listed_rates != ListedRateAccuracy::Absent;
         let rate = listed_rate.filter(|rate| *rate > 0.0 && is_known);
-        RateEstimate::of_listed(rate, self.listed_rates == ListedRate::Approximate)
+        RateEstimate::of_listed(rate, self.listed_rates == ListedRateAccuracy::Approximate)
     }
 
     /// The end of a list or of changes; what a `snapshot` leaves out is removed.
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -14,7 +14,7 @@
 use super::retry_budget::{RetryBudget, RetryCredit};
 use super::slow_start::{SlowStart, SlowStartBudget};
 use crate::{
-    AttemptOutcome, DestinationId, EndpointState, EndpointUpdate, ListedRate, LogEvent, MessageId,
+    AttemptOutcome, DestinationId, EndpointState, EndpointUpdate, ListedRateAccuracy, LogEvent, MessageId,
     ServiceClass,
 };
 use rand::SeedableRng;
@@ -234,7 +234,7 @@
     pub(crate) slow_start: SlowStart,
     /// For how long a returning destination bears too much before it falls; zero if that is not known.
     pub(crate) overload_tolerance: Duration,
-    pub(crate) listed_rates: ListedRate,
+    pub(crate) listed_rates: ListedRateAccuracy,
     pub(crate) discovery: DiscoveryPolls,
     pub(crate) classes: Vec<NamedClass>,
     /// Kinds of destination whose endpoints are routes of their own.
@@ -280,7 +280,7 @@
             longest_retry_after: Duration::ZERO,
             slow_start: SlowStart { overload_factor: 1.0, initial_share: 0.0, warm_up: Duration::ZERO },
             overload_tolerance: Duration::ZERO,
-            listed_rates: ListedRate::Absent,
+            listed_rates: ListedRateAccuracy::Absent,
             discovery: DiscoveryPolls::new(),
             classes: Vec::new(),
             separate_routes: BTreeSet::new(),
--- a/src/policy/tests/discovery.rs
+++ b/src/policy/tests/discovery.rs
@@ -15,7 +15,7 @@
 #[test]
 fn a_discovery_that_fails_is_polled_again_after_a_gap() {
     let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
-    dispatcher.set_discovery(true, ListedRate::Absent);
+    dispatcher.set_discovery(true, ListedRateAccuracy::Absent);
     assert_eq!(actions(&mut dispatcher), ["watch"]);
     dispatcher.endpoint_list_ended(None, true);
     dispatcher.endpoint_list_failed();
--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -6,7 +6,7 @@
 use super::slow_start::SlowStartBudget;
 use super::test_support::*;
 use crate::{
-    AttemptOutcome, Dispatcher, EndpointState, EndpointUpdate, ListedRate, LoadReport, NewMessage,
+    AttemptOutcome, Dispatcher, EndpointState, EndpointUpdate, ListedRateAccuracy, LoadReport, NewMessage,
     RepeatSafety, gossip, ms,
 };
 use rand::SeedableRng;
@@ -17,7 +17,7 @@
 /// When an instance polls, if each poll fails after `fails_after` and its discovery wants one in `every`, for 60 s.
 fn polls_that_fail(seed: u64, every: Duration, fails_after: Duration) -> Vec<Duration> {
     let mut dispatcher = Dispatcher::new(seed, 300, "x");
-    dispatcher.set_discovery(true, ListedRate::Absent);
+    dispatcher.set_discovery(true, ListedRateAccuracy::Absent);
     dispatcher.set_poll_period(every);
     let (mut polls, mut fails) = (Vec::new(), None);
     for now in (0..60_000).step_by(5).map(ms) {
@@ -77,7 +77,7 @@
 fn instances_with_a_list(instances: u32) -> usize {
     let start = |seed| {
         let mut dispatcher = Dispatcher::new(seed, instances, "x");
-        dispatcher.set_discovery(true, ListedRate::Absent);
+        dispatcher.set_discovery(true, ListedRateAccuracy::Absent);
         dispatcher.set_poll_period(ms(10_000));
         dispatcher
     };
@@ -215,7 +215,7 @@
     dispatcher.state.instances = instances;
     dispatcher.state.shared.rng = Pcg64Mcg::seed_from_u64(seed);
     dispatcher.state.destinations.clear();
-    dispatcher.set_discovery(false, ListedRate::Exact);
+    dispatcher.set_discovery(false, ListedRateAccuracy::Exact);
     for name in names {
         dispatcher.endpoint_updated(listed_with_rate(name, rate));
     }
--- a/src/policy/tests/rate_limit.rs
+++ b/src/policy/tests/rate_limit.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::policy::test_support::*;
-use crate::{EndpointUpdate, ListedRate, RepeatSafety};
+use crate::{EndpointUpdate, ListedRateAccuracy, RepeatSafety};
 
 impl RouteLimit {
     pub(crate) fn paused_until(&self) -> Duration {
@@ -52,8 +52,11 @@
 
 #[test]
 fn an_approximate_rate_is_taken_for_too_low_by_the_bucket_and_for_too_high_by_the_slow_start() {
-    let cases =
-        [(ListedRate::Exact, Some(6.0)), (ListedRate::Approximate, Some(4.0)), (ListedRate::Absent, None)];
+    let cases = [
+        (ListedRateAccuracy::Exact, Some(6.0)),
+        (ListedRateAccuracy::Approximate, Some(4.0)),
+        (ListedRateAccuracy::Absent, None),
+    ];
     for (listed, safe_rate) in cases {
         let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
         dispatcher.set_discovery(false, listed);
