--- a/crates/quillhub-experiments/src/baselines.rs
+++ b/crates/quillhub-experiments/src/baselines.rs
@@ -3,7 +3,7 @@
 
 use quillhub::{
     AttemptOutcome, AttemptResult, DestinationId, Driver, EndpointState, EndpointUpdate, MessageId,
-    NewMessage, RecoveredAttempts, RepeatSafety, ServiceClass,
+    NewMessage, RecoveredAttempts, RetrySafety, ServiceClass,
 };
 use quillhub_simulator::{Decider, Input, Start, dispatcher};
 use rand::{RngExt, SeedableRng};
@@ -205,10 +205,10 @@
 impl Baseline {
     /// Whether the service class allows an attempt of `pending` in `zone` now.
     fn may_attempt(&self, pending: &PendingMessage, zone: &str) -> bool {
-        match (&pending.first_execution, self.service_classes[pending.service_class].1.repeat_safety) {
-            (None, _) | (_, RepeatSafety::Idempotent) => true,
-            (Some(_), RepeatSafety::AtMostOnce) => false,
-            (Some((first, of)), RepeatSafety::Deduplicated { window, per_zone }) => {
+        match (&pending.first_execution, self.service_classes[pending.service_class].1.retry_safety) {
+            (None, _) | (_, RetrySafety::Idempotent) => true,
+            (Some(_), RetrySafety::AtMostOnce) => false,
+            (Some((first, of)), RetrySafety::Deduplicated { window, per_zone }) => {
                 self.now <= *first + window && (!per_zone || of == zone)
             }
         }
@@ -253,7 +253,7 @@
         self.due.remove(&(pending.due, id));
         self.ends.remove(&(pending.deadline, id));
         if pending.first_execution.is_some()
-            && self.service_classes[pending.service_class].1.repeat_safety == RepeatSafety::AtMostOnce
+            && self.service_classes[pending.service_class].1.retry_safety == RetrySafety::AtMostOnce
         {
             driver.abandon(id);
         } else {
--- a/crates/quillhub-fakes/src/configuration.rs
+++ b/crates/quillhub-fakes/src/configuration.rs
@@ -1,6 +1,6 @@
 //! The configuration of an instance for a scenario: the same figures as the simulator tells its deciders.
 
-use quillhub::RepeatSafety;
+use quillhub::RetrySafety;
 use quillhub_simulator::{DiscoveryForm, Scenario};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
 
 fn class(of: &quillhub_simulator::ServiceClassSpec) -> Value {
     let service_class = of.service_class();
-    let (repeat_safety, window, all) = match service_class.repeat_safety {
-        RepeatSafety::Idempotent => ("free", Duration::ZERO, true),
-        RepeatSafety::Deduplicated { window, per_zone } => ("guarded", window, !per_zone),
-        RepeatSafety::AtMostOnce => ("single_shot", Duration::ZERO, true),
+    let (retry_safety, window, all) = match service_class.retry_safety {
+        RetrySafety::Idempotent => ("free", Duration::ZERO, true),
+        RetrySafety::Deduplicated { window, per_zone } => ("guarded", window, !per_zone),
+        RetrySafety::AtMostOnce => ("single_shot", Duration::ZERO, true),
     };
-    json!({"name": of.name, "effect": repeat_safety, "memorySpanUs": us(window), "keyScope": if all { "all" } else { "group" },
+    json!({"name": of.name, "effect": retry_safety, "memorySpanUs": us(window), "keyScope": if all { "all" } else { "group" },
         "aimUs": us(service_class.soft_deadline), "giveUpUs": us(service_class.deadline), "importance": service_class.value,
         "lateWorth": service_class.late_value_share, "byArrival": service_class.ordered})
 }
--- a/crates/quillhub-settings/src/dispatcher.rs
+++ b/crates/quillhub-settings/src/dispatcher.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{Excerpt, SettingsError};
 use crate::setting::Setting;
-use quillhub::{Dispatcher, ListedRateAccuracy, RepeatSafety, ServiceClass, ValueDecay};
+use quillhub::{Dispatcher, ListedRateAccuracy, RetrySafety, ServiceClass, ValueDecay};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -189,7 +189,7 @@
 
 fn service_class(class: &Setting, decay: ValueDecay) -> Result<ServiceClass, SettingsError> {
     Ok(ServiceClass {
-        repeat_safety: repeat_safety(class)?,
+        retry_safety: retry_safety(class)?,
         soft_deadline: class.require("aimUs")?.as_duration()?,
         deadline: class.require("giveUpUs")?.as_duration()?,
         value: class.optional("importance", Setting::as_f64)?.unwrap_or(1.0),
@@ -199,15 +199,15 @@
     })
 }
 
-fn repeat_safety(class: &Setting) -> Result<RepeatSafety, SettingsError> {
+fn retry_safety(class: &Setting) -> Result<RetrySafety, SettingsError> {
     let effect = class.require("effect")?;
     match effect.as_str()? {
-        "free" => Ok(RepeatSafety::Idempotent),
-        "guarded" => Ok(RepeatSafety::Deduplicated {
+        "free" => Ok(RetrySafety::Idempotent),
+        "guarded" => Ok(RetrySafety::Deduplicated {
             window: duration_or_zero(class, "memorySpanUs")?,
             per_zone: class.optional("keyScope", Setting::as_str)?.unwrap_or("all") != "all",
         }),
-        "single_shot" => Ok(RepeatSafety::AtMostOnce),
+        "single_shot" => Ok(RetrySafety::AtMostOnce),
         _ => Err(effect.unexpected("free, guarded or single_shot")),
     }
 }
--- a/crates/quillhub-simulator/src/audit/attempts.rs
+++ b/crates/quillhub-simulator/src/audit/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::records::{Attempt, Endpoint, Message, OrderingPause, RetryAfter};
 use super::{AttemptId, Auditor, Breach, Rule};
-use crate::scenario::RepeatSafetyKind;
+use crate::scenario::RetrySafetyKind;
 use quillhub::AttemptOutcome;
 use std::time::Duration;
 
@@ -45,16 +45,16 @@
         let first = message.first_possible_execution()?;
         let class = &self.service_classes[message.service_class];
         let zone = |endpoint: Option<Endpoint>| endpoint.map(|endpoint| endpoint.zone);
-        let what = match class.repeat_safety {
-            RepeatSafetyKind::Idempotent => return None,
-            RepeatSafetyKind::AtMostOnce => "binding, sent again though it may have run",
-            RepeatSafetyKind::Deduplicated if now > first.at + class.deduplication_window => {
+        let what = match class.retry_safety {
+            RetrySafetyKind::Idempotent => return None,
+            RetrySafetyKind::AtMostOnce => "binding, sent again though it may have run",
+            RetrySafetyKind::Deduplicated if now > first.at + class.deduplication_window => {
                 "sent again after its mark's memory"
             }
-            RepeatSafetyKind::Deduplicated if class.per_zone && zone(first.endpoint) != zone(endpoint) => {
+            RetrySafetyKind::Deduplicated if class.per_zone && zone(first.endpoint) != zone(endpoint) => {
                 "sent again where its mark is not known"
             }
-            RepeatSafetyKind::Deduplicated => return None,
+            RetrySafetyKind::Deduplicated => return None,
         };
         Some((first.at, what))
     }
--- a/crates/quillhub-simulator/src/audit/mod.rs
+++ b/crates/quillhub-simulator/src/audit/mod.rs
@@ -7,7 +7,7 @@
 mod records;
 
 use crate::fact::{Fact, FinalOutcome};
-use crate::scenario::{RepeatSafetyKind, RuleSettings, Scenario, ServiceClassSpec};
+use crate::scenario::{RetrySafetyKind, RuleSettings, Scenario, ServiceClassSpec};
 use quillhub::{EndpointState, MessageId};
 use records::{Endpoint, Instance, Message, OrderingQueue, Route};
 use std::collections::{BTreeMap, VecDeque};
@@ -205,7 +205,7 @@
         // The rule on idempotency keys binds attempts, and is judged there: that one started in time took effect late
         // is not its doing.
         let class = &self.service_classes[message.service_class];
-        if deduplicated || class.repeat_safety != RepeatSafetyKind::AtMostOnce {
+        if deduplicated || class.retry_safety != RetrySafetyKind::AtMostOnce {
             return;
         }
         if let Some(since) = message.executed.replace(now) {
@@ -230,7 +230,7 @@
         }
         message.finished = Some((now, outcome));
         let deadline = message.deadline;
-        let safety = self.service_classes[message.service_class].repeat_safety;
+        let safety = self.service_classes[message.service_class].retry_safety;
         let may_have_run = message.first_possible_execution().map(|attempt| attempt.at);
         let busy = self.instances.get(&message.instance);
         let excused_until = busy.map_or(Duration::ZERO, |instance| instance.busy_until + CATCH_UP);
@@ -238,7 +238,7 @@
             self.report(breach(Rule::OneAnswer, deadline, "answered after its time"));
         }
         let is_rejected = matches!(outcome, FinalOutcome::Rejected { .. });
-        if let Some(since) = may_have_run.filter(|_| is_rejected && safety == RepeatSafetyKind::AtMostOnce) {
+        if let Some(since) = may_have_run.filter(|_| is_rejected && safety == RetrySafetyKind::AtMostOnce) {
             self.report(breach(Rule::OneEffect, since, "binding, denied though it may have run"));
         }
         self.past.push_back((now, id));
--- a/crates/quillhub-simulator/src/lib.rs
+++ b/crates/quillhub-simulator/src/lib.rs
@@ -61,7 +61,7 @@
 pub use faults::Target;
 pub use scenario::{
     Arrivals, Clients, Destinations, DiscoveryForm, DiscoverySpec, Instances, InvalidScenario, Law, Network,
-    Pattern, RateLimitSpec, Rates, RepeatSafetyKind, RuleSettings, Scenario, Service, ServiceClassSpec,
+    Pattern, RateLimitSpec, Rates, RetrySafetyKind, RuleSettings, Scenario, Service, ServiceClassSpec,
     Tenant,
 };
 pub use simulation::{Report, Simulation};
--- a/crates/quillhub-simulator/src/scenario/mod.rs
+++ b/crates/quillhub-simulator/src/scenario/mod.rs
@@ -18,7 +18,7 @@
 pub use instances::Instances;
 pub use network::Network;
 pub use rules::RuleSettings;
-pub use service_class::{RepeatSafetyKind, ServiceClassSpec};
+pub use service_class::{RetrySafetyKind, ServiceClassSpec};
 pub use validation::InvalidScenario;
 
 use crate::faults::ScheduledFault;
--- a/crates/quillhub-simulator/src/scenario/service_class.rs
+++ b/crates/quillhub-simulator/src/scenario/service_class.rs
@@ -1,14 +1,14 @@
 //! Service classes: until when a message is needed, what it is worth, and what a retry of it may do.
 
 use super::one;
-use quillhub::{RepeatSafety, ServiceClass, ValueDecay};
+use quillhub::{RetrySafety, ServiceClass, ValueDecay};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
 /// What a retry of a message may do at its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "enum EffectOf", rename_all = "lowercase")]
-pub enum RepeatSafetyKind {
+pub enum RetrySafetyKind {
     /// A retry does no harm.
     #[serde(rename = "retriable")]
     Idempotent,
@@ -28,7 +28,7 @@
     pub name: String,
     /// What a retry may do at its destination.
     #[serde(rename = "effect")]
-    pub repeat_safety: RepeatSafetyKind,
+    pub retry_safety: RetrySafetyKind,
     /// How long a destination remembers an idempotency key, for deduplicated ones.
     #[serde(default, with = "humantime_serde")]
     #[serde(rename = "memory")]
@@ -65,15 +65,15 @@
 impl ServiceClassSpec {
     /// The class as instances know it.
     pub fn service_class(&self) -> ServiceClass {
-        let repeat_safety = match self.repeat_safety {
-            RepeatSafetyKind::Idempotent => RepeatSafety::Idempotent,
-            RepeatSafetyKind::Deduplicated => {
-                RepeatSafety::Deduplicated { window: self.deduplication_window, per_zone: self.per_zone }
+        let retry_safety = match self.retry_safety {
+            RetrySafetyKind::Idempotent => RetrySafety::Idempotent,
+            RetrySafetyKind::Deduplicated => {
+                RetrySafety::Deduplicated { window: self.deduplication_window, per_zone: self.per_zone }
             }
-            RepeatSafetyKind::AtMostOnce => RepeatSafety::AtMostOnce,
+            RetrySafetyKind::AtMostOnce => RetrySafety::AtMostOnce,
         };
         ServiceClass {
-            repeat_safety,
+            retry_safety,
             soft_deadline: self.soft_deadline,
             deadline: self.deadline,
             value: self.value,
--- a/crates/quillhub-simulator/src/scenario/validation.rs
+++ b/crates/quillhub-simulator/src/scenario/validation.rs
@@ -1,6 +1,6 @@
 //! Checks a scenario before it is run. The places that errors name are the keys of the experiment file.
 
-use super::{Arrivals, Destinations, Pattern, RepeatSafetyKind, Scenario, ServiceClassSpec};
+use super::{Arrivals, Destinations, Pattern, RetrySafetyKind, Scenario, ServiceClassSpec};
 use crate::faults::ScheduledFault;
 use std::fmt::Display;
 
@@ -105,7 +105,7 @@
         let found = format!("{soft_deadline:?} and a limit of {deadline:?}");
         let expected = "a contract time within the limit";
         require(soft_deadline <= deadline, place("contract"), expected, found)?;
-        let needs_window = class.repeat_safety == RepeatSafetyKind::Deduplicated;
+        let needs_window = class.retry_safety == RetrySafetyKind::Deduplicated;
         let window = class.deduplication_window;
         let expected = "a memory for a fingerprinted grade, and none for others";
         require(needs_window != window.is_zero(), place("memory"), expected, format!("{window:?}"))?;
--- a/crates/quillhub-simulator/src/simulation/effects.rs
+++ b/crates/quillhub-simulator/src/simulation/effects.rs
@@ -1,6 +1,6 @@
 //! Effects at destinations: deduplication by idempotency key, and effects that must not come twice.
 
-use crate::scenario::{RepeatSafetyKind, ServiceClassSpec};
+use crate::scenario::{RetrySafetyKind, ServiceClassSpec};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -42,9 +42,9 @@
         service_class: &ServiceClassSpec,
     ) -> Effect {
         self.forget(now);
-        let deduplicated = service_class.repeat_safety == RepeatSafetyKind::Deduplicated
+        let deduplicated = service_class.retry_safety == RetrySafetyKind::Deduplicated
             && self.is_repeat(now, key, service_class.deduplication_window);
-        let duplicate = service_class.repeat_safety != RepeatSafetyKind::Idempotent
+        let duplicate = service_class.retry_safety != RetrySafetyKind::Idempotent
             && !deduplicated
             && !self.done.insert(key.request);
         Effect { deduplicated, duplicate }
--- a/crates/quillhub-simulator/src/simulation/restarts.rs
+++ b/crates/quillhub-simulator/src/simulation/restarts.rs
@@ -5,7 +5,7 @@
 use super::instances::PendingMessage;
 use crate::decider::Input;
 use crate::fact::Fact;
-use crate::scenario::{RepeatSafetyKind, ServiceClassSpec};
+use crate::scenario::{RetrySafetyKind, ServiceClassSpec};
 use quillhub::{DestinationId, MessageId, NewMessage, PossibleExecution, RecoveredAttempts};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -75,8 +75,8 @@
 
     /// Clients come again with what is lost, unless it may have taken effect and must not do so twice.
     fn lost_with_instance(&mut self, message: &PendingMessage) {
-        let at_most_once = self.scenario.service_classes[message.service_class].repeat_safety
-            == RepeatSafetyKind::AtMostOnce;
+        let at_most_once =
+            self.scenario.service_classes[message.service_class].retry_safety == RetrySafetyKind::AtMostOnce;
         if at_most_once && !message.may_have_run.is_empty() {
             return self.unserved(message.request);
         }
--- a/src/gossip_tests.rs
+++ b/src/gossip_tests.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     AttemptOutcome, AttemptResult, DestinationId, Dispatcher, Driver, EndpointState, EndpointUpdate,
-    LogEvent, MessageId, NewMessage, RepeatSafety, ServiceClass, ValueDecay, gossip, ms,
+    LogEvent, MessageId, NewMessage, RetrySafety, ServiceClass, ValueDecay, gossip, ms,
 };
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
     dispatcher.allow_gossip(true);
     dispatcher.set_slow_start(2.0, 0.2, ms(10_000));
     let class = ServiceClass {
-        repeat_safety: RepeatSafety::Idempotent,
+        retry_safety: RetrySafety::Idempotent,
         soft_deadline: one_hour,
         deadline: one_hour,
         value: 1.0,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,7 +19,7 @@
 pub use driver::{Driver, LogEvent};
 pub use endpoint::{EndpointState, EndpointUpdate, ListedRateAccuracy};
 pub use message::{
-    DestinationId, MessageId, NewMessage, PossibleExecution, RecoveredAttempts, RepeatSafety, ServiceClass,
+    DestinationId, MessageId, NewMessage, PossibleExecution, RecoveredAttempts, RetrySafety, ServiceClass,
     UnknownServiceClass, ValueDecay,
 };
 pub use policy::Health;
--- a/src/message.rs
+++ b/src/message.rs
@@ -9,7 +9,7 @@
 
 /// Effect of executing a message a second time at its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatSafety {
+pub enum RetrySafety {
     /// The message can be executed again without harm.
     Idempotent,
     /// The message carries an idempotency key by which its destination recognizes a retry.
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceClass {
     /// Effect of a second execution.
-    pub repeat_safety: RepeatSafety,
+    pub retry_safety: RetrySafety,
     /// Age up to which a delivered message has its full value.
     pub soft_deadline: Duration,
     /// Age at which an undelivered message is given up.
@@ -61,11 +61,11 @@
     /// Returns the share of the value that is left when a message is delivered at `age`.
     ///
     /// ```
-    /// use quillhub::{RepeatSafety, ServiceClass, ValueDecay};
+    /// use quillhub::{RetrySafety, ServiceClass, ValueDecay};
     /// use std::time::Duration;
     ///
     /// let linear = ServiceClass {
-    ///     repeat_safety: RepeatSafety::Idempotent,
+    ///     retry_safety: RetrySafety::Idempotent,
     ///     soft_deadline: Duration::from_secs(1),
     ///     deadline: Duration::from_secs(5),
     ///     value: 1.0,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,7 +2,7 @@
 
 use super::state::{Execution, PendingMessage, State};
 use crate::{
-    DestinationId, Driver, LogEvent, MessageId, NewMessage, RecoveredAttempts, RepeatSafety,
+    DestinationId, Driver, LogEvent, MessageId, NewMessage, RecoveredAttempts, RetrySafety,
     UnknownServiceClass, ms,
 };
 use std::collections::BTreeMap;
@@ -192,10 +192,10 @@
 
     /// Whether it is harmless to hand the message in again: only then it may be rejected.
     pub(super) fn may_reject(&self, message: &PendingMessage) -> bool {
-        match self.class(message).repeat_safety {
-            RepeatSafety::Idempotent => true,
-            RepeatSafety::Deduplicated { per_zone, .. } => message.first_execution.is_none() || !per_zone,
-            RepeatSafety::AtMostOnce => message.first_execution.is_none(),
+        match self.class(message).retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::Deduplicated { per_zone, .. } => message.first_execution.is_none() || !per_zone,
+            RetrySafety::AtMostOnce => message.first_execution.is_none(),
         }
     }
 
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -1,7 +1,7 @@
 //! Expiry: until when a message may be attempted, and its final outcome once no attempt is left.
 
 use super::state::{PendingMessage, State};
-use crate::{Driver, MessageId, RepeatSafety};
+use crate::{Driver, MessageId, RetrySafety};
 use std::time::Duration;
 
 impl State {
@@ -10,14 +10,14 @@
     pub(super) fn latest_start(&self, message: &PendingMessage) -> Duration {
         let typical = self.typical_call(message.destination, message.class);
         let by_deadline = message.deadline.saturating_sub(typical);
-        match (&message.first_execution, self.class(message).repeat_safety) {
-            (None, _) | (_, RepeatSafety::Idempotent) => by_deadline,
+        match (&message.first_execution, self.class(message).retry_safety) {
+            (None, _) | (_, RetrySafety::Idempotent) => by_deadline,
             // Against a retry that arrives, or is executed, once its key is forgotten: as for the deadline, the window
             // must hold a typical call. May give up one that would have been in time.
-            (Some(first), RepeatSafety::Deduplicated { window, .. }) => {
+            (Some(first), RetrySafety::Deduplicated { window, .. }) => {
                 by_deadline.min((first.started + window).saturating_sub(typical))
             }
-            (Some(_), RepeatSafety::AtMostOnce) => Duration::ZERO,
+            (Some(_), RetrySafety::AtMostOnce) => Duration::ZERO,
         }
     }
 
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -4,7 +4,7 @@
 use super::outlier::Health;
 use super::selection::{Candidate, Loads};
 use super::state::{Attempt, Batch, PendingMessage, State};
-use crate::{DestinationId, Driver, MessageId, RepeatSafety, ms};
+use crate::{DestinationId, Driver, MessageId, RetrySafety, ms};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -90,7 +90,7 @@
         let harm = match &message.first_execution {
             _ if !candidate.is_health_check() => Harm::NoHealthCheck,
             Some(_) => Harm::MayHaveBeenExecuted,
-            None if class.repeat_safety == RepeatSafety::Idempotent => Harm::Idempotent,
+            None if class.retry_safety == RetrySafety::Idempotent => Harm::Idempotent,
             None => Harm::MayLoseMessage,
         };
         let soft_deadline = (message.deadline + class.soft_deadline).saturating_sub(class.deadline);
@@ -174,7 +174,7 @@
         let class_latency = self.shared.class_latency.get(&message.class);
         let elsewhere = class_latency.map_or(Duration::ZERO, LatencyWindow::tail_bound);
         // An at-most-once message that is given up is lost: it waits for its response while slots are free.
-        let is_at_most_once = self.class(message).repeat_safety == RepeatSafety::AtMostOnce;
+        let is_at_most_once = self.class(message).retry_safety == RetrySafety::AtMostOnce;
         let elsewhere = if is_at_most_once { elsewhere.max(time_left) } else { elsewhere };
         let none = LatencyWindow::default();
         let latency = self.latency(message.destination, message.class).unwrap_or(&none);
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -4,7 +4,7 @@
 use super::slow_start::SlowStart;
 use super::state::{Attempt, Destination, Endpoint, PendingMessage, Route, State};
 use super::{latency, outlier::Health};
-use crate::{DestinationId, MessageId, RepeatSafety};
+use crate::{DestinationId, MessageId, RetrySafety};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -211,7 +211,7 @@
     /// The zone that knows the message's idempotency key, where only that one does.
     fn required_zone<'a>(&self, message: &'a PendingMessage) -> Option<&'a String> {
         let per_zone =
-            matches!(self.class(message).repeat_safety, RepeatSafety::Deduplicated { per_zone: true, .. });
+            matches!(self.class(message).retry_safety, RetrySafety::Deduplicated { per_zone: true, .. });
         message.first_execution.as_ref().filter(|_| per_zone).map(|first| &first.zone)
     }
 }
--- a/src/policy/tests/connections.rs
+++ b/src/policy/tests/connections.rs
@@ -1,11 +1,11 @@
 use crate::policy::outlier::Health;
 use crate::policy::test_support::*;
-use crate::{AttemptOutcome, RepeatSafety, ms};
+use crate::{AttemptOutcome, RetrySafety, ms};
 
 /// The fleet's calm day, 318 instances: full tables passed for outages 20,137 times.
 #[test]
 fn a_full_table_shortens_the_idle_timeout_and_tells_of_no_outage() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.set_idle_timeout(ms(5_000));
     for at in 1..=20 {
         dispatcher.advance_to(ms(at * 200));
@@ -24,7 +24,7 @@
 #[test]
 fn a_message_without_capacity_for_a_connection_takes_an_idle_one_before_its_backoff_is_over() {
     for (outcome, goes) in [(AttemptOutcome::ConnectionLimit, true), (AttemptOutcome::ConnectFailed, false)] {
-        let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+        let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         dispatcher.set_idle_timeout(ms(5_000));
         submit(&mut dispatcher, 1, None);
         submit(&mut dispatcher, 2, None);
--- a/src/policy/tests/discovery.rs
+++ b/src/policy/tests/discovery.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::policy::test_support::*;
-use crate::{Dispatcher, RepeatSafety};
+use crate::{Dispatcher, RetrySafety};
 
 /// The longest time from one poll to the next: of polls that fail at once, and of one that fails after so long.
 pub(crate) fn longest_between_polls(fails_after: Duration) -> Duration {
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_discovery_that_fails_is_polled_again_after_a_gap() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.set_discovery(true, ListedRateAccuracy::Absent);
     assert_eq!(actions(&mut dispatcher), ["watch"]);
     dispatcher.endpoint_list_ended(None, true);
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_draining_or_missing_endpoint_gets_nothing_and_one_that_comes_back_is_used() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.endpoint_updated(EndpointUpdate { state: EndpointState::Draining, ..endpoint_of("a", "x") });
     dispatcher.endpoint_list_ended(Some(&BTreeSet::from(["a".into()])), true);
     assert!(submit(&mut dispatcher, 1, None).is_empty());
--- a/src/policy/tests/expiry.rs
+++ b/src/policy/tests/expiry.rs
@@ -1,21 +1,18 @@
 use crate::policy::test_support::*;
-use crate::{AttemptOutcome, EndpointState, EndpointUpdate, RepeatSafety, ms};
+use crate::{AttemptOutcome, EndpointState, EndpointUpdate, RetrySafety, ms};
 
 #[test]
-fn repeat_safety_decides_between_rejection_and_abandonment() {
-    let cases = [
-        (RepeatSafety::Idempotent, "reject"),
-        (DEDUPLICATED, "reject"),
-        (RepeatSafety::AtMostOnce, "abandon"),
-    ];
-    for (repeat_safety, outcome) in cases {
-        let mut dispatcher = dispatcher_for(repeat_safety);
+fn retry_safety_decides_between_rejection_and_abandonment() {
+    let cases =
+        [(RetrySafety::Idempotent, "reject"), (DEDUPLICATED, "reject"), (RetrySafety::AtMostOnce, "abandon")];
+    for (retry_safety, outcome) in cases {
+        let mut dispatcher = dispatcher_for(retry_safety);
         submit(&mut dispatcher, 1, None);
         dispatcher.attempt_ended(ended(1, 0, AttemptOutcome::TimedOut));
         dispatcher.advance_to(ms(10_000));
-        assert!(actions(&mut dispatcher)[0].starts_with(outcome), "{repeat_safety:?}");
+        assert!(actions(&mut dispatcher)[0].starts_with(outcome), "{retry_safety:?}");
     }
-    let per_zone = RepeatSafety::Deduplicated { window: ms(6_000), per_zone: true };
+    let per_zone = RetrySafety::Deduplicated { window: ms(6_000), per_zone: true };
     let mut dispatcher = dispatcher_for(per_zone);
     submit(&mut dispatcher, 1, None);
     dispatcher.attempt_ended(ended(1, 0, AttemptOutcome::Failed));
@@ -28,7 +25,7 @@
 
 #[test]
 fn an_at_most_once_message_is_retried_only_after_proof_that_nothing_was_executed() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::AtMostOnce);
+    let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
     submit(&mut dispatcher, 1, None);
     dispatcher.attempt_ended(ended(1, 0, AttemptOutcome::ConnectFailed));
     dispatcher.advance_to(ms(2_000));
@@ -39,7 +36,7 @@
 
 #[test]
 fn what_may_have_been_executed_though_it_reads_as_rejected_counts_and_its_retry_after_is_heeded() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::AtMostOnce);
+    let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
     assert_eq!(submit(&mut dispatcher, 1, None), ["attempt 1 a"]);
     let outcome = AttemptOutcome::AmbiguousRejection { retry_after: Some(ms(900)) };
     dispatcher.attempt_ended(ended(1, 0, outcome));
--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -7,7 +7,7 @@
 use super::test_support::*;
 use crate::{
     AttemptOutcome, Dispatcher, EndpointState, EndpointUpdate, ListedRateAccuracy, LoadReport, NewMessage,
-    RepeatSafety, gossip, ms,
+    RetrySafety, gossip, ms,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -121,7 +121,7 @@
 fn what_many_were_rejected_together_does_not_come_back_together() {
     for retry_after in [Some(ms(2_000)), None] {
         let starts = |seed| {
-            let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+            let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
             dispatcher.state.shared.rng = Pcg64Mcg::seed_from_u64(seed);
             dispatcher.set_overload_tolerance(ms(2_000));
             let draining = EndpointUpdate { state: EndpointState::Draining, ..endpoint_of("b", "y") };
@@ -148,7 +148,7 @@
 #[test]
 fn instances_that_hear_of_a_return_together_do_not_call_together() {
     let waiting = |seed| {
-        let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+        let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         dispatcher.state.instances = 100;
         dispatcher.state.shared.rng = Pcg64Mcg::seed_from_u64(seed);
         for name in ["a", "b"] {
@@ -211,7 +211,7 @@
 
 /// Destination 9's endpoints as `name`d, with a listed rate of `rate` calls a second, at one of `instances`.
 fn one_of_many(instances: u32, seed: u64, rate: f64, names: &[&str]) -> Dispatcher {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.state.instances = instances;
     dispatcher.state.shared.rng = Pcg64Mcg::seed_from_u64(seed);
     dispatcher.state.destinations.clear();
--- a/src/policy/tests/latency.rs
+++ b/src/policy/tests/latency.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::policy::test_support::*;
-use crate::{AttemptOutcome, NewMessage, RepeatSafety};
+use crate::{AttemptOutcome, NewMessage, RetrySafety};
 
 #[test]
 fn a_typical_call_is_the_recent_median_and_the_timeout_doubles_with_timeouts() {
@@ -21,7 +21,7 @@
 /// false.
 #[test]
 fn a_little_known_destination_gets_the_time_that_others_take_and_an_at_most_once_message_its_own() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::AtMostOnce);
+    let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
     [3_000, 400, 400].iter().for_each(|duration| {
         let class_latency = &mut dispatcher.state.shared.class_latency;
         class_latency.entry(0).or_default().on_delivery(ms(1), ms(*duration));
@@ -41,7 +41,7 @@
 /// A fifth of the responses got lost, and the calls that waited for them for 2 s held all slots.
 #[test]
 fn isolated_losses_are_counted_until_others_are_delivered() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.advance_to(ms(2_000));
     endpoint_mut(&mut dispatcher, "a").health.set_last_delivery(ms(1_900));
     let attempt = attempt_at("a", ms(50));
--- a/src/policy/tests/ordering.rs
+++ b/src/policy/tests/ordering.rs
@@ -1,9 +1,9 @@
 use crate::policy::test_support::*;
-use crate::{AttemptOutcome, RepeatSafety, ms};
+use crate::{AttemptOutcome, RetrySafety, ms};
 
 #[test]
 fn messages_with_one_key_go_one_at_a_time_and_pause_after_a_timeout() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     assert_eq!(submit(&mut dispatcher, 1, Some(5)), ["attempt 1 a"]);
     assert!(submit(&mut dispatcher, 2, Some(5)).is_empty());
     dispatcher.attempt_ended(ended(1, 0, AttemptOutcome::TimedOut));
--- a/src/policy/tests/outlier.rs
+++ b/src/policy/tests/outlier.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::policy::test_support::*;
-use crate::{AttemptOutcome, EndpointUpdate, LoadReport, RepeatSafety};
+use crate::{AttemptOutcome, EndpointUpdate, LoadReport, RetrySafety};
 
 impl EndpointHealth {
     pub(crate) fn set_status(&mut self, status: Health) {
@@ -48,7 +48,7 @@
 /// incident rules-3: few calls saw the rejections, and the wait's end released all that had waited.
 #[test]
 fn a_route_that_rejects_for_longer_than_a_limits_span_returns_warming_up() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     submit(&mut dispatcher, 1, None);
     dispatcher.attempt_ended(ended(1, 0, rejected_for(ms(4_000))));
     for endpoint in dispatcher.state.destinations[&DESTINATION].endpoints.values() {
@@ -64,7 +64,7 @@
 /// incident ide3163: one call in six got no response, and endpoints that answered the rest were ejected.
 #[test]
 fn calls_lost_while_others_are_delivered_are_no_outage() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     endpoint_mut(&mut dispatcher, "a").health.set_last_delivery(ms(50));
     for at in 1..=4 {
         judge(&mut dispatcher, &attempt_at("a", ms(at)), AttemptOutcome::TimedOut);
@@ -82,7 +82,7 @@
 /// incident i3b06b2: rejections above a limit in the first seconds made healthy endpoints count as ejected.
 #[test]
 fn a_few_rejections_in_turn_are_a_limit_and_no_outage() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     for id in 1..=5 {
         dispatcher.advance_to(ms(id * 100));
         judge(&mut dispatcher, &attempt_at("a", ms(id * 100)), rejected());
@@ -94,7 +94,7 @@
 /// incident i639774: four calls in ten were reset, and endpoints that delivered the rest were ejected.
 #[test]
 fn resets_between_deliveries_are_no_outage_and_failed_connections_are_one() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let mut status_after = |at, outcome| {
         dispatcher.advance_to(ms(at + 9));
         judge(&mut dispatcher, &attempt_at("a", ms(at)), outcome);
@@ -114,7 +114,7 @@
 fn rejections_without_a_limit_make_a_route_suspect_and_those_above_a_limit_do_not() {
     let report = |rate_limit| Some(LoadReport { remaining_share: 0.0, rate_limit });
     for (load_report, expected) in [(report(0.0), true), (report(4.0), false), (None, false)] {
-        let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+        let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         let attempt = attempt_at("a", ms(1));
         (0..2).for_each(|_| judge_with_report(&mut dispatcher, &attempt, rejected(), load_report));
         let suspect = route(&dispatcher).streak.is_suspect(dispatcher.state.now);
@@ -134,7 +134,7 @@
         (warming_up, Health::Healthy, Health::Healthy),
         (Health::Healthy, Health::Ejected, Health::Healthy),
     ] {
-        let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+        let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         endpoint_mut(&mut dispatcher, "a").health.set_status(first);
         endpoint_mut(&mut dispatcher, "b").health.set_status(second);
         dispatcher.endpoint_updated(EndpointUpdate { kind: "", ..endpoint_of("c", "x") });
--- a/src/policy/tests/rate_limit.rs
+++ b/src/policy/tests/rate_limit.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::policy::test_support::*;
-use crate::{EndpointUpdate, ListedRateAccuracy, RepeatSafety};
+use crate::{EndpointUpdate, ListedRateAccuracy, RetrySafety};
 
 impl RouteLimit {
     pub(crate) fn paused_until(&self) -> Duration {
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_retry_after_holds_for_the_whole_destination() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     assert_eq!(submit(&mut dispatcher, 1, None), ["attempt 1 a"]);
     dispatcher.attempt_ended(ended(1, 0, rejected_for(ms(900))));
     assert!(submit(&mut dispatcher, 2, None).is_empty());
@@ -58,7 +58,7 @@
         (ListedRateAccuracy::Absent, None),
     ];
     for (listed, safe_rate) in cases {
-        let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+        let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         dispatcher.set_discovery(false, listed);
         let update =
             |rate| EndpointUpdate { destination: 8, listed_rate: Some(rate), ..endpoint_of("c", "x") };
@@ -76,7 +76,7 @@
 /// A dozen calls that were in flight together were rejected, and their destination got nothing for four seconds.
 #[test]
 fn rejections_of_attempts_that_were_in_flight_together_make_one_pause() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.advance_to(ms(100));
     (0..12).for_each(|at| judge(&mut dispatcher, &attempt_at("a", ms(at)), rejected()));
     let limit = &route(&dispatcher).limit;
--- a/src/policy/tests/retry_budget.rs
+++ b/src/policy/tests/retry_budget.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::policy::test_support::*;
-use crate::{AttemptOutcome, RepeatSafety};
+use crate::{AttemptOutcome, RetrySafety};
 
 impl RetryBudget {
     /// First attempts of late.
@@ -28,7 +28,7 @@
 /// akureyri-afhending-later, big-1: 232 instances with a message or two each pushed a destination over at its return.
 #[test]
 fn one_quick_retry_is_allowed_while_nothing_is_delivered() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let allows = |dispatcher: &crate::Dispatcher, now| {
         let route = route(dispatcher);
         route.retry_budget.allows(now, route.streak.has_failures())
@@ -46,7 +46,7 @@
 #[test]
 fn retries_after_rejections_are_earned_by_deliveries_where_rejections_have_a_cost() {
     let attempted = |cost: f64, earned: f64| {
-        let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+        let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         dispatcher.set_rejection_cost(cost);
         submit(&mut dispatcher, 1, None);
         dispatcher.attempt_ended(ended(1, 0, rejected()));
@@ -58,7 +58,7 @@
         [attempted(0.05, 0.9), attempted(0.05, 1.5), attempted(0.0, 0.9)],
         [(0, 0.9), (1, 0.5), (1, 0.0)]
     );
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let outcomes = [(AttemptOutcome::Delivered, 1.25), (rejected(), 1.0), (AttemptOutcome::Failed, 1.0)];
     for (outcome, earned) in outcomes {
         judge(&mut dispatcher, &attempt_at("a", ms(1)), outcome);
--- a/src/policy/tests/scheduling.rs
+++ b/src/policy/tests/scheduling.rs
@@ -1,13 +1,13 @@
 use crate::policy::outlier::Health;
 use crate::policy::test_support::*;
-use crate::{Dispatcher, EndpointUpdate, NewMessage, RepeatSafety, ms};
+use crate::{Dispatcher, EndpointUpdate, NewMessage, RetrySafety, ms};
 use std::time::Duration;
 
 /// tunis-lac, rough-2: a timer fired at the microsecond, a part of one before its due time; no other was asked for,
 /// and messages got no final outcome in their time.
 #[test]
 fn a_timer_that_fires_a_little_early_is_followed_by_another() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     submit(&mut dispatcher, 1, None);
     dispatcher.attempt_ended(ended(1, 0, rejected()));
     let timer = |dispatcher: &mut Dispatcher| {
@@ -29,7 +29,7 @@
 /// tunis-lac, rough-2: limits count calls, and each message went in one of its own: half were rejected.
 #[test]
 fn what_waits_for_one_endpoint_travels_in_one_call_that_counts_once() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.set_batch_limit("k", 3);
     dispatcher.set_limits(Some(1), Some(100), Some(5));
     for id in 1..=5 {
@@ -50,7 +50,7 @@
 /// incidents iaa78c2 and ide3163: new messages of slow destinations took all slots.
 #[test]
 fn with_slots_short_what_is_worth_most_for_a_second_of_a_slot_goes_first() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.endpoint_updated(EndpointUpdate { destination: 8, ..endpoint_of("c", "x") });
     dispatcher.set_limits(Some(0), Some(100), None);
     for (id, duration) in [(8, 100), (9, 900)] {
@@ -66,8 +66,8 @@
 
 #[test]
 fn what_can_be_executed_again_goes_first_on_a_health_check() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::AtMostOnce);
-    dispatcher.add_service_class("again", class_of(RepeatSafety::Idempotent, 0.1));
+    let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
+    dispatcher.add_service_class("again", class_of(RetrySafety::Idempotent, 0.1));
     for name in ["a", "b"] {
         let endpoint = endpoint_mut(&mut dispatcher, name);
         endpoint.health.set_status(Health::Ejected);
--- a/src/policy/tests/selection.rs
+++ b/src/policy/tests/selection.rs
@@ -1,16 +1,16 @@
 use crate::policy::test_support::*;
-use crate::{Dispatcher, RepeatSafety, ms};
+use crate::{Dispatcher, RetrySafety, ms};
 use std::collections::BTreeSet;
 
 /// incident iaa78c2: all calls went to the one endpoint with a warm connection, slow as it was.
 #[test]
 fn attempts_spread_over_endpoints_and_prefer_the_own_zone_a_little() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let attempts: Vec<_> = (1..=4).flat_map(|id| submit(&mut dispatcher, id, None)).collect();
     assert_eq!(attempts, ["attempt 1 a", "attempt 2 a", "attempt 3 b", "attempt 4 b"]);
     let mut other = Dispatcher::new(7, 2, "z");
     other.set_limits(Some(8), Some(100), None);
-    other.add_service_class("g", class_of(RepeatSafety::Idempotent, 1.0));
+    other.add_service_class("g", class_of(RetrySafety::Idempotent, 1.0));
     ["a", "b", "c"].iter().for_each(|name| other.endpoint_updated(endpoint_of(name, "x")));
     let attempts: BTreeSet<_> = (1..=3).flat_map(|id| submit(&mut other, id, None)).collect();
     assert_eq!(attempts.len(), 3);
@@ -22,7 +22,7 @@
 #[test]
 fn a_long_call_tells_of_a_slow_destination_unless_later_ones_are_delivered_in_typical_time() {
     for (delivered_at, duration, slow) in [(5, 300, true), (60, 300, false), (60, 1_300, true)] {
-        let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+        let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         let destination = dispatcher.state.destinations.get_mut(&DESTINATION).unwrap();
         let latency = destination.latency.entry(0).or_default();
         [300, 300, duration].iter().for_each(|duration| latency.on_delivery(ms(5), ms(*duration)));
--- a/src/policy/tests/support.rs
+++ b/src/policy/tests/support.rs
@@ -3,7 +3,7 @@
 use super::state::{Attempt, Endpoint, Route};
 use crate::{
     AttemptOutcome, AttemptResult, Dispatcher, Driver, EndpointState, EndpointUpdate, LoadReport, LogEvent,
-    MessageId, NewMessage, RepeatSafety, ServiceClass, ValueDecay, ms,
+    MessageId, NewMessage, RetrySafety, ServiceClass, ValueDecay, ms,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -11,8 +11,7 @@
 
 /// The destination of all messages here, but where a test says otherwise.
 pub(super) const DESTINATION: u64 = 9;
-pub(super) const DEDUPLICATED: RepeatSafety =
-    RepeatSafety::Deduplicated { window: ms(6_000), per_zone: false };
+pub(super) const DEDUPLICATED: RetrySafety = RetrySafety::Deduplicated { window: ms(6_000), per_zone: false };
 
 /// Records what a dispatcher asks for, one line each.
 #[derive(Default)]
@@ -64,9 +63,9 @@
     Pcg64Mcg::seed_from_u64(7)
 }
 
-pub(super) fn class_of(repeat_safety: RepeatSafety, value: f64) -> ServiceClass {
+pub(super) fn class_of(retry_safety: RetrySafety, value: f64) -> ServiceClass {
     ServiceClass {
-        repeat_safety,
+        retry_safety,
         soft_deadline: ms(1_000),
         deadline: ms(10_000),
         value,
@@ -90,14 +89,14 @@
 
 /// A dispatcher of two instances with eight slots, and [`DESTINATION`] with endpoints `a` and `b` in zones x and y.
 /// Its classes are `g`, and `dear` of twice the value.
-pub(super) fn dispatcher_for(repeat_safety: RepeatSafety) -> Dispatcher {
+pub(super) fn dispatcher_for(retry_safety: RetrySafety) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(7, 2, "x");
     dispatcher.set_limits(Some(8), Some(100), Some(5));
     dispatcher.set_longest_retry_after(Some(ms(3_000)));
     dispatcher.set_slow_start(2.0, 0.2, ms(10_000));
     dispatcher.set_ordering_pause(ms(700));
-    dispatcher.add_service_class("g", class_of(repeat_safety, 1.0));
-    dispatcher.add_service_class("dear", class_of(repeat_safety, 2.0));
+    dispatcher.add_service_class("g", class_of(retry_safety, 1.0));
+    dispatcher.add_service_class("dear", class_of(retry_safety, 2.0));
     dispatcher.endpoint_updated(endpoint_of("a", "x"));
     dispatcher.endpoint_updated(endpoint_of("b", "y"));
     dispatcher.advance_to(ms(1));
--- a/src/policy/tests/verdict.rs
+++ b/src/policy/tests/verdict.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::policy::outlier::FailureStreak;
 use crate::policy::test_support::*;
-use crate::{Dispatcher, EndpointUpdate, RepeatSafety, ms};
+use crate::{Dispatcher, EndpointUpdate, RetrySafety, ms};
 
 #[test]
 fn gossip_of_a_return_starts_the_warm_up_of_an_ejected_route_and_other_gossip_is_passed_over() {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let eject = |dispatcher: &mut Dispatcher| {
         ["a", "b"].iter().for_each(|name| endpoint_mut(dispatcher, name).health.set_status(Health::Ejected));
     };
@@ -36,7 +36,7 @@
 #[test]
 fn gossip_ends_a_suspicion_and_warms_up_no_endpoint_that_delivered_just_now() {
     for (now, status) in [(1_000, Health::Healthy), (2_100, Health::WarmingUp { since: ms(2_100) })] {
-        let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+        let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         endpoint_mut(&mut dispatcher, "a").health.set_last_delivery(ms(100));
         route_mut(&mut dispatcher).streak.add_failures(FailureStreak::SUSPECT);
         dispatcher.advance_to(ms(now));
@@ -64,15 +64,15 @@
 /// out after the idempotency keys of the first attempts were forgotten.
 #[test]
 fn an_attempt_does_not_begin_once_its_key_is_forgotten_or_its_message_finished() {
-    for (repeat_safety, late) in [(DEDUPLICATED, false), (RepeatSafety::Idempotent, true)] {
-        let mut dispatcher = dispatcher_for(repeat_safety);
+    for (retry_safety, late) in [(DEDUPLICATED, false), (RetrySafety::Idempotent, true)] {
+        let mut dispatcher = dispatcher_for(retry_safety);
         submit(&mut dispatcher, 1, None);
         dispatcher.advance_to(ms(2_000));
         dispatcher.attempt_ended(ended(1, 0, AttemptOutcome::TimedOut));
         dispatcher.advance_to(ms(5_400));
         assert_eq!(actions(&mut dispatcher).len(), 1);
         assert!(dispatcher.may_begin(1, 1, ms(5_501)), "a typical call ends within the window");
-        assert_eq!(dispatcher.may_begin(1, 1, ms(5_502)), late, "{repeat_safety:?}");
+        assert_eq!(dispatcher.may_begin(1, 1, ms(5_502)), late, "{retry_safety:?}");
         assert!(!dispatcher.may_begin(1, 1, ms(9_999)), "too late for its client");
         dispatcher.finish(1);
         assert!(!dispatcher.may_begin(1, 1, ms(5_401)));
