--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -151,7 +151,7 @@
             LogEvent::HealthChanged { endpoint, destination, before, after } => {
                 tracing::info!(endpoint, destination, %before, %after, "endpoint health changed");
             }
-            LogEvent::QueueShort { pending, in_flight } => {
+            LogEvent::QueueNearlyFull { pending, in_flight } => {
                 tracing::info!(pending, in_flight, "queue is short");
             }
         }
--- a/src/driver.rs
+++ b/src/driver.rs
@@ -19,7 +19,7 @@
         after: Health,
     },
     /// The queue was nearly full, and the pending message of the least value was rejected.
-    QueueShort {
+    QueueNearlyFull {
         /// Messages still pending after the rejection.
         pending: usize,
         /// Attempts in flight.
@@ -33,8 +33,8 @@
             Self::HealthChanged { endpoint, destination, before, after } => {
                 write!(f, "endpoint {endpoint} of destination {destination}: {before} -> {after}")
             }
-            Self::QueueShort { pending, in_flight } => {
-                write!(f, "queue is short: {pending} messages pending, {in_flight} attempts in flight")
+            Self::QueueNearlyFull { pending, in_flight } => {
+                write!(f, "queue is nearly full: {pending} messages pending, {in_flight} attempts in flight")
             }
         }
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -223,8 +223,10 @@
         let Some(id) = least.map(|(id, _)| *id) else { return false };
         self.give_up(id, driver);
         if self.admission.may_log(self.now) {
-            driver
-                .log(&LogEvent::QueueShort { pending: self.pending.len(), in_flight: self.in_flight.len() });
+            driver.log(&LogEvent::QueueNearlyFull {
+                pending: self.pending.len(),
+                in_flight: self.in_flight.len(),
+            });
         }
         true
     }
