--- a/crates/quillhub-settings/src/dispatcher.rs
+++ b/crates/quillhub-settings/src/dispatcher.rs
@@ -86,7 +86,7 @@
             max_attempts,
         );
         let retry_after = self.limits.optional("retryAfter", Setting::as_bool)?.unwrap_or(false);
-        dispatcher.set_longest_retry_after(if retry_after {
+        dispatcher.set_max_retry_after(if retry_after {
             self.limits.optional("maxRetryAfterUs", Setting::as_duration)?
         } else {
             None
--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -106,7 +106,7 @@
     let (instances, rules) = (&scenario.instances, &scenario.rules);
     let mut dispatcher = Dispatcher::new(start.seed, instances.count, start.zone);
     dispatcher.set_limits(Some(instances.slots), Some(instances.capacity), Some(instances.max_attempts));
-    dispatcher.set_longest_retry_after(Some(instances.max_retry_after));
+    dispatcher.set_max_retry_after(Some(instances.max_retry_after));
     dispatcher.set_slow_start(rules.overload_factor, rules.initial_share, rules.warm_up);
     dispatcher.set_overload_tolerance(rules.overload_span);
     dispatcher.set_idle_timeout(scenario.network.idle_close);
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -60,7 +60,7 @@
     }
 
     /// Sets the maximum `retry_after` of [`Driver::reject`]; with `None`, rejections carry none.
-    pub fn set_longest_retry_after(&mut self, max: Option<Duration>) {
+    pub fn set_max_retry_after(&mut self, max: Option<Duration>) {
         self.state.longest_retry_after = max.unwrap_or_default();
     }
 
--- a/src/policy/tests/support.rs
+++ b/src/policy/tests/support.rs
@@ -92,7 +92,7 @@
 pub(super) fn dispatcher_for(retry_safety: RetrySafety) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(7, 2, "x");
     dispatcher.set_limits(Some(8), Some(100), Some(5));
-    dispatcher.set_longest_retry_after(Some(ms(3_000)));
+    dispatcher.set_max_retry_after(Some(ms(3_000)));
     dispatcher.set_slow_start(2.0, 0.2, ms(10_000));
     dispatcher.set_ordering_pause(ms(700));
     dispatcher.add_service_class("g", class_of(retry_safety, 1.0));
