--- a/crates/quillhub-settings/src/dispatcher.rs
+++ b/crates/quillhub-settings/src/dispatcher.rs
@@ -107,7 +107,7 @@
 
     fn set_connections_and_ordering(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
         if let Some(timeout) = self.limits.optional("idleCloseUs", Setting::as_duration)? {
-            dispatcher.set_idle_timeout(timeout);
+            dispatcher.set_endpoint_idle_timeout(timeout);
         }
         let gossip = self.limits.optional("peerMessages", Setting::as_bool)?.unwrap_or(false);
         dispatcher.allow_gossip(gossip);
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -78,7 +78,7 @@
     }
 
     /// Sets the time after which an endpoint closes an idle connection. Zero, the default, means unknown.
-    pub fn set_idle_timeout(&mut self, timeout: Duration) {
+    pub fn set_endpoint_idle_timeout(&mut self, timeout: Duration) {
         self.state.shared.connections.set_endpoint_timeout(timeout);
     }
 
--- a/src/policy/tests/connections.rs
+++ b/src/policy/tests/connections.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_full_table_shortens_the_idle_timeout_and_tells_of_no_outage() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
-    dispatcher.set_idle_timeout(ms(5_000));
+    dispatcher.set_endpoint_idle_timeout(ms(5_000));
     for at in 1..=20 {
         dispatcher.advance_to(ms(at * 200));
         let attempt = attempt_at("a", dispatcher.state.now);
@@ -25,7 +25,7 @@
 fn a_message_without_capacity_for_a_connection_takes_an_idle_one_before_its_backoff_is_over() {
     for (outcome, goes) in [(AttemptOutcome::ConnectionLimit, true), (AttemptOutcome::ConnectFailed, false)] {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
-        dispatcher.set_idle_timeout(ms(5_000));
+        dispatcher.set_endpoint_idle_timeout(ms(5_000));
         submit(&mut dispatcher, 1, None);
         submit(&mut dispatcher, 2, None);
         dispatcher.advance_to(ms(50));
