--- a/crates/quillhub-server/src/instance/recovery.rs
+++ b/crates/quillhub-server/src/instance/recovery.rs
@@ -50,7 +50,7 @@
             .first_execution
             .as_ref()
             .map(|first| PossibleExecution { started: first.started, endpoint: &first.endpoint });
-        dispatcher.recover(self.id, RecoveredAttempts { count: self.attempts, first_execution });
+        dispatcher.restore_attempts(self.id, RecoveredAttempts { count: self.attempts, first_execution });
         accepted.is_ok()
     }
 }
--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -21,7 +21,7 @@
     EndpointListFailed,
     /// A message was submitted ([`Dispatcher::accept`]).
     Message(NewMessage<'a>),
-    /// The message that came before was recovered after a restart ([`Dispatcher::recover`]).
+    /// The message that came before was recovered after a restart ([`Dispatcher::restore_attempts`]).
     Recovered {
         /// Its identifier.
         message: MessageId,
@@ -74,7 +74,7 @@
                 let accepted = self.accept(message);
                 debug_assert!(accepted.is_ok(), "unknown service class {}", message.service_class);
             }
-            Input::Recovered { message, attempts } => self.recover(message, attempts),
+            Input::Recovered { message, attempts } => self.restore_attempts(message, attempts),
             Input::AttemptEnded(result) => self.attempt_ended(result),
             Input::Gossip(octets) => self.gossip_received(octets),
             Input::TimerFired => self.timer_fired(),
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -199,8 +199,8 @@
     }
 
     /// Restores the attempts that were made before a restart for a message that was just accepted.
-    pub fn recover(&mut self, message: MessageId, attempts: RecoveredAttempts) {
-        self.state.recover(message, attempts);
+    pub fn restore_attempts(&mut self, message: MessageId, attempts: RecoveredAttempts) {
+        self.state.restore_attempts(message, attempts);
     }
 
     /// Returns `true` if an attempt may proceed once its connection is established.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -175,7 +175,7 @@
     /// Takes in what is known of the attempts of a message that was just accepted, from before a restart.
     ///
     /// Against effects that happen twice across a restart.
-    pub(crate) fn recover(&mut self, id: MessageId, attempts: RecoveredAttempts) {
+    pub(crate) fn restore_attempts(&mut self, id: MessageId, attempts: RecoveredAttempts) {
         let Some(destination) = self.pending.get(&id).map(|message| message.destination) else { return };
         let first_execution = attempts.first_execution.map(|execution| Execution {
             started: execution.started,
--- a/src/policy/tests/admission.rs
+++ b/src/policy/tests/admission.rs
@@ -70,7 +70,7 @@
         let recovered = NewMessage { ordering_key: Some(5), deadline: ms(18_000), ..message(1) };
         dispatcher.accept(recovered).unwrap();
         let first = PossibleExecution { started: ms(8_000 - ago), endpoint: "a" };
-        dispatcher.recover(1, RecoveredAttempts { count: 1, first_execution: Some(first) });
+        dispatcher.restore_attempts(1, RecoveredAttempts { count: 1, first_execution: Some(first) });
         assert_eq!(actions(&mut dispatcher), [then], "{retry_safety:?}, {ago} ms ago");
     }
 }
@@ -84,7 +84,7 @@
         dispatcher.advance_to(ms(8_000));
         // Late, and of little value.
         dispatcher.accept(NewMessage { deadline: ms(11_000), ..message(1) }).unwrap();
-        dispatcher.recover(1, RecoveredAttempts { count, first_execution: None });
+        dispatcher.restore_attempts(1, RecoveredAttempts { count, first_execution: None });
         for id in [2, 3] {
             let service_class = if id == 2 { "g" } else { "dear" };
             dispatcher.accept(NewMessage { service_class, deadline: ms(18_000), ..message(id) }).unwrap();
