--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -249,7 +249,7 @@
         let shared = &mut self.state.shared;
         shared.log_events.drain(..).for_each(|event| driver.log(&event));
         for (destination, route) in shared.gossip.returned_routes.drain(..) {
-            driver.broadcast(&gossip::encode_return(destination, &route));
+            driver.broadcast(&gossip::encode_recovery(destination, &route));
         }
     }
 }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -10,12 +10,12 @@
 const VERSION: u8 = 1;
 
 /// Encodes the gossip message that `route` of `destination` has recovered.
-pub(crate) fn encode_return(destination: DestinationId, route: &str) -> Vec<u8> {
+pub(crate) fn encode_recovery(destination: DestinationId, route: &str) -> Vec<u8> {
     [&[VERSION], &destination.to_le_bytes()[..], route.as_bytes()].concat()
 }
 
 /// Returns the destination and the route that have recovered according to `datagram`, or `None` if it is malformed.
-pub(crate) fn decode_return(datagram: &[u8]) -> Option<(DestinationId, &str)> {
+pub(crate) fn decode_recovery(datagram: &[u8]) -> Option<(DestinationId, &str)> {
     let (destination, route) = datagram.strip_prefix(&[VERSION])?.split_first_chunk()?;
     Some((DestinationId::from_le_bytes(*destination), std::str::from_utf8(route).ok()?))
 }
--- a/src/gossip_tests.rs
+++ b/src/gossip_tests.rs
@@ -116,19 +116,23 @@
 #[test]
 fn a_datagram_of_version_1_is_decoded() {
     let datagram = b"\x01\x08\x07\x06\x05\x04\x03\x02\x01e1";
-    assert_eq!(gossip::decode_return(datagram), Some((DESTINATION, "e1")));
-    assert_eq!(gossip::decode_return(&datagram[..9]), Some((DESTINATION, "")), "the route may be empty");
-    assert_eq!(gossip::decode_return(b"\x01\x09\0\0\0\0\0\0\0\xc3\xa9"), Some((9, "\u{e9}")));
+    assert_eq!(gossip::decode_recovery(datagram), Some((DESTINATION, "e1")));
+    assert_eq!(gossip::decode_recovery(&datagram[..9]), Some((DESTINATION, "")), "the route may be empty");
+    assert_eq!(gossip::decode_recovery(b"\x01\x09\0\0\0\0\0\0\0\xc3\xa9"), Some((9, "\u{e9}")));
 }
 
 #[test]
 fn a_datagram_of_another_version_or_truncated_or_not_in_utf_8_is_ignored() {
     let datagram = b"\x01\x08\x07\x06\x05\x04\x03\x02\x01e1";
     for length in 0..9 {
-        assert_eq!(gossip::decode_return(&datagram[..length]), None, "cut to {length}");
+        assert_eq!(gossip::decode_recovery(&datagram[..length]), None, "cut to {length}");
     }
     for version in [0, 2, u8::MAX] {
-        assert_eq!(gossip::decode_return(&[&[version], &datagram[1..]].concat()), None, "version {version}");
+        assert_eq!(
+            gossip::decode_recovery(&[&[version], &datagram[1..]].concat()),
+            None,
+            "version {version}"
+        );
     }
-    assert_eq!(gossip::decode_return(b"\x01\x09\0\0\0\0\0\0\0\xff"), None);
+    assert_eq!(gossip::decode_recovery(b"\x01\x09\0\0\0\0\0\0\0\xff"), None);
 }
--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -161,7 +161,7 @@
         route.limit.bucket.set_estimate(RateEstimate { limit: None, safe_rate: Some(100.0) });
         route.checks.set_next(ms(60_000));
         (0..5).for_each(|id| assert!(submit(&mut dispatcher, id, None).is_empty()));
-        dispatcher.gossip_received(&gossip::encode_return(9, ""));
+        dispatcher.gossip_received(&gossip::encode_recovery(9, ""));
         dispatcher
     };
     let mut all: Vec<_> = (0..100).map(waiting).collect();
--- a/src/policy/tests/verdict.rs
+++ b/src/policy/tests/verdict.rs
@@ -10,15 +10,15 @@
         ["a", "b"].iter().for_each(|name| endpoint_mut(dispatcher, name).health.set_status(Health::Ejected));
     };
     eject(&mut dispatcher);
-    let gossip = gossip::encode_return(9, "");
+    let gossip = gossip::encode_recovery(9, "");
     let later_version = [&[gossip[0] + 1], &gossip[1..]].concat();
     for odd in [
         &[][..],
         &gossip[..1],
         &gossip[..5],
         &later_version,
-        &gossip::encode_return(8, ""),
-        &gossip::encode_return(9, "a"),
+        &gossip::encode_recovery(8, ""),
+        &gossip::encode_recovery(9, "a"),
         b"\x01........\xff",
     ] {
         dispatcher.gossip_received(odd);
@@ -40,7 +40,7 @@
         endpoint_mut(&mut dispatcher, "a").health.set_last_delivery(ms(100));
         route_mut(&mut dispatcher).streak.add_failures(FailureStreak::SUSPECT);
         dispatcher.advance_to(ms(now));
-        dispatcher.gossip_received(&gossip::encode_return(9, ""));
+        dispatcher.gossip_received(&gossip::encode_recovery(9, ""));
         assert_eq!(endpoint(&dispatcher, "a").health.status(), status);
         assert!(!route(&dispatcher).streak.is_suspect(dispatcher.state.now));
     }
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -334,7 +334,7 @@
     /// A route answered another instance. Against learning of a return instance by instance.
     pub(crate) fn gossip_received(&mut self, octets: &[u8]) {
         let now = self.now;
-        let Some((destination, route_name)) = gossip::decode_return(octets) else { return };
+        let Some((destination, route_name)) = gossip::decode_recovery(octets) else { return };
         let Some(destination) = self.destinations.get_mut(&destination) else { return };
         let Some(route) = destination.routes.get_mut(route_name) else { return };
         let suspect = route.streak.is_suspect(now);
