--- a/crates/quillhub-experiments/src/baselines.rs
+++ b/crates/quillhub-experiments/src/baselines.rs
@@ -402,7 +402,7 @@
         }
     }
 
-    fn may_begin(&self, id: MessageId, _: u32, now: Duration) -> bool {
+    fn may_send_request(&self, id: MessageId, _: u32, now: Duration) -> bool {
         let Some(pending) = self.pending.get(&id) else { return false };
         let open = self.endpoints.get(&pending.endpoint).is_some_and(|e| e.state == EndpointState::Available);
         open && self.retry_after.get(&pending.destination).is_none_or(|until| *until <= now)
--- a/crates/quillhub-experiments/src/cost.rs
+++ b/crates/quillhub-experiments/src/cost.rs
@@ -44,11 +44,11 @@
     fn handle(&mut self, input: Input) {
         self.time(|inner| inner.handle(input));
     }
-    fn may_begin(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
+    fn may_send_request(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
         let from = Instant::now();
-        let may_begin = self.inner.may_begin(id, attempt, now);
+        let may_send_request = self.inner.may_send_request(id, attempt, now);
         self.spent.set(self.spent.get() + from.elapsed());
-        may_begin
+        may_send_request
     }
     fn apply_rules(&mut self, driver: &mut dyn Driver) {
         self.time(|inner| inner.apply_rules(driver));
--- a/crates/quillhub-server/src/attempts/mod.rs
+++ b/crates/quillhub-server/src/attempts/mod.rs
@@ -33,7 +33,7 @@
     /// Writes the request, by how long the attempt will still wait, in whole milliseconds.
     pub request: R,
     /// Asked last, before the first octet is sent: whether the request may still go.
-    pub may_begin: B,
+    pub may_send_request: B,
 }
 
 /// How an attempt ended.
@@ -150,7 +150,7 @@
                 None => self.connect(deadline).await?,
             };
             let announced = deadline.whole_milliseconds_left();
-            if announced.is_zero() || !(self.may_begin)() {
+            if announced.is_zero() || !(self.may_send_request)() {
                 return Err(UnsentRequest { error: CallError::NotSent, reusable: Some(connection) });
             }
             deadline.shorten_to(announced);
--- a/crates/quillhub-server/src/attempts/tests.rs
+++ b/crates/quillhub-server/src/attempts/tests.rs
@@ -12,9 +12,9 @@
     address: SocketAddr,
     timeout: Duration,
     request: impl Fn(Duration) -> Vec<u8>,
-    may_begin: impl Fn() -> bool,
+    may_send_request: impl Fn() -> bool,
 ) -> (Result<Response, CallError>, Option<HttpConnection>) {
-    let attempt = Attempt { pooled, address, connect_timeout: LONG, timeout, request, may_begin };
+    let attempt = Attempt { pooled, address, connect_timeout: LONG, timeout, request, may_send_request };
     let AttemptEnd { result, reusable } = attempt.run().await;
     (result, reusable)
 }
--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -100,8 +100,8 @@
         );
         let id = AttemptId { message: id, attempt, endpoint: endpoint.to_owned() };
         let (weak, asked) = (self.weak.clone(), id.clone());
-        let may_begin =
-            move || weak.upgrade().is_some_and(|instance| instance.borrow_mut().may_begin(&asked));
+        let may_send_request =
+            move || weak.upgrade().is_some_and(|instance| instance.borrow_mut().may_send_request(&asked));
         let connect_timeout = self.connect_timeout;
         let attempt = address.filter(|_| recorded).map(|address| Attempt {
             pooled,
@@ -109,7 +109,7 @@
             connect_timeout,
             timeout,
             request,
-            may_begin,
+            may_send_request,
         });
         self.spawn_attempt(id, started, attempt);
     }
--- a/crates/quillhub-server/src/instance/mod.rs
+++ b/crates/quillhub-server/src/instance/mod.rs
@@ -246,9 +246,9 @@
     /// Asked before an attempt's first octet: whether the dispatcher still wants it to be sent; if so, the log says
     /// from now on that the message may have been executed. None begins once the process is about to end: it would be
     /// cut off, and may have been executed; not begun, it is made by the next process.
-    fn may_begin(&mut self, id: &AttemptId) -> bool {
+    fn may_send_request(&mut self, id: &AttemptId) -> bool {
         let now = self.now();
-        let wanted = |dispatcher: &Dispatcher| dispatcher.may_begin(id.message, id.attempt, now);
+        let wanted = |dispatcher: &Dispatcher| dispatcher.may_send_request(id.message, id.attempt, now);
         if self.stopping || !self.dispatcher.as_ref().is_some_and(wanted) {
             return false;
         }
--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -43,7 +43,7 @@
     /// Takes an input; what follows from it is carried out by [`Decider::apply_rules`].
     fn handle(&mut self, input: Input);
     /// Whether an attempt whose connection has come up may still begin.
-    fn may_begin(&self, _: MessageId, _attempt: u32, _now: Duration) -> bool {
+    fn may_send_request(&self, _: MessageId, _attempt: u32, _now: Duration) -> bool {
         true
     }
     /// Carries out what follows from the inputs since the last call.
@@ -81,8 +81,8 @@
         }
     }
 
-    fn may_begin(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
-        self.may_begin(id, attempt, now)
+    fn may_send_request(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
+        self.may_send_request(id, attempt, now)
     }
 
     fn apply_rules(&mut self, driver: &mut dyn Driver) {
--- a/crates/quillhub-simulator/src/simulation/calls.rs
+++ b/crates/quillhub-simulator/src/simulation/calls.rs
@@ -159,9 +159,9 @@
         let Some(call) = self.calls.get(&number).filter(|call| call.awaited) else { return };
         let host = &self.instances[call.instance];
         let own_now = self.clock.now() - host.epoch;
-        let may_begin = !self.scenario.instances.checks_before_first_byte
-            || host.decider.may_begin(call.message_id, call.attempt, own_now);
-        if may_begin {
+        let may_send_request = !self.scenario.instances.checks_before_first_byte
+            || host.decider.may_send_request(call.message_id, call.attempt, own_now);
+        if may_send_request {
             self.first_byte(number);
         } else {
             self.call_ends(number, CallEnd::answered(AttemptOutcome::NotSent));
--- a/crates/quillhub-simulator/tests/auditor.rs
+++ b/crates/quillhub-simulator/tests/auditor.rs
@@ -200,10 +200,10 @@
             other => self.inner.handle(other),
         }
     }
-    fn may_begin(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
+    fn may_send_request(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
         // What it did not ask for goes no further than that: its asking is the breach.
         let inner = self.numbers.get(&(id, attempt)).copied().flatten();
-        inner.is_some_and(|inner| self.inner.may_begin(id, inner, now))
+        inner.is_some_and(|inner| self.inner.may_send_request(id, inner, now))
     }
     fn apply_rules(&mut self, driver: &mut dyn Driver) {
         let mut actions = Actions::default();
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -203,11 +203,11 @@
         self.state.restore_attempts(message, attempts);
     }
 
-    /// Returns `true` if an attempt may proceed once its connection is established.
+    /// Returns `true` if the request of an attempt may be sent at `now`, once the connection is established.
     ///
-    /// The host calls this before it sends the first byte of the request.
-    pub fn may_begin(&self, message: MessageId, attempt: u32, now: Duration) -> bool {
-        self.state.may_begin(message, attempt, now)
+    /// The host calls this before the first byte.
+    pub fn may_send_request(&self, message: MessageId, attempt: u32, now: Duration) -> bool {
+        self.state.may_send_request(message, attempt, now)
     }
 
     /// Handles the end of an attempt.
--- a/src/policy/tests/verdict.rs
+++ b/src/policy/tests/verdict.rs
@@ -51,13 +51,14 @@
     let mut dispatcher = dispatcher_for(DEDUPLICATED);
     submit(&mut dispatcher, 1, None);
     submit(&mut dispatcher, 2, None);
-    let may_begin = |dispatcher: &Dispatcher, id, attempt, at| dispatcher.may_begin(id, attempt, ms(at));
-    assert!(may_begin(&dispatcher, 1, 0, 1) && may_begin(&dispatcher, 2, 0, 1));
-    assert!(!may_begin(&dispatcher, 1, 1, 1));
+    let may_send_request =
+        |dispatcher: &Dispatcher, id, attempt, at| dispatcher.may_send_request(id, attempt, ms(at));
+    assert!(may_send_request(&dispatcher, 1, 0, 1) && may_send_request(&dispatcher, 2, 0, 1));
+    assert!(!may_send_request(&dispatcher, 1, 1, 1));
     dispatcher.attempt_ended(ended(2, 0, rejected_for(ms(500))));
-    assert!(!may_begin(&dispatcher, 1, 0, 500) && may_begin(&dispatcher, 1, 0, 501));
+    assert!(!may_send_request(&dispatcher, 1, 0, 500) && may_send_request(&dispatcher, 1, 0, 501));
     dispatcher.endpoint_updated(EndpointUpdate { state: EndpointState::Draining, ..endpoint_of("a", "x") });
-    assert!(!may_begin(&dispatcher, 1, 0, 501));
+    assert!(!may_send_request(&dispatcher, 1, 0, 501));
 }
 
 /// The fleet's split day: connections that a partitioned zone held up came up when it was healed, and their calls went
@@ -71,10 +72,10 @@
         dispatcher.attempt_ended(ended(1, 0, AttemptOutcome::TimedOut));
         dispatcher.advance_to(ms(5_400));
         assert_eq!(actions(&mut dispatcher).len(), 1);
-        assert!(dispatcher.may_begin(1, 1, ms(5_501)), "a typical call ends within the window");
-        assert_eq!(dispatcher.may_begin(1, 1, ms(5_502)), late, "{retry_safety:?}");
-        assert!(!dispatcher.may_begin(1, 1, ms(9_999)), "too late for its client");
+        assert!(dispatcher.may_send_request(1, 1, ms(5_501)), "a typical call ends within the window");
+        assert_eq!(dispatcher.may_send_request(1, 1, ms(5_502)), late, "{retry_safety:?}");
+        assert!(!dispatcher.may_send_request(1, 1, ms(9_999)), "too late for its client");
         dispatcher.finish(1);
-        assert!(!dispatcher.may_begin(1, 1, ms(5_401)));
+        assert!(!dispatcher.may_send_request(1, 1, ms(5_401)));
     }
 }
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -321,7 +321,7 @@
     ///
     /// Against waits and drains that came while its connection was opened, which may also last until the message has
     /// its final outcome or its idempotency key is forgotten. May hold back one that would be in time.
-    pub(crate) fn may_begin(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
+    pub(crate) fn may_send_request(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
         let Some(attempt) = self.in_flight.get(&(id, attempt)) else { return false };
         if self.pending.get(&id).is_none_or(|message| now > self.latest_start(message)) {
             return false;
