--- a/src/driver.rs
+++ b/src/driver.rs
@@ -1,4 +1,4 @@
-//! Interface between a dispatcher and its host: the actions it requests and the events it logs.
+//! Interface between a dispatcher and its host: actions that the dispatcher requests, and events that it logs.
 
 use crate::{DestinationId, Health, MessageId};
 use std::fmt;
@@ -48,7 +48,8 @@
     /// Gives `message` the final outcome rejected: it was not delivered and is safe to submit again, preferably after
     /// `retry_after`.
     fn reject(&mut self, message: MessageId, retry_after: Option<Duration>);
-    /// Gives `message` the final outcome abandoned: it is not known to be delivered, but may have been executed.
+    /// Gives `message` the final outcome abandoned: it is not known to have been delivered, but may have been
+    /// executed.
     fn abandon(&mut self, message: MessageId);
     /// Closes the instance's idle connections to `endpoint`.
     fn close_idle_connections(&mut self, endpoint: &str);
@@ -56,7 +57,7 @@
     fn broadcast(&mut self, gossip: &[u8]);
     /// Schedules a call of [`Dispatcher::timer_fired`](crate::Dispatcher::timer_fired) after `wait`.
     fn set_timer(&mut self, wait: Duration);
-    /// Requests changes of the endpoint list from discovery from now on.
+    /// Asks discovery to report changes of the endpoint list from now on.
     fn watch_endpoints(&mut self);
     /// Writes an event to the log.
     fn log(&mut self, event: &LogEvent);
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -9,7 +9,7 @@
 /// Version in the first octet of a gossip message; messages of other versions are ignored.
 const VERSION: u8 = 1;
 
-/// Encodes the gossip message that `route` of `destination` has recovered.
+/// Encodes the gossip message announcing that `route` of `destination` has recovered.
 pub(crate) fn encode_recovery(destination: DestinationId, route: &str) -> Vec<u8> {
     [&[VERSION], &destination.to_le_bytes()[..], route.as_bytes()].concat()
 }
--- a/src/message.rs
+++ b/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages and their service classes: value, deadlines, and the effect of a retry.
+//! Messages and their service classes: value, deadlines, and whether a retry is safe.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 /// Number of a destination, assigned by the host.
 pub type DestinationId = u64;
 
-/// Effect of executing a message a second time at its destination.
+/// Conditions under which a message may be retried after an attempt that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
     /// The message can be executed again without harm.
@@ -35,10 +35,11 @@
 
 /// Service class of a message: its value, its deadlines, and the constraints on its attempts.
 ///
-/// The age of a message counts from its first submission.
+/// The age of a message counts from its submission, or from an earlier time if the client asks for a shorter
+/// deadline: at [`NewMessage::deadline`], the age is always `deadline`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceClass {
-    /// Effect of a second execution.
+    /// Conditions for a retry after an attempt that may have been executed.
     pub retry_safety: RetrySafety,
     /// Age up to which a delivered message has its full value.
     pub soft_deadline: Duration,
@@ -101,11 +102,11 @@
 /// Message submitted by a client.
 #[derive(Clone, Copy, Debug)]
 pub struct NewMessage<'a> {
-    /// Identifier, which no pending message has.
+    /// Identifier; no pending message may have the same one.
     pub id: MessageId,
     /// Name of the message's service class.
     pub service_class: &'a str,
-    /// Key whose messages are delivered in order if their service class is ordered; `None` if order is irrelevant.
+    /// Ordering key, if any: messages with the same key are delivered in order if their service class is ordered.
     pub ordering_key: Option<u64>,
     /// Time by which the message is to have its final outcome, capped by the deadline of its service class.
     pub deadline: Duration,
