--- a/crates/quillhub-experiments/src/baselines.rs
+++ b/crates/quillhub-experiments/src/baselines.rs
@@ -3,7 +3,7 @@
 
 use quillhub::{
     AttemptOutcome, AttemptResult, DestinationId, Driver, EndpointState, EndpointUpdate, MessageId,
-    NewMessage, RecoveredAttempts, RepeatSafety, ServiceClass,
+    NewMessage, RecoveredAttempts, RetrySafety, ServiceClass,
 };
 use quillhub_simulator::{Decider, Input, Start, dispatcher};
 use rand::{RngExt, SeedableRng};
@@ -205,10 +205,10 @@
 impl Baseline {
     /// Whether the service class allows an attempt of `pending` in `zone` now.
     fn may_attempt(&self, pending: &PendingMessage, zone: &str) -> bool {
-        match (&pending.first_execution, self.service_classes[pending.service_class].1.repeat_safety) {
-            (None, _) | (_, RepeatSafety::Idempotent) => true,
-            (Some(_), RepeatSafety::AtMostOnce) => false,
-            (Some((first, of)), RepeatSafety::Deduplicated { window, per_zone }) => {
+        match (&pending.first_execution, self.service_classes[pending.service_class].1.retry_safety) {
+            (None, _) | (_, RetrySafety::Idempotent) => true,
+            (Some(_), RetrySafety::AtMostOnce) => false,
+            (Some((first, of)), RetrySafety::Deduplicated { window, per_zone }) => {
                 self.now <= *first + window && (!per_zone || of == zone)
             }
         }
@@ -253,7 +253,7 @@
         self.due.remove(&(pending.due, id));
         self.ends.remove(&(pending.deadline, id));
         if pending.first_execution.is_some()
-            && self.service_classes[pending.service_class].1.repeat_safety == RepeatSafety::AtMostOnce
+            && self.service_classes[pending.service_class].1.retry_safety == RetrySafety::AtMostOnce
         {
             driver.abandon(id);
         } else {
@@ -402,7 +402,7 @@
         }
     }
 
-    fn may_begin(&self, id: MessageId, _: u32, now: Duration) -> bool {
+    fn may_send_request(&self, id: MessageId, _: u32, now: Duration) -> bool {
         let Some(pending) = self.pending.get(&id) else { return false };
         let open = self.endpoints.get(&pending.endpoint).is_some_and(|e| e.state == EndpointState::Available);
         open && self.retry_after.get(&pending.destination).is_none_or(|until| *until <= now)
--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -100,8 +100,8 @@
         );
         let id = AttemptId { message: id, attempt, endpoint: endpoint.to_owned() };
         let (weak, asked) = (self.weak.clone(), id.clone());
-        let may_begin =
-            move || weak.upgrade().is_some_and(|instance| instance.borrow_mut().may_begin(&asked));
+        let may_send_request =
+            move || weak.upgrade().is_some_and(|instance| instance.borrow_mut().may_send_request(&asked));
         let connect_timeout = self.connect_timeout;
         let attempt = address.filter(|_| recorded).map(|address| Attempt {
             pooled,
@@ -109,7 +109,7 @@
             connect_timeout,
             timeout,
             request,
-            may_begin,
+            may_send_request,
         });
         self.spawn_attempt(id, started, attempt);
     }
@@ -151,7 +151,7 @@
             LogEvent::HealthChanged { endpoint, destination, before, after } => {
                 tracing::info!(endpoint, destination, %before, %after, "endpoint health changed");
             }
-            LogEvent::QueueShort { pending, in_flight } => {
+            LogEvent::QueueNearlyFull { pending, in_flight } => {
                 tracing::info!(pending, in_flight, "queue is short");
             }
         }
--- a/crates/quillhub-settings/src/dispatcher.rs
+++ b/crates/quillhub-settings/src/dispatcher.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{Excerpt, SettingsError};
 use crate::setting::Setting;
-use quillhub::{Dispatcher, ListedRate, RepeatSafety, ServiceClass, ValueDecay};
+use quillhub::{Dispatcher, ListedRateAccuracy, RetrySafety, ServiceClass, ValueDecay};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -86,7 +86,7 @@
             max_attempts,
         );
         let retry_after = self.limits.optional("retryAfter", Setting::as_bool)?.unwrap_or(false);
-        dispatcher.set_longest_retry_after(if retry_after {
+        dispatcher.set_max_retry_after(if retry_after {
             self.limits.optional("maxRetryAfterUs", Setting::as_duration)?
         } else {
             None
@@ -107,7 +107,7 @@
 
     fn set_connections_and_ordering(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
         if let Some(timeout) = self.limits.optional("idleCloseUs", Setting::as_duration)? {
-            dispatcher.set_idle_timeout(timeout);
+            dispatcher.set_endpoint_idle_timeout(timeout);
         }
         let gossip = self.limits.optional("peerMessages", Setting::as_bool)?.unwrap_or(false);
         dispatcher.allow_gossip(gossip);
@@ -118,9 +118,9 @@
     fn set_discovery(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
         let mode = self.root.optional("membershipMode", Setting::as_str)?;
         let rate = match self.root.optional("weights", Setting::as_str)? {
-            Some("nominal") => ListedRate::Exact,
-            Some("rough") => ListedRate::Approximate,
-            _ => ListedRate::Absent,
+            Some("nominal") => ListedRateAccuracy::Exact,
+            Some("rough") => ListedRateAccuracy::Approximate,
+            _ => ListedRateAccuracy::Absent,
         };
         dispatcher.set_discovery(mode == Some("subscribe"), rate);
         dispatcher.set_poll_period(duration_or_zero(&self.rules, "askEveryUs")?);
@@ -189,7 +189,7 @@
 
 fn service_class(class: &Setting, decay: ValueDecay) -> Result<ServiceClass, SettingsError> {
     Ok(ServiceClass {
-        repeat_safety: repeat_safety(class)?,
+        retry_safety: retry_safety(class)?,
         soft_deadline: class.require("aimUs")?.as_duration()?,
         deadline: class.require("giveUpUs")?.as_duration()?,
         value: class.optional("importance", Setting::as_f64)?.unwrap_or(1.0),
@@ -199,15 +199,15 @@
     })
 }
 
-fn repeat_safety(class: &Setting) -> Result<RepeatSafety, SettingsError> {
+fn retry_safety(class: &Setting) -> Result<RetrySafety, SettingsError> {
     let effect = class.require("effect")?;
     match effect.as_str()? {
-        "free" => Ok(RepeatSafety::Idempotent),
-        "guarded" => Ok(RepeatSafety::Deduplicated {
+        "free" => Ok(RetrySafety::Idempotent),
+        "guarded" => Ok(RetrySafety::Deduplicated {
             window: duration_or_zero(class, "memorySpanUs")?,
             per_zone: class.optional("keyScope", Setting::as_str)?.unwrap_or("all") != "all",
         }),
-        "single_shot" => Ok(RepeatSafety::AtMostOnce),
+        "single_shot" => Ok(RetrySafety::AtMostOnce),
         _ => Err(effect.unexpected("free, guarded or single_shot")),
     }
 }
--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -21,7 +21,7 @@
     EndpointListFailed,
     /// A message was submitted ([`Dispatcher::accept`]).
     Message(NewMessage<'a>),
-    /// The message that came before was recovered after a restart ([`Dispatcher::recover`]).
+    /// The message that came before was recovered after a restart ([`Dispatcher::restore_attempts`]).
     Recovered {
         /// Its identifier.
         message: MessageId,
@@ -43,7 +43,7 @@
     /// Takes an input; what follows from it is carried out by [`Decider::apply_rules`].
     fn handle(&mut self, input: Input);
     /// Whether an attempt whose connection has come up may still begin.
-    fn may_begin(&self, _: MessageId, _attempt: u32, _now: Duration) -> bool {
+    fn may_send_request(&self, _: MessageId, _attempt: u32, _now: Duration) -> bool {
         true
     }
     /// Carries out what follows from the inputs since the last call.
@@ -74,15 +74,15 @@
                 let accepted = self.accept(message);
                 debug_assert!(accepted.is_ok(), "unknown service class {}", message.service_class);
             }
-            Input::Recovered { message, attempts } => self.recover(message, attempts),
+            Input::Recovered { message, attempts } => self.restore_attempts(message, attempts),
             Input::AttemptEnded(result) => self.attempt_ended(result),
             Input::Gossip(octets) => self.gossip_received(octets),
             Input::TimerFired => self.timer_fired(),
         }
     }
 
-    fn may_begin(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
-        self.may_begin(id, attempt, now)
+    fn may_send_request(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
+        self.may_send_request(id, attempt, now)
     }
 
     fn apply_rules(&mut self, driver: &mut dyn Driver) {
@@ -106,10 +106,10 @@
     let (instances, rules) = (&scenario.instances, &scenario.rules);
     let mut dispatcher = Dispatcher::new(start.seed, instances.count, start.zone);
     dispatcher.set_limits(Some(instances.slots), Some(instances.capacity), Some(instances.max_attempts));
-    dispatcher.set_longest_retry_after(Some(instances.max_retry_after));
+    dispatcher.set_max_retry_after(Some(instances.max_retry_after));
     dispatcher.set_slow_start(rules.overload_factor, rules.initial_share, rules.warm_up);
     dispatcher.set_overload_tolerance(rules.overload_span);
-    dispatcher.set_idle_timeout(scenario.network.idle_close);
+    dispatcher.set_endpoint_idle_timeout(scenario.network.idle_close);
     dispatcher.allow_gossip(instances.gossip);
     dispatcher.set_ordering_pause(rules.ordering_pause);
     dispatcher.set_discovery(
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,7 +2,7 @@
 
 use super::state::{Execution, PendingMessage, State};
 use crate::{
-    DestinationId, Driver, LogEvent, MessageId, NewMessage, RecoveredAttempts, RepeatSafety,
+    DestinationId, Driver, LogEvent, MessageId, NewMessage, RecoveredAttempts, RetrySafety,
     UnknownServiceClass, ms,
 };
 use std::collections::BTreeMap;
@@ -175,7 +175,7 @@
     /// Takes in what is known of the attempts of a message that was just accepted, from before a restart.
     ///
     /// Against effects that happen twice across a restart.
-    pub(crate) fn recover(&mut self, id: MessageId, attempts: RecoveredAttempts) {
+    pub(crate) fn restore_attempts(&mut self, id: MessageId, attempts: RecoveredAttempts) {
         let Some(destination) = self.pending.get(&id).map(|message| message.destination) else { return };
         let first_execution = attempts.first_execution.map(|execution| Execution {
             started: execution.started,
@@ -192,10 +192,10 @@
 
     /// Whether it is harmless to hand the message in again: only then it may be rejected.
     pub(super) fn may_reject(&self, message: &PendingMessage) -> bool {
-        match self.class(message).repeat_safety {
-            RepeatSafety::Idempotent => true,
-            RepeatSafety::Deduplicated { per_zone, .. } => message.first_execution.is_none() || !per_zone,
-            RepeatSafety::AtMostOnce => message.first_execution.is_none(),
+        match self.class(message).retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::Deduplicated { per_zone, .. } => message.first_execution.is_none() || !per_zone,
+            RetrySafety::AtMostOnce => message.first_execution.is_none(),
         }
     }
 
@@ -223,8 +223,10 @@
         let Some(id) = least.map(|(id, _)| *id) else { return false };
         self.give_up(id, driver);
         if self.admission.may_log(self.now) {
-            driver
-                .log(&LogEvent::QueueShort { pending: self.pending.len(), in_flight: self.in_flight.len() });
+            driver.log(&LogEvent::QueueNearlyFull {
+                pending: self.pending.len(),
+                in_flight: self.in_flight.len(),
+            });
         }
         true
     }
--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -6,8 +6,8 @@
 use super::slow_start::SlowStartBudget;
 use super::test_support::*;
 use crate::{
-    AttemptOutcome, Dispatcher, EndpointState, EndpointUpdate, ListedRate, LoadReport, NewMessage,
-    RepeatSafety, gossip, ms,
+    AttemptOutcome, Dispatcher, EndpointState, EndpointUpdate, ListedRateAccuracy, LoadReport, NewMessage,
+    RetrySafety, gossip, ms,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -17,7 +17,7 @@
 /// When an instance polls, if each poll fails after `fails_after` and its discovery wants one in `every`, for 60 s.
 fn polls_that_fail(seed: u64, every: Duration, fails_after: Duration) -> Vec<Duration> {
     let mut dispatcher = Dispatcher::new(seed, 300, "x");
-    dispatcher.set_discovery(true, ListedRate::Absent);
+    dispatcher.set_discovery(true, ListedRateAccuracy::Absent);
     dispatcher.set_poll_period(every);
     let (mut polls, mut fails) = (Vec::new(), None);
     for now in (0..60_000).step_by(5).map(ms) {
@@ -77,7 +77,7 @@
 fn instances_with_a_list(instances: u32) -> usize {
     let start = |seed| {
         let mut dispatcher = Dispatcher::new(seed, instances, "x");
-        dispatcher.set_discovery(true, ListedRate::Absent);
+        dispatcher.set_discovery(true, ListedRateAccuracy::Absent);
         dispatcher.set_poll_period(ms(10_000));
         dispatcher
     };
@@ -121,7 +121,7 @@
 fn what_many_were_rejected_together_does_not_come_back_together() {
     for retry_after in [Some(ms(2_000)), None] {
         let starts = |seed| {
-            let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+            let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
             dispatcher.state.shared.rng = Pcg64Mcg::seed_from_u64(seed);
             dispatcher.set_overload_tolerance(ms(2_000));
             let draining = EndpointUpdate { state: EndpointState::Draining, ..endpoint_of("b", "y") };
@@ -148,7 +148,7 @@
 #[test]
 fn instances_that_hear_of_a_return_together_do_not_call_together() {
     let waiting = |seed| {
-        let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+        let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         dispatcher.state.instances = 100;
         dispatcher.state.shared.rng = Pcg64Mcg::seed_from_u64(seed);
         for name in ["a", "b"] {
@@ -161,7 +161,7 @@
         route.limit.bucket.set_estimate(RateEstimate { limit: None, safe_rate: Some(100.0) });
         route.checks.set_next(ms(60_000));
         (0..5).for_each(|id| assert!(submit(&mut dispatcher, id, None).is_empty()));
-        dispatcher.gossip_received(&gossip::encode_return(9, ""));
+        dispatcher.gossip_received(&gossip::encode_recovery(9, ""));
         dispatcher
     };
     let mut all: Vec<_> = (0..100).map(waiting).collect();
@@ -211,11 +211,11 @@
 
 /// Destination 9's endpoints as `name`d, with a listed rate of `rate` calls a second, at one of `instances`.
 fn one_of_many(instances: u32, seed: u64, rate: f64, names: &[&str]) -> Dispatcher {
-    let mut dispatcher = dispatcher_for(RepeatSafety::Idempotent);
+    let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.state.instances = instances;
     dispatcher.state.shared.rng = Pcg64Mcg::seed_from_u64(seed);
     dispatcher.state.destinations.clear();
-    dispatcher.set_discovery(false, ListedRate::Exact);
+    dispatcher.set_discovery(false, ListedRateAccuracy::Exact);
     for name in names {
         dispatcher.endpoint_updated(listed_with_rate(name, rate));
     }
