--- a/crates/quillhub-bench-adapter/src/error.rs
+++ b/crates/quillhub-bench-adapter/src/error.rs
@@ -29,7 +29,7 @@
 
 impl LineError {
     pub fn unexpected(expected: &'static str, found: &str) -> Self {
-        Self::Unexpected { expected, found: Excerpt::of(found) }
+        Self::Unexpected { expected, found: Excerpt::new(found) }
     }
 }
 
--- a/crates/quillhub-bench-adapter/src/fields.rs
+++ b/crates/quillhub-bench-adapter/src/fields.rs
@@ -48,7 +48,7 @@
         match self.optional_text(name)? {
             Some("1") => Ok(true),
             Some("0") | None => Ok(false),
-            Some(other) => Err(LineError::NotAFlag { name, found: Excerpt::of(other) }),
+            Some(other) => Err(LineError::NotAFlag { name, found: Excerpt::new(other) }),
         }
     }
 
@@ -64,5 +64,5 @@
 }
 
 fn parse_number<T: FromStr>(field: &str, name: &'static str) -> Result<T, LineError> {
-    field.parse().map_err(|_| LineError::NotANumber { name, found: Excerpt::of(field) })
+    field.parse().map_err(|_| LineError::NotANumber { name, found: Excerpt::new(field) })
 }
--- a/crates/quillhub-bench-adapter/src/lists.rs
+++ b/crates/quillhub-bench-adapter/src/lists.rs
@@ -77,7 +77,7 @@
         let Some(Incomplete { list, missing }) = self.incomplete else { return Ok(false) };
         let mut fields = Fields::of(line);
         if fields.text("an event")? != "ENTRY" {
-            return Err(LineError::MissingEntries { count: missing, list, found: Excerpt::of(line) });
+            return Err(LineError::MissingEntries { count: missing, list, found: Excerpt::new(line) });
         }
         let entry = fields.take_rest();
         Entry::parse(entry)?;
--- a/crates/quillhub-settings/src/dispatcher.rs
+++ b/crates/quillhub-settings/src/dispatcher.rs
@@ -22,7 +22,7 @@
 /// The first setting that cannot be used.
 pub fn read_text(seed: u64, text: &str) -> Result<(Dispatcher, ReportColumns), SettingsError> {
     let value: Value = serde_json::from_str(text)
-        .map_err(|source| SettingsError::NotJson { found: Excerpt::of(text), source })?;
+        .map_err(|source| SettingsError::NotJson { found: Excerpt::new(text), source })?;
     read(seed, &value)
 }
 
@@ -33,7 +33,7 @@
 /// The first setting that cannot be used.
 pub fn read(seed: u64, value: &Value) -> Result<(Dispatcher, ReportColumns), SettingsError> {
     if !value.is_object() {
-        return Err(SettingsError::NotAnObject { found: Excerpt::of(&value.to_string()) });
+        return Err(SettingsError::NotAnObject { found: Excerpt::new(&value.to_string()) });
     }
     let settings = Sections::of(value);
     let mut dispatcher = settings.new_dispatcher(seed)?;
--- a/crates/quillhub-settings/src/error.rs
+++ b/crates/quillhub-settings/src/error.rs
@@ -12,7 +12,7 @@
 
 impl Excerpt {
     /// The start of `text`, marked where it was cut.
-    pub fn of(text: &str) -> Self {
+    pub fn new(text: &str) -> Self {
         let mut start: String = text.chars().take(MAX_EXCERPT_CHARS).collect();
         if start.len() < text.len() {
             start.push_str("..");
--- a/crates/quillhub-settings/src/setting.rs
+++ b/crates/quillhub-settings/src/setting.rs
@@ -65,7 +65,7 @@
 
     /// The error that says that this value is not what was `expected`.
     pub fn unexpected(&self, expected: &'static str) -> SettingsError {
-        let found = Excerpt::of(&self.value.to_string());
+        let found = Excerpt::new(&self.value.to_string());
         SettingsError::Unexpected { path: self.path.clone(), expected, found }
     }
 
