--- a/crates/quillhub-settings/src/error.rs
+++ b/crates/quillhub-settings/src/error.rs
@@ -1,23 +1,23 @@
-//! Errors of settings, each in one line: what was expected, where, and what was found instead.
+//! Errors for invalid settings. Each message is one line with the path, the expected value and the value found.
 
 use std::fmt;
 use thiserror::Error;
 
-/// The longest excerpt of what was found, in characters.
+/// Maximum length of an [`Excerpt`], in characters, without the mark of a truncated text.
 const MAX_EXCERPT_CHARS: usize = 60;
 
-/// The start of a text that was found, for an error message of bounded length.
+/// Beginning of an invalid text, quoted in error messages to bound their length.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Excerpt(String);
 
 impl Excerpt {
-    /// The start of `text`, marked where it was cut.
+    /// Quotes the beginning of `text`, and appends `..` if the rest was cut off.
     pub fn new(text: &str) -> Self {
-        let mut start: String = text.chars().take(MAX_EXCERPT_CHARS).collect();
-        if start.len() < text.len() {
-            start.push_str("..");
+        let mut excerpt: String = text.chars().take(MAX_EXCERPT_CHARS).collect();
+        if excerpt.len() < text.len() {
+            excerpt.push_str("..");
         }
-        Self(start)
+        Self(excerpt)
     }
 }
 
@@ -27,39 +27,39 @@
     }
 }
 
-/// Why settings cannot be used.
+/// Error for settings that a dispatcher cannot be configured with.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The settings are no JSON text.
+    /// The settings are not valid JSON.
     #[error("expected settings as a JSON object, found '{found}'")]
     NotJson {
-        /// The text that stands there.
+        /// Beginning of the settings text.
         found: Excerpt,
-        /// Where it is no JSON.
+        /// Syntax error that the JSON parser reported.
         source: serde_json::Error,
     },
-    /// The settings are JSON, but no object.
+    /// The settings are valid JSON but not an object.
     #[error("expected settings as a JSON object, found '{found}'")]
     NotAnObject {
-        /// The value that stands there.
+        /// Beginning of the value found instead of an object.
         found: Excerpt,
     },
-    /// A setting that is required is absent or null.
+    /// A required setting is absent or null.
     #[error("expected settings with {parent}.{name}, found none")]
     Missing {
-        /// The path of the object that lacks it; empty for the outermost.
+        /// Path of the object in which the setting is missing; empty for the root.
         parent: String,
-        /// Its name in there.
+        /// Key of the missing setting.
         name: String,
     },
-    /// A setting has a value that it cannot have.
+    /// The value of a setting has the wrong type or is out of range.
     #[error("expected {expected} as settings' {path}, found '{found}'")]
     Unexpected {
-        /// Where it stands.
+        /// Path of the setting, such as `classes[0].effect`.
         path: String,
-        /// What it can be.
+        /// Description of the valid values.
         expected: &'static str,
-        /// The value that stands there.
+        /// Beginning of the invalid value, as JSON.
         found: Excerpt,
     },
 }
