--- a/crates/quillhub-settings/src/lib.rs
+++ b/crates/quillhub-settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads the settings that an instance is started with into its dispatcher; shared by the server, the bench adapter
-//! and the scale tests.
+//! Parses the JSON settings of a gateway instance and configures its dispatcher, for the server, the bench adapter and
+//! the scale tests.
 //!
-//! Invariant: settings are read in a fixed order, so that the same settings are always refused with the same error.
+//! Invariant: settings are read in a fixed order, so that the same invalid settings always produce the same error.
 
 mod dispatcher;
 mod error;
