--- a/crates/quillhub-bench-adapter/src/adapter.rs
+++ b/crates/quillhub-bench-adapter/src/adapter.rs
@@ -50,7 +50,8 @@
             tenant: submitted.tenant,
             destination: submitted.destination,
         });
-        accepted.map_err(|_| LineError::unexpected("the name of a class as qos", submitted.service_class))
+        accepted
+            .map_err(|_| LineError::unexpected("a configured service class as qos", submitted.service_class))
     }
 
     fn attempt_ended(&mut self, resolved: Resolved) {
@@ -162,8 +163,9 @@
     name: &str,
     clock_us: u64,
 ) -> Result<&'a mut HostedInstance, LineError> {
-    let hosted =
-        instances.get_mut(name).ok_or_else(|| LineError::unexpected("a courier that was started", name))?;
+    let hosted = instances
+        .get_mut(name)
+        .ok_or_else(|| LineError::unexpected("a started instance as courierId", name))?;
     let now = hosted.since_start(clock_us);
     hosted.dispatcher.advance_to(now);
     Ok(hosted)
--- a/crates/quillhub-bench-adapter/src/error.rs
+++ b/crates/quillhub-bench-adapter/src/error.rs
@@ -9,7 +9,7 @@
 pub enum LineError {
     #[error("expected {expected}, found '{found}'")]
     Unexpected { expected: &'static str, found: Excerpt },
-    #[error("expected {name}, found the line's end")]
+    #[error("expected {name}, found end of line")]
     MissingField { name: &'static str },
     #[error("expected a number as {name}, found '{found}'")]
     NotANumber { name: &'static str, found: Excerpt },
@@ -19,11 +19,11 @@
     MissingEntries { count: usize, list: u64, found: Excerpt },
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("expected YOUR_TURN, found the input's end")]
+    #[error("expected YOUR_TURN, found end of input")]
     InputEnd,
-    #[error("expected input, found {0}")]
+    #[error("input cannot be read: {0}")]
     Read(#[source] io::Error),
-    #[error("expected to write a reply, found {0}")]
+    #[error("reply cannot be written: {0}")]
     Write(#[source] io::Error),
 }
 
--- a/crates/quillhub-bench-adapter/src/events.rs
+++ b/crates/quillhub-bench-adapter/src/events.rs
@@ -206,5 +206,5 @@
 fn parse_report(fields: &mut Fields) -> Result<Option<Vec<f64>>, LineError> {
     let Some(text) = fields.optional_text("pressure")? else { return Ok(None) };
     let values: Result<Vec<f64>, _> = text.split(',').map(str::parse).collect();
-    values.map(Some).map_err(|_| LineError::unexpected("numbers set apart by commas as report", text))
+    values.map(Some).map_err(|_| LineError::unexpected("comma-separated numbers as report", text))
 }
--- a/crates/quillhub-bench-adapter/src/fields.rs
+++ b/crates/quillhub-bench-adapter/src/fields.rs
@@ -59,7 +59,7 @@
 
     /// Checks that all fields are taken.
     pub fn end(&self) -> Result<(), LineError> {
-        self.rest.map_or(Ok(()), |rest| Err(LineError::unexpected("the line's end", rest)))
+        self.rest.map_or(Ok(()), |rest| Err(LineError::unexpected("end of line", rest)))
     }
 }
 
--- a/crates/quillhub-bench-adapter/src/lists.rs
+++ b/crates/quillhub-bench-adapter/src/lists.rs
@@ -91,7 +91,7 @@
         let entries = list.and_then(|list| self.entries.get(&list));
         entries.map(Vec::as_slice).ok_or_else(|| {
             let number = list.map_or("-".into(), |list| list.to_string());
-            LineError::unexpected("the number of a list that came", &number)
+            LineError::unexpected("the number of a received list as list", &number)
         })
     }
 }
--- a/crates/quillhub-bench-adapter/src/session.rs
+++ b/crates/quillhub-bench-adapter/src/session.rs
@@ -31,7 +31,9 @@
     }
     let line = std::str::from_utf8(octets)
         .map_err(|_| LineError::unexpected("UTF-8 text", &String::from_utf8_lossy(octets)))?;
-    line.strip_suffix('\n').map(Some).ok_or_else(|| LineError::unexpected("a whole line", line))
+    line.strip_suffix('\n')
+        .map(Some)
+        .ok_or_else(|| LineError::unexpected("a line ending with a newline", line))
 }
 
 struct Session<W> {
--- a/crates/quillhub-bench-adapter/src/session_tests.rs
+++ b/crates/quillhub-bench-adapter/src/session_tests.rs
@@ -31,8 +31,8 @@
 fn input_that_ends_inside_a_batch_is_refused_with_its_line() {
     let (output, error) = run(&format!("{HELLO}TICK 2000 2\nTIMER courier/0 beat\n"));
     assert_eq!(output, "EOR 1\n");
-    assert_eq!(error.unwrap(), "line 9: expected YOUR_TURN, found the input's end");
-    assert_eq!(run("TICK 20").1.unwrap(), "line 1: expected a whole line, found 'TICK 20'");
+    assert_eq!(error.unwrap(), "line 9: expected YOUR_TURN, found end of input");
+    assert_eq!(run("TICK 20").1.unwrap(), "line 1: expected a line ending with a newline, found 'TICK 20'");
 }
 
 #[test]
@@ -42,16 +42,16 @@
         ("INBOUND courier/0 x - g - 9000 - 0 9 0 0", "line 8: expected a number as ref, found 'x'"),
         (
             "INBOUND courier/0 1 - h - 9000 - 0 9 0 0",
-            "line 8: expected the name of a class as qos, found 'h'",
+            "line 8: expected a configured service class as qos, found 'h'",
         ),
         ("INBOUND courier/0 1 - g - 9000 - 0 9 2 0", "line 8: expected 0 or 1 as update, found '2'"),
-        ("TIMER courier/5 beat", "line 8: expected a courier that was started, found 'courier/5'"),
-        ("ANNOUNCE courier/0 4 full 2", "line 8: expected the number of a list that came, found '4'"),
+        ("TIMER courier/5 beat", "line 8: expected a started instance as courierId, found 'courier/5'"),
+        ("ANNOUNCE courier/0 4 full 2", "line 8: expected the number of a received list as list, found '4'"),
         ("LIST 1 2\nENTRY e z k 9 UP 1 -", "line 9: expected IN, LAME or OUT as health, found 'UP'"),
         ("MEMO courier/0 1 a=b", "line 8: expected base64 as octets, found 'a=b'"),
-        ("TIMER courier/0 beat more", "line 8: expected the line's end, found 'more'"),
+        ("TIMER courier/0 beat more", "line 8: expected end of line, found 'more'"),
         ("RESOLVED courier/0 1 0 endpoint_a lost 5 0 - -", "line 8: expected an outcome, found 'lost'"),
-        ("RESOLVED courier/0 1 0 endpoint_a ok 5 1 - 1;2", "numbers set apart by commas"),
+        ("RESOLVED courier/0 1 0 endpoint_a ok 5 1 - 1;2", "comma-separated numbers"),
         ("HELLO courier/1 7 {", "line 8: expected settings as a JSON object"),
         ("HELLO courier/1 7 {\"nInstances\":\"two\"}", "expected a whole number as settings' nInstances"),
         (
--- a/crates/quillhub-bench-adapter/tests/session.rs
+++ b/crates/quillhub-bench-adapter/tests/session.rs
@@ -90,14 +90,14 @@
 #[test]
 fn a_round_that_is_not_whole_is_refused_with_its_line() {
     for (input, message) in [
-        ("TICK 20", "line 1: expected a whole line, found 'TICK 20'"),
-        ("TICK 20 1\n", "line 2: expected YOUR_TURN, found the input's end"),
+        ("TICK 20", "line 1: expected a line ending with a newline, found 'TICK 20'"),
+        ("TICK 20 1\n", "line 2: expected YOUR_TURN, found end of input"),
         ("\n", "line 1: expected TICK, found ''"),
         ("YOUR_TURN\n", "line 1: expected TICK, found 'YOUR_TURN'"),
-        ("TICK\n", "line 1: expected the clock, found the line's end"),
+        ("TICK\n", "line 1: expected the clock, found end of line"),
         ("TICK soon 1\n", "line 1: expected a number as the clock, found 'soon'"),
         ("TICK 20 -1\n", "line 1: expected a number as the batch number, found '-1'"),
-        ("TICK 20 1 2\n", "line 1: expected the line's end, found '2'"),
+        ("TICK 20 1 2\n", "line 1: expected end of line, found '2'"),
     ] {
         assert_refused(input.as_bytes(), "", message);
     }
@@ -122,9 +122,9 @@
         ("ENTRY e east library nine IN\n", "line 9: expected a number as ownerNo, found 'nine'"),
         ("ENTRY e east library 9 IN much\n", "line 9: expected a number as heft, found 'much'"),
         ("ENTRY e east library 9 IN 1 now\n", "line 9: expected a number as startTimeUs, found 'now'"),
-        ("ENTRY e east library 9 IN 1 - 2\n", "line 9: expected the line's end, found '2'"),
-        ("ENTRY e east\n", "line 9: expected hw, found the line's end"),
-        ("ENTRY e\n", "line 9: expected rackZone, found the line's end"),
+        ("ENTRY e east library 9 IN 1 - 2\n", "line 9: expected end of line, found '2'"),
+        ("ENTRY e east\n", "line 9: expected hw, found end of line"),
+        ("ENTRY e\n", "line 9: expected rackZone, found end of line"),
         ("ENTRY\n", "line 9: expected endpoint, found ''"),
     ] {
         assert_refused(format!("{list}{rest}").as_bytes(), "EOR 1\n", message);
