--- a/crates/quillhub-bench-adapter/src/adapter.rs
+++ b/crates/quillhub-bench-adapter/src/adapter.rs
@@ -111,7 +111,7 @@
         if self.lists.add_missing_entry(line)? {
             return Ok(());
         }
-        let mut fields = Fields::of(line);
+        let mut fields = Fields::new(line);
         let event = fields.text("an event")?;
         if event == "LIST" {
             return self.lists.start(&mut fields);
--- a/crates/quillhub-bench-adapter/src/fields.rs
+++ b/crates/quillhub-bench-adapter/src/fields.rs
@@ -15,7 +15,7 @@
 }
 
 impl<'a> Fields<'a> {
-    pub fn of(line: &'a str) -> Self {
+    pub fn new(line: &'a str) -> Self {
         Self { rest: Some(line) }
     }
 
--- a/crates/quillhub-bench-adapter/src/lists.rs
+++ b/crates/quillhub-bench-adapter/src/lists.rs
@@ -20,7 +20,7 @@
 
 impl<'a> Entry<'a> {
     pub fn parse(line: &'a str) -> Result<Self, LineError> {
-        let mut fields = Fields::of(line);
+        let mut fields = Fields::new(line);
         let name = fields.text("endpoint")?;
         let zone = fields.text("rackZone")?;
         let kind = fields.text("hw")?;
@@ -75,7 +75,7 @@
     /// Adds the entry of `line` to the list that lacks some, if there is one; whether there is.
     pub fn add_missing_entry(&mut self, line: &str) -> Result<bool, LineError> {
         let Some(Incomplete { list, missing }) = self.incomplete else { return Ok(false) };
-        let mut fields = Fields::of(line);
+        let mut fields = Fields::new(line);
         if fields.text("an event")? != "ENTRY" {
             return Err(LineError::MissingEntries { count: missing, list, found: Excerpt::new(line) });
         }
--- a/crates/quillhub-bench-adapter/src/session.rs
+++ b/crates/quillhub-bench-adapter/src/session.rs
@@ -58,7 +58,7 @@
     }
 
     fn start_batch(&mut self, line: &str) -> Result<(), LineError> {
-        let mut fields = Fields::of(line);
+        let mut fields = Fields::new(line);
         if fields.text("TICK")? != "TICK" {
             return Err(LineError::unexpected("TICK", line));
         }
