--- a/crates/quillhub-bench-adapter/src/main.rs
+++ b/crates/quillhub-bench-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many instances, which share nothing, on the bench's wire: batches of lines in, one reply a batch out.
+//! Runs gateway instances under the bench's simulator: reads batches of event lines from standard input, and answers
+//! each batch with one reply of action lines on standard output.
 
 mod adapter;
 mod error;
@@ -11,15 +12,15 @@
 use std::io::{BufWriter, stdin, stdout};
 use std::process::ExitCode;
 
-/// Exit status after input that cannot be understood.
-const REFUSED: u8 = 2;
+/// Exit status after malformed input, or a failure to read input or write a reply.
+const FAILURE_STATUS: u8 = 2;
 
 fn main() -> ExitCode {
     match session::serve(stdin().lock(), BufWriter::new(stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("quillhub-bench-adapter: {error}");
-            ExitCode::from(REFUSED)
+            ExitCode::from(FAILURE_STATUS)
         }
     }
 }
