--- a/crates/quillhub-bench-adapter/src/error.rs
+++ b/crates/quillhub-bench-adapter/src/error.rs
@@ -1,10 +1,10 @@
-//! Why a session ends early, in one line: what was expected, and what was found instead.
+//! Errors that end a session. Each message is one line, in most cases with the expected and the found input.
 
 use quillhub_settings::{Excerpt, SettingsError};
 use std::io;
 use thiserror::Error;
 
-/// What is wrong with a line of input, or with reading or answering it.
+/// Error for a malformed input line, or for a failure to read input or write a reply.
 #[derive(Debug, Error)]
 pub enum LineError {
     #[error("expected {expected}, found '{found}'")]
@@ -33,7 +33,7 @@
     }
 }
 
-/// Why a session ended early, with the number of the line, from 1 on.
+/// Error that ended a session, with the number of the input line, counted from 1.
 #[derive(Debug, Error)]
 #[error("line {line}: {source}")]
 pub struct SessionError {
