--- a/crates/quillhub-bench-adapter/src/reply.rs
+++ b/crates/quillhub-bench-adapter/src/reply.rs
@@ -1,11 +1,11 @@
-//! One instance's actions, written as lines of the reply being built.
+//! Driver that encodes the actions of one instance as lines of a reply.
 
 use base64::prelude::*;
 use quillhub::{Driver, LogEvent, MessageId};
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Adds the actions of one instance to a reply.
+/// Driver of one instance, which appends a line to the reply for each action.
 pub struct Reply<'a> {
     instance: &'a str,
     lines: &'a mut String,
@@ -16,46 +16,46 @@
         Self { instance, lines }
     }
 
-    fn add(&mut self, action: &str, rest: std::fmt::Arguments) {
-        writeln!(self.lines, "{action} {}{rest}", self.instance).expect("a string takes every write");
+    fn add_line(&mut self, action: &str, fields: std::fmt::Arguments) {
+        writeln!(self.lines, "{action} {}{fields}", self.instance).expect("writing to a string never fails");
     }
 }
 
 impl Driver for Reply<'_> {
     fn start_attempt(&mut self, message: MessageId, endpoint: &str, timeout: Duration) {
-        // On this wire a timeout of 0 means none at all.
+        // The simulator takes a timeout of 0 for no timeout.
         let timeout = timeout.as_micros().max(1);
-        self.add("ASSIGN", format_args!(" {message} {endpoint} {timeout}"));
+        self.add_line("ASSIGN", format_args!(" {message} {endpoint} {timeout}"));
     }
 
     fn reject(&mut self, message: MessageId, retry_after: Option<Duration>) {
         match retry_after {
-            Some(wait) => self.add("SAY_NO", format_args!(" {message} {}", wait.as_micros())),
-            None => self.add("SAY_NO", format_args!(" {message} -")),
+            Some(wait) => self.add_line("SAY_NO", format_args!(" {message} {}", wait.as_micros())),
+            None => self.add_line("SAY_NO", format_args!(" {message} -")),
         }
     }
 
     fn abandon(&mut self, message: MessageId) {
-        self.add("LOSE", format_args!(" {message}"));
+        self.add_line("LOSE", format_args!(" {message}"));
     }
 
     fn close_idle_connections(&mut self, endpoint: &str) {
-        self.add("HANG_UP", format_args!(" {endpoint}"));
+        self.add_line("HANG_UP", format_args!(" {endpoint}"));
     }
 
     fn broadcast(&mut self, gossip: &[u8]) {
-        self.add("POST", format_args!(" * {}", BASE64_STANDARD.encode(gossip)));
+        self.add_line("POST", format_args!(" * {}", BASE64_STANDARD.encode(gossip)));
     }
 
     fn set_timer(&mut self, wait: Duration) {
-        self.add("ARM", format_args!(" {} beat", wait.as_micros()));
+        self.add_line("ARM", format_args!(" {} beat", wait.as_micros()));
     }
 
     fn watch_endpoints(&mut self) {
-        self.add("OBSERVE", format_args!(" 1"));
+        self.add_line("OBSERVE", format_args!(" 1"));
     }
 
     fn log(&mut self, event: &LogEvent) {
-        self.add("EMIT", format_args!(" {event}"));
+        self.add_line("EMIT", format_args!(" {event}"));
     }
 }
