--- a/crates/quillhub-bench-adapter/src/lists.rs
+++ b/crates/quillhub-bench-adapter/src/lists.rs
@@ -1,6 +1,6 @@
-//! The endpoint lists that came on the wire, by number.
+//! Endpoint lists received from the simulator, identified by number.
 //!
-//! Invariant: every entry of them can be parsed.
+//! Invariant: every stored entry has been parsed successfully once.
 
 use crate::error::LineError;
 use crate::fields::Fields;
@@ -8,13 +8,14 @@
 use quillhub_settings::Excerpt;
 use std::collections::BTreeMap;
 
-/// One entry of an endpoint list.
+/// Entry of an endpoint list: an endpoint and its state.
 pub struct Entry<'a> {
     pub name: &'a str,
     pub zone: &'a str,
     pub kind: &'a str,
     pub destination: u64,
     pub state: EndpointState,
+    /// Listed rate of the endpoint in calls per second, if the list has one.
     pub rate: Option<f64>,
 }
 
@@ -42,51 +43,58 @@
     }
 }
 
-/// The list of which entries are still to come, and how many.
+/// Endpoint list that has been announced by a `LIST` line but not been received in full.
 #[derive(Clone, Copy)]
-struct Incomplete {
+struct IncompleteList {
     list: u64,
-    missing: usize,
+    /// Number of `ENTRY` lines that must still follow; at least 1.
+    missing_entries: usize,
 }
 
+/// Endpoint lists received so far; at most one of them is incomplete.
 #[derive(Default)]
 pub struct EndpointLists {
-    /// Each entry a line as it came; a new list of a number takes the old one's place.
+    /// Unparsed entries of each list, by list number. A new list replaces an older one with the same number.
     entries: BTreeMap<u64, Vec<String>>,
-    incomplete: Option<Incomplete>,
+    incomplete: Option<IncompleteList>,
 }
 
 impl EndpointLists {
-    /// Whether no entry is still to come.
+    /// Returns `true` if no list lacks an entry.
     pub fn are_complete(&self) -> bool {
         self.incomplete.is_none()
     }
 
-    /// Starts a list by the fields of its line.
+    /// Starts a list from the fields of a `LIST` line: its number and its number of entries.
     pub fn start(&mut self, fields: &mut Fields) -> Result<(), LineError> {
         let list = fields.number("list")?;
-        let missing = fields.number("rows")?;
+        let missing_entries = fields.number("rows")?;
         fields.end()?;
         self.entries.insert(list, Vec::new());
-        self.incomplete = (missing > 0).then_some(Incomplete { list, missing });
+        self.incomplete = (missing_entries > 0).then_some(IncompleteList { list, missing_entries });
         Ok(())
     }
 
-    /// Adds the entry of `line` to the list that lacks some, if there is one; whether there is.
+    /// Adds the entry in `line` to the incomplete list; returns `false`, and adds nothing, if every list is complete.
     pub fn add_missing_entry(&mut self, line: &str) -> Result<bool, LineError> {
-        let Some(Incomplete { list, missing }) = self.incomplete else { return Ok(false) };
+        let Some(IncompleteList { list, missing_entries }) = self.incomplete else { return Ok(false) };
         let mut fields = Fields::new(line);
         if fields.text("an event")? != "ENTRY" {
-            return Err(LineError::MissingEntries { count: missing, list, found: Excerpt::new(line) });
+            return Err(LineError::MissingEntries {
+                count: missing_entries,
+                list,
+                found: Excerpt::new(line),
+            });
         }
         let entry = fields.take_rest();
         Entry::parse(entry)?;
         self.entries.entry(list).or_default().push(entry.into());
-        self.incomplete = (missing > 1).then_some(Incomplete { list, missing: missing - 1 });
+        self.incomplete =
+            (missing_entries > 1).then_some(IncompleteList { list, missing_entries: missing_entries - 1 });
         Ok(true)
     }
 
-    /// The entries of a list that came.
+    /// Returns the unparsed entries of the list with number `list`, or an error if no such list was received.
     pub fn get(&self, list: Option<u64>) -> Result<&[String], LineError> {
         let entries = list.and_then(|list| self.entries.get(&list));
         entries.map(Vec::as_slice).ok_or_else(|| {
