--- a/crates/quillhub-bench-adapter/src/adapter.rs
+++ b/crates/quillhub-bench-adapter/src/adapter.rs
@@ -1,9 +1,9 @@
-//! The hosted instances: applies events to their dispatchers and lets these act.
+//! The running instances: passes each event to the dispatcher of its instance, then lets the dispatcher act.
 //!
-//! Invariant: instances share nothing but the clock and the endpoint lists.
+//! Invariant: instances share only the clock and the endpoint lists.
 
 use crate::error::LineError;
-use crate::events::{self, Announced, AnnouncedForm, Event, InstanceEvent, Resolved, Submitted};
+use crate::events::{self, EndedAttempt, Event, InstanceEvent, ListAnnouncement, ListForm, SubmittedMessage};
 use crate::fields::Fields;
 use crate::lists::{EndpointLists, Entry};
 use crate::reply::Reply;
@@ -12,22 +12,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// One instance, with its own start of time.
+/// Running instance and its dispatcher, whose time counts from the start of the instance.
 struct HostedInstance {
     dispatcher: Dispatcher,
     report_columns: ReportColumns,
+    /// Start of the instance, in microseconds on the simulator's clock.
     started_us: u64,
 }
 
 impl HostedInstance {
+    /// Converts a time on the simulator's clock to the dispatcher's time; a time before the start becomes zero.
     fn since_start(&self, clock_us: u64) -> Duration {
         Duration::from_micros(clock_us.saturating_sub(self.started_us))
     }
 
     fn handle_event(&mut self, event: InstanceEvent, fields: &mut Fields) -> Result<(), LineError> {
         match event {
-            InstanceEvent::Inbound => self.submit(&Submitted::parse(fields)?)?,
-            InstanceEvent::Resolved => self.attempt_ended(Resolved::parse(fields)?),
+            InstanceEvent::Inbound => self.submit(&SubmittedMessage::parse(fields)?)?,
+            InstanceEvent::Resolved => self.attempt_ended(EndedAttempt::parse(fields)?),
             InstanceEvent::Timer => {
                 events::parse_timer(fields)?;
                 self.dispatcher.timer_fired();
@@ -40,7 +42,7 @@
         Ok(())
     }
 
-    fn submit(&mut self, submitted: &Submitted) -> Result<(), LineError> {
+    fn submit(&mut self, submitted: &SubmittedMessage) -> Result<(), LineError> {
         let deadline = self.since_start(submitted.deadline_us);
         let accepted = self.dispatcher.accept(NewMessage {
             id: submitted.message,
@@ -54,19 +56,19 @@
             .map_err(|_| LineError::unexpected("a configured service class as qos", submitted.service_class))
     }
 
-    fn attempt_ended(&mut self, resolved: Resolved) {
-        let load_report = resolved.report.and_then(|values| self.load_report(&values));
+    fn attempt_ended(&mut self, ended: EndedAttempt) {
+        let load_report = ended.report.and_then(|values| self.load_report(&values));
         self.dispatcher.attempt_ended(AttemptResult {
-            message: resolved.message,
-            attempt: resolved.attempt,
-            outcome: resolved.outcome,
-            duration: resolved.duration,
-            finished: resolved.finished,
+            message: ended.message,
+            attempt: ended.attempt,
+            outcome: ended.outcome,
+            duration: ended.duration,
+            finished: ended.finished,
             load_report,
         });
     }
 
-    /// The share left and the limit, where the report has both.
+    /// Builds the load report from the values that the settings select, or returns `None` if one of them is missing.
     fn load_report(&self, values: &[f64]) -> Option<LoadReport> {
         let value = |column: Option<usize>| column.and_then(|column| values.get(column)).copied();
         let remaining_share = value(self.report_columns.remaining_share)?;
@@ -74,7 +76,7 @@
         Some(LoadReport { remaining_share, rate_limit })
     }
 
-    fn update_endpoints(&mut self, entries: &[String], form: AnnouncedForm) -> Result<(), LineError> {
+    fn update_endpoints(&mut self, entries: &[String], form: ListForm) -> Result<(), LineError> {
         let mut names = BTreeSet::new();
         for line in entries {
             let Entry { name, zone, kind, destination, state, rate } = Entry::parse(line)?;
@@ -82,13 +84,13 @@
             let update = EndpointUpdate { name, zone, kind, destination, state, listed_rate: rate };
             self.dispatcher.endpoint_updated(update);
         }
-        let complete = (form != AnnouncedForm::Delta).then_some(&names);
-        self.dispatcher.endpoint_list_ended(complete, form != AnnouncedForm::Cached);
+        let snapshot = (form != ListForm::Delta).then_some(&names);
+        self.dispatcher.endpoint_list_ended(snapshot, form != ListForm::Cached);
         Ok(())
     }
 }
 
-/// The instances that were started and not shut down.
+/// Running instances by name, with the clock and the endpoint lists that they share.
 #[derive(Default)]
 pub struct Adapter {
     clock_us: u64,
@@ -97,16 +99,17 @@
 }
 
 impl Adapter {
+    /// Sets the simulator's clock to the time of a batch, in microseconds.
     pub fn set_clock(&mut self, clock_us: u64) {
         self.clock_us = clock_us;
     }
 
-    /// Whether a batch may end here.
-    pub fn awaits_no_entry(&self) -> bool {
+    /// Returns `true` if no endpoint list lacks an entry, so that the batch may end.
+    pub fn has_complete_lists(&self) -> bool {
         self.lists.are_complete()
     }
 
-    /// Applies the event of one line, and adds the actions that it leads to to `reply`.
+    /// Handles one line of a batch, and appends the resulting actions of its instance to `reply`.
     pub fn handle_line(&mut self, line: &str, reply: &mut String) -> Result<(), LineError> {
         if self.lists.add_missing_entry(line)? {
             return Ok(());
@@ -119,9 +122,9 @@
         let event = Event::parse(event).ok_or_else(|| LineError::unexpected("an event", line))?;
         let instance = fields.text("courierId")?;
         match event {
-            Event::Hello => self.start(instance, &mut fields)?,
-            Event::Announce => self.announce(instance, &mut fields)?,
-            Event::Instance(event) => self.instance(instance)?.handle_event(event, &mut fields)?,
+            Event::Hello => self.start_instance(instance, &mut fields)?,
+            Event::Announce => self.handle_announcement(instance, &mut fields)?,
+            Event::Instance(event) => self.instance_mut(instance)?.handle_event(event, &mut fields)?,
             Event::Shutdown => {
                 fields.end()?;
                 self.instances.remove(instance);
@@ -129,11 +132,11 @@
             }
         }
         fields.end()?;
-        self.instance(instance)?.dispatcher.apply_rules(&mut Reply::new(instance, reply));
+        self.instance_mut(instance)?.dispatcher.apply_rules(&mut Reply::new(instance, reply));
         Ok(())
     }
 
-    fn start(&mut self, instance: &str, fields: &mut Fields) -> Result<(), LineError> {
+    fn start_instance(&mut self, instance: &str, fields: &mut Fields) -> Result<(), LineError> {
         let seed = fields.number("randomSeed")?;
         let (dispatcher, report_columns) = quillhub_settings::read_text(seed, fields.take_rest())?;
         let hosted = HostedInstance { dispatcher, report_columns, started_us: self.clock_us };
@@ -141,24 +144,26 @@
         Ok(())
     }
 
-    fn announce(&mut self, instance: &str, fields: &mut Fields) -> Result<(), LineError> {
-        let announced = Announced::parse(fields)?;
-        let hosted = find(&mut self.instances, instance, self.clock_us)?;
-        if announced.is_failure() {
+    fn handle_announcement(&mut self, instance: &str, fields: &mut Fields) -> Result<(), LineError> {
+        let announcement = ListAnnouncement::parse(fields)?;
+        let hosted = find_instance(&mut self.instances, instance, self.clock_us)?;
+        if announcement.is_failure() {
             hosted.dispatcher.endpoint_list_failed();
             return Ok(());
         }
-        let form = AnnouncedForm::parse(announced.form)?;
-        hosted.update_endpoints(self.lists.get(announced.list)?, form)
+        let form = ListForm::parse(announcement.form)?;
+        hosted.update_endpoints(self.lists.get(announcement.list)?, form)
     }
 
-    fn instance(&mut self, name: &str) -> Result<&mut HostedInstance, LineError> {
-        find(&mut self.instances, name, self.clock_us)
+    fn instance_mut(&mut self, name: &str) -> Result<&mut HostedInstance, LineError> {
+        find_instance(&mut self.instances, name, self.clock_us)
     }
 }
 
-/// The instance of that name, with its time set. Apart from [`Adapter`], so that its lists can be read meanwhile.
-fn find<'a>(
+/// Returns the instance with `name`, with its time advanced to `clock_us`.
+///
+/// Not a method of [`Adapter`], so that the endpoint lists can be borrowed at the same time.
+fn find_instance<'a>(
     instances: &'a mut BTreeMap<String, HostedInstance>,
     name: &str,
     clock_us: u64,
--- a/crates/quillhub-bench-adapter/src/events.rs
+++ b/crates/quillhub-bench-adapter/src/events.rs
@@ -1,6 +1,6 @@
-//! The events of a line: what happened to one instance.
+//! Parsers for the events that the simulator reports to one instance.
 //!
-//! Invariant: fields are read in the order of the wire, so that of several wrong ones the first is refused.
+//! Invariant: the fields of an event are read in the order of its line, so that the error names the first invalid one.
 
 use crate::error::LineError;
 use crate::fields::Fields;
@@ -8,32 +8,40 @@
 use quillhub::{AttemptOutcome, MessageId};
 use std::time::Duration;
 
-/// What a line is about, but for LIST and ENTRY, which are of no instance.
+/// Event for one instance: every line of a batch except `LIST` and `ENTRY`, which belong to no instance.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// An instance starts.
+    /// An instance starts, with the settings in the line.
     Hello,
-    /// An instance ends.
+    /// An instance is stopped and removed.
     Shutdown,
-    /// An instance gets an endpoint list.
+    /// An instance receives an endpoint list, or the failure to get one.
     Announce,
-    /// Something happened to an instance by itself.
+    /// Another event of a running instance.
     Instance(InstanceEvent),
 }
 
-/// What happens to an instance that needs nothing else.
+/// Event that only the instance and the fields of the line are needed for.
 #[derive(Clone, Copy, Debug)]
 pub enum InstanceEvent {
+    /// A client submitted a message.
     Inbound,
+    /// An attempt ended.
     Resolved,
+    /// The timer that the dispatcher requested last fired.
     Timer,
+    /// The client of a message left.
     ClientLeft,
+    /// A gossip message arrived from another instance.
     Memo,
+    /// An endpoint started to stream a response.
     Established,
+    /// A health check ended.
     StatusBack,
 }
 
 impl Event {
+    /// Returns the event that a line with `name` as its first field reports, or `None` if the name is unknown.
     pub fn parse(name: &str) -> Option<Self> {
         match name {
             "HELLO" => Some(Self::Hello),
@@ -59,17 +67,18 @@
     }
 }
 
-/// A new message, with its deadline on the bench's clock.
-pub struct Submitted<'a> {
+/// Message submitted by a client, parsed from an `INBOUND` line.
+pub struct SubmittedMessage<'a> {
     pub message: MessageId,
     pub service_class: &'a str,
     pub ordering_key: Option<u64>,
+    /// Time by which the message is to have its final outcome, in microseconds on the simulator's clock.
     pub deadline_us: u64,
     pub tenant: Option<&'a str>,
     pub destination: u64,
 }
 
-impl<'a> Submitted<'a> {
+impl<'a> SubmittedMessage<'a> {
     pub fn parse(fields: &mut Fields<'a>) -> Result<Self, LineError> {
         let message = fields.number("ref")?;
         fields.optional_number::<f64>("predictedUs")?;
@@ -85,19 +94,19 @@
     }
 }
 
-/// The end of an attempt.
-pub struct Resolved {
+/// Result of an attempt, parsed from a `RESOLVED` line.
+pub struct EndedAttempt {
     pub message: MessageId,
     pub attempt: u32,
     pub outcome: AttemptOutcome,
     pub duration: Duration,
-    /// Whether nothing more is to be done for the message.
+    /// `true` if the message has its final outcome with this attempt.
     pub finished: bool,
-    /// The values of the load report, in the order of the settings.
+    /// Values of the load report, in the order of the setting `report.names`; `None` if there was no report.
     pub report: Option<Vec<f64>>,
 }
 
-impl Resolved {
+impl EndedAttempt {
     pub fn parse(fields: &mut Fields) -> Result<Self, LineError> {
         let message = fields.number("ref")?;
         let attempt = fields.number("try")?;
@@ -112,18 +121,18 @@
     }
 }
 
-/// The form of an announced endpoint list.
+/// Form of an announced endpoint list: its extent and its source.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum AnnouncedForm {
-    /// The entries that changed.
+pub enum ListForm {
+    /// The list has only the entries that changed.
     Delta,
-    /// All entries.
+    /// The list is complete and was received from discovery.
     Full,
-    /// All entries, as known before discovery was polled.
+    /// The list is complete and was known before discovery was polled.
     Cached,
 }
 
-impl AnnouncedForm {
+impl ListForm {
     pub fn parse(form: &str) -> Result<Self, LineError> {
         match form {
             "delta" => Ok(Self::Delta),
@@ -134,13 +143,15 @@
     }
 }
 
-/// The announcement of an endpoint list, whose form is parsed only once its instance is known.
-pub struct Announced<'a> {
+/// Announcement of an endpoint list to an instance, parsed from an `ANNOUNCE` line.
+pub struct ListAnnouncement<'a> {
+    /// Number of the list, if the announcement has one.
     pub list: Option<u64>,
+    /// Form of the list, not parsed: an unknown instance is reported before an invalid form.
     pub form: &'a str,
 }
 
-impl<'a> Announced<'a> {
+impl<'a> ListAnnouncement<'a> {
     pub fn parse(fields: &mut Fields<'a>) -> Result<Self, LineError> {
         let list = fields.optional_number("list")?;
         let form = fields.text("form")?;
@@ -148,28 +159,30 @@
         Ok(Self { list, form })
     }
 
-    /// Whether discovery could not be polled.
+    /// Returns `true` if discovery could not be polled, so that there is no list.
     pub fn is_failure(&self) -> bool {
         self.form == "failed"
     }
 }
 
+/// Parses the fields of a `TIMER` line, whose value is not needed.
 pub fn parse_timer(fields: &mut Fields) -> Result<(), LineError> {
     fields.text("ctx").map(|_| ())
 }
 
+/// Returns the identifier of the message whose client left.
 pub fn parse_client_left(fields: &mut Fields) -> Result<MessageId, LineError> {
     fields.number("ref")
 }
 
-/// A gossip message's octets.
+/// Returns the decoded bytes of a gossip message.
 pub fn parse_gossip(fields: &mut Fields) -> Result<Vec<u8>, LineError> {
     fields.number::<u32>("from")?;
-    let octets = fields.optional_text("octets")?.unwrap_or_default();
-    BASE64_STANDARD.decode(octets).map_err(|_| LineError::unexpected("base64 as octets", octets))
+    let encoded = fields.optional_text("octets")?.unwrap_or_default();
+    BASE64_STANDARD.decode(encoded).map_err(|_| LineError::unexpected("base64 as octets", encoded))
 }
 
-/// The result of a health check, which the dispatcher does not go by.
+/// Checks the fields of a health check's result, which the dispatcher does not use.
 pub fn skip_health_check(fields: &mut Fields) -> Result<(), LineError> {
     fields.text("endpoint")?;
     parse_outcome(fields.text("outcome")?, 0)?;
@@ -178,7 +191,7 @@
     Ok(())
 }
 
-/// The start of a streamed response, which the dispatcher does not go by.
+/// Checks the fields that report the start of a streamed response, which the dispatcher does not use.
 pub fn skip_established(fields: &mut Fields) -> Result<(), LineError> {
     fields.number::<u64>("ref")?;
     fields.number::<u32>("try")?;
--- a/crates/quillhub-bench-adapter/src/session.rs
+++ b/crates/quillhub-bench-adapter/src/session.rs
@@ -52,7 +52,9 @@
     fn handle_line(&mut self, line: &str) -> Result<(), LineError> {
         match self.batch {
             None => self.start_batch(line),
-            Some(number) if line == "YOUR_TURN" && self.adapter.awaits_no_entry() => self.write_reply(number),
+            Some(number) if line == "YOUR_TURN" && self.adapter.has_complete_lists() => {
+                self.write_reply(number)
+            }
             Some(_) => self.adapter.handle_line(line, &mut self.reply),
         }
     }
