--- a/crates/quillhub-bench-adapter/src/session_tests.rs
+++ b/crates/quillhub-bench-adapter/src/session_tests.rs
@@ -1,6 +1,9 @@
+//! Sessions within the process: the replies to an input, and the error that ends it.
+
 use super::*;
 
-const HELLO: &str = r#"TICK 1000 1
+/// First batch: starts one instance and announces a list with one endpoint. It has 6 lines.
+const FIRST_BATCH: &str = r#"TICK 1000 1
 HELLO courier/0 7 {"classes":[{"aimUs":1000000,"effect":"free","giveUpUs":5000000,"name":"g"}],"familyInfo":{"maxCalls":4,"unheard":1},"report":{"names":["x0","x1"]}}
 LIST 3 1
 ENTRY endpoint_a z k 9 IN 1 -
@@ -8,35 +11,42 @@
 YOUR_TURN
 "#;
 
-/// What is written for `input`, and the error that ended it.
-fn run(input: &str) -> (String, Option<String>) {
+/// Runs a session; returns its replies to `input`, and the message of the error that ended it, if any.
+fn run_session(input: &str) -> (String, Option<String>) {
     let mut output = Vec::new();
     let error = serve(input.as_bytes(), &mut output).err().map(|error| error.to_string());
     (String::from_utf8(output).unwrap(), error)
 }
 
-fn error_after_hello(line: &str) -> String {
-    let (output, error) = run(&format!("{HELLO}TICK 2000 2\n{line}\nYOUR_TURN\n"));
+/// Returns the message of the error for a second batch that consists of `line`.
+fn error_in_second_batch(line: &str) -> String {
+    let (output, error) = run_session(&format!("{FIRST_BATCH}TICK 2000 2\n{line}\nYOUR_TURN\n"));
     assert_eq!(output, "EOR 1\n", "no partial reply after {line}");
     error.unwrap_or_else(|| panic!("no error with {line}"))
 }
 
 #[test]
-fn input_that_ends_between_batches_is_no_error() {
-    assert_eq!(run(HELLO), ("EOR 1\n".into(), None));
-    assert_eq!(run(""), (String::new(), None));
+fn input_that_ends_between_batches_ends_the_session_without_an_error() {
+    // Guards against reporting the regular end of a simulation, which closes the input after a reply, as a failure.
+    assert_eq!(run_session(FIRST_BATCH), ("EOR 1\n".into(), None));
+    assert_eq!(run_session(""), (String::new(), None));
 }
 
 #[test]
-fn input_that_ends_inside_a_batch_is_refused_with_its_line() {
-    let (output, error) = run(&format!("{HELLO}TICK 2000 2\nTIMER courier/0 beat\n"));
+fn input_that_ends_within_a_batch_is_an_error_with_its_line_number() {
+    // Guards against taking truncated input, as left by a simulator that died, for a regular end.
+    let (output, error) = run_session(&format!("{FIRST_BATCH}TICK 2000 2\nTIMER courier/0 beat\n"));
     assert_eq!(output, "EOR 1\n");
     assert_eq!(error.unwrap(), "line 9: expected YOUR_TURN, found end of input");
-    assert_eq!(run("TICK 20").1.unwrap(), "line 1: expected a line ending with a newline, found 'TICK 20'");
+    assert_eq!(
+        run_session("TICK 20").1.unwrap(),
+        "line 1: expected a line ending with a newline, found 'TICK 20'"
+    );
 }
 
 #[test]
-fn malformed_lines_are_refused_with_one_line() {
+fn a_malformed_line_ends_the_session_with_a_short_one_line_message() {
+    // Guards against ignoring malformed input, answering part of its batch, or printing a long line in full.
     for (line, message) in [
         ("WAVE courier/0", "line 8: expected an event, found 'WAVE courier/0'"),
         ("INBOUND courier/0 x - g - 9000 - 0 9 0 0", "line 8: expected a number as ref, found 'x'"),
@@ -59,28 +69,33 @@
             "free, guarded or single_shot as settings' classes[0].effect",
         ),
     ] {
-        let error = error_after_hello(line);
+        let error = error_in_second_batch(line);
         assert!(error.contains(message) && !error.contains('\n'), "{error}");
     }
-    assert!(error_after_hello(&"W".repeat(5000)).len() < 150);
+    assert!(error_in_second_batch(&"W".repeat(5000)).len() < 150);
     assert!(serve(&b"TICK \xff 1\n"[..], Vec::new()).unwrap_err().to_string().contains("UTF-8"));
 }
 
 #[test]
-fn a_message_is_attempted_and_late_or_unknown_ids_are_harmless() {
-    let (output, error) = run(&format!(
-        "{HELLO}TICK 2000 2\nINBOUND courier/0 77 - g - 5002000 - 0 9 0 0\nRESOLVED courier/0 5 0 endpoint_a ok 5 1 - -\n\
+fn events_for_unknown_messages_and_malformed_gossip_affect_no_other_message() {
+    // Guards against ending the session, or attempting the message twice, after an event for a message that is not
+    // pending or after gossip that cannot be decoded. The simulator can report an attempt or a departed client after
+    // the message has its final outcome.
+    let (output, error) = run_session(&format!(
+        "{FIRST_BATCH}TICK 2000 2\nINBOUND courier/0 77 - g - 5002000 - 0 9 0 0\nRESOLVED courier/0 5 0 endpoint_a ok 5 1 - -\n\
          MEMO courier/0 1 AQ==\nMEMO courier/0 9999 -\nCLIENT_LEFT courier/0 6\nYOUR_TURN\nTICK 3000 3\nRESOLVED courier/0 77 0 endpoint_a ok 5 1 - 0.4,2\nYOUR_TURN\n"
     ));
     assert_eq!(error, None);
-    let (before, after) = output.split_once("ASSIGN courier/0 77 endpoint_a ").expect("one attempt");
+    let (before, after) =
+        output.split_once("ASSIGN courier/0 77 endpoint_a ").expect("an attempt is started");
     assert_eq!((before, after.split_once('\n').unwrap().1), ("EOR 1\n", "EOR 2\nEOR 3\n"));
 }
 
 #[test]
-fn a_list_number_that_is_reused_means_the_newer_list() {
-    let (output, error) = run(&format!(
-        "{HELLO}TICK 2000 2\nLIST 3 1\nENTRY endpoint_b z k 9 IN 1 -\nANNOUNCE courier/0 3 full 2\n\
+fn an_endpoint_list_replaces_an_older_one_with_its_number() {
+    // Guards against announcing the older entries when the simulator uses the number of a list a second time.
+    let (output, error) = run_session(&format!(
+        "{FIRST_BATCH}TICK 2000 2\nLIST 3 1\nENTRY endpoint_b z k 9 IN 1 -\nANNOUNCE courier/0 3 full 2\n\
          INBOUND courier/0 77 - g - 5002000 - 0 9 0 0\nYOUR_TURN\n"
     ));
     assert_eq!(error, None);
