--- a/crates/quillhub-bench-adapter/tests/session.rs
+++ b/crates/quillhub-bench-adapter/tests/session.rs
@@ -1,18 +1,20 @@
-//! The simulator wire from outside: one recorded session octet by octet, and every refused input with its message.
+//! The adapter as a process: its replies to a recorded session, byte for byte, and its message for each malformed
+//! input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const INPUT: &str = include_str!("fixtures/session.in");
-const OUTPUT: &str = include_str!("fixtures/session.out");
+const RECORDED_INPUT: &str = include_str!("fixtures/session.in");
+const RECORDED_OUTPUT: &str = include_str!("fixtures/session.out");
 
-/// Log lines: their text is for people, and no part of what is pinned.
+/// Start of the reply lines with log events, which the comparison leaves out because their texts may change.
 const LOG_ACTION: &str = "EMIT ";
-/// Exit status after input that cannot be understood.
-const REFUSED: i32 = 2;
+/// Exit status after malformed input.
+const FAILURE_STATUS: i32 = 2;
 
-/// A batch that starts one instance and lists one endpoint: 7 lines, answered with `EOR 1`.
-const STARTED: &str = r#"TICK 1000 1
+/// First 7 lines of a session: a batch that starts one instance and announces one endpoint, answered with `EOR 1`, and
+/// the start of a second batch.
+const STARTUP: &str = r#"TICK 1000 1
 HELLO courier/0 7 {"classes":[{"aimUs":1000000,"effect":"free","giveUpUs":5000000,"name":"order"}],"report":{"names":["x0","x1"]}}
 LIST 3 1
 ENTRY endpoint_a east library 9 IN 1 -
@@ -21,42 +23,47 @@
 TICK 2000 2
 "#;
 
-fn play(input: &[u8]) -> Output {
-    let mut program = Command::new(env!("CARGO_BIN_EXE_quillhub-bench-adapter"))
+/// Runs the adapter with `input` as its standard input until it exits.
+fn run_adapter(input: &[u8]) -> Output {
+    let mut adapter = Command::new(env!("CARGO_BIN_EXE_quillhub-bench-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program starts");
-    let mut stdin = program.stdin.take().expect("its input is a pipe");
+        .expect("the adapter starts");
+    let mut stdin = adapter.stdin.take().expect("standard input is a pipe");
     let input = input.to_vec();
-    // A program that refuses a line reads no further, so that the rest may find the pipe closed.
+    // After a malformed line, the adapter exits without reading the rest, so that the write may fail.
     let writer = std::thread::spawn(move || {
         let _ = stdin.write_all(&input);
     });
-    let output = program.wait_with_output().expect("the program ends");
-    writer.join().expect("the writer ends");
+    let output = adapter.wait_with_output().expect("the adapter exits");
+    writer.join().expect("the writer does not panic");
     output
 }
 
-fn assert_refused(input: &[u8], stdout: &str, message: &str) {
-    let Output { status, stdout: out, stderr } = play(input);
-    let seen = (status.code(), String::from_utf8_lossy(&out), String::from_utf8_lossy(&stderr));
+/// Asserts that the adapter exits with a failure, `stdout` as its replies, and `message` as its only error line.
+fn assert_rejected(input: &[u8], stdout: &str, message: &str) {
+    let Output { status, stdout: out, stderr } = run_adapter(input);
+    let actual = (status.code(), String::from_utf8_lossy(&out), String::from_utf8_lossy(&stderr));
     let expected = format!("quillhub-bench-adapter: {message}\n");
-    assert_eq!(seen, (Some(REFUSED), stdout.into(), expected.into()));
+    assert_eq!(actual, (Some(FAILURE_STATUS), stdout.into(), expected.into()));
 }
 
 #[test]
-fn the_recorded_session_is_answered_octet_by_octet() {
-    let Output { status, stdout, stderr } = play(INPUT.as_bytes());
-    let text = String::from_utf8(stdout).expect("replies are text");
+fn replies_to_the_recorded_session_are_unchanged() {
+    // Guards against unintended changes of decisions or of the simulator protocol: results of the bench would no longer
+    // be comparable with earlier ones.
+    let Output { status, stdout, stderr } = run_adapter(RECORDED_INPUT.as_bytes());
+    let text = String::from_utf8(stdout).expect("replies are UTF-8");
     let replies: String = text.split_inclusive('\n').filter(|line| !line.starts_with(LOG_ACTION)).collect();
-    assert_eq!(replies, OUTPUT);
+    assert_eq!(replies, RECORDED_OUTPUT);
     assert_eq!((status.code(), stderr.as_slice()), (Some(0), &b""[..]));
 }
 
 #[test]
-fn the_recorded_session_has_every_event_and_every_action() {
+fn the_recorded_session_contains_every_event_and_every_action() {
+    // Guards against a recording that leaves an event or an action out, whose changes the comparison would miss.
     let has = |text: &str, word: &str| text.lines().any(|line| line.split(' ').next() == Some(word));
     for event in [
         "TICK",
@@ -74,21 +81,23 @@
         "SHUTDOWN",
         "YOUR_TURN",
     ] {
-        assert!(has(INPUT, event), "{event}");
+        assert!(has(RECORDED_INPUT, event), "{event}");
     }
     for action in ["ASSIGN", "SAY_NO", "LOSE", "HANG_UP", "POST", "ARM", "OBSERVE", "EOR"] {
-        assert!(has(OUTPUT, action), "{action}");
+        assert!(has(RECORDED_OUTPUT, action), "{action}");
     }
 }
 
 #[test]
-fn empty_input_is_no_error() {
-    let output = play(b"");
+fn empty_input_ends_the_adapter_successfully() {
+    // Guards against a failure when the simulator closes the input before its first batch.
+    let output = run_adapter(b"");
     assert_eq!((output.status.code(), output.stdout, output.stderr), (Some(0), vec![], vec![]));
 }
 
 #[test]
-fn a_round_that_is_not_whole_is_refused_with_its_line() {
+fn a_malformed_batch_is_rejected_with_its_line_number() {
+    // Guards against answering a batch whose start is malformed or whose end is missing.
     for (input, message) in [
         ("TICK 20", "line 1: expected a line ending with a newline, found 'TICK 20'"),
         ("TICK 20 1\n", "line 2: expected YOUR_TURN, found end of input"),
@@ -99,23 +108,26 @@
         ("TICK 20 -1\n", "line 1: expected a number as the batch number, found '-1'"),
         ("TICK 20 1 2\n", "line 1: expected end of line, found '2'"),
     ] {
-        assert_refused(input.as_bytes(), "", message);
+        assert_rejected(input.as_bytes(), "", message);
     }
-    assert_refused(b"TICK \xff 1\n", "", "line 1: expected UTF-8 text, found 'TICK \u{fffd} 1\n'");
+    assert_rejected(b"TICK \xff 1\n", "", "line 1: expected UTF-8 text, found 'TICK \u{fffd} 1\n'");
 }
 
 #[test]
-fn an_event_that_cannot_be_understood_is_refused_with_its_line() {
+fn a_malformed_event_is_rejected_with_its_line_number() {
+    // Guards against ignoring an invalid field, or applying part of an event. Each row of the fixture is an event line
+    // and the message for it.
     for row in include_str!("fixtures/refused_events.txt").lines() {
-        let (event, message) = row.split_once(" => ").expect("a row has an event and a message");
-        let input = format!("{STARTED}{event}\nYOUR_TURN\n");
-        assert_refused(input.as_bytes(), "EOR 1\n", &format!("line 8: {message}"));
+        let (event, message) = row.split_once(" => ").expect("a row consists of an event and a message");
+        let input = format!("{STARTUP}{event}\nYOUR_TURN\n");
+        assert_rejected(input.as_bytes(), "EOR 1\n", &format!("line 8: {message}"));
     }
 }
 
 #[test]
-fn a_list_that_is_not_whole_is_refused_with_what_is_missing() {
-    let list = format!("{STARTED}LIST 4 2\n");
+fn an_incomplete_endpoint_list_is_rejected_with_its_line_number() {
+    // Guards against using an endpoint list of which entries are missing or malformed.
+    let list = format!("{STARTUP}LIST 4 2\n");
     for (rest, message) in [
         ("YOUR_TURN\n", "line 9: expected 2 more ENTRY of list 4, found 'YOUR_TURN'"),
         ("ENTRY e east library 9 UP 1 -\n", "line 9: expected IN, LAME or OUT as health, found 'UP'"),
@@ -127,6 +139,6 @@
         ("ENTRY e\n", "line 9: expected rackZone, found end of line"),
         ("ENTRY\n", "line 9: expected endpoint, found ''"),
     ] {
-        assert_refused(format!("{list}{rest}").as_bytes(), "EOR 1\n", message);
+        assert_rejected(format!("{list}{rest}").as_bytes(), "EOR 1\n", message);
     }
 }
