--- a/crates/quillhub-bench-adapter/src/events.rs
+++ b/crates/quillhub-bench-adapter/src/events.rs
@@ -21,7 +21,7 @@
     Instance(InstanceEvent),
 }
 
-/// Event that only the instance and the fields of the line are needed for.
+/// Event that is handled with only the instance and the fields of the line.
 #[derive(Clone, Copy, Debug)]
 pub enum InstanceEvent {
     /// A client submitted a message.
--- a/crates/quillhub-bench-adapter/src/reply.rs
+++ b/crates/quillhub-bench-adapter/src/reply.rs
@@ -23,7 +23,7 @@
 
 impl Driver for Reply<'_> {
     fn start_attempt(&mut self, message: MessageId, endpoint: &str, timeout: Duration) {
-        // The simulator takes a timeout of 0 for no timeout.
+        // In the simulator's protocol, a timeout of 0 means no timeout.
         let timeout = timeout.as_micros().max(1);
         self.add_line("ASSIGN", format_args!(" {message} {endpoint} {timeout}"));
     }
