--- a/crates/quillhub-bench-adapter/src/events.rs
+++ b/crates/quillhub-bench-adapter/src/events.rs
@@ -1,6 +1,7 @@
 //! Parsers for the events that the simulator reports to one instance.
 //!
-//! Invariant: the fields of an event are read in the order of its line, so that the error names the first invalid one.
+//! Invariant: the fields of an event are read in the order of its line, so that the same malformed line always produces
+//! the same error.
 
 use crate::error::LineError;
 use crate::fields::Fields;
--- a/crates/quillhub-bench-adapter/src/lists.rs
+++ b/crates/quillhub-bench-adapter/src/lists.rs
@@ -15,7 +15,7 @@
     pub kind: &'a str,
     pub destination: u64,
     pub state: EndpointState,
-    /// Listed rate of the endpoint in calls per second, if the list has one.
+    /// Calls per second that the destination accepts, if listed.
     pub rate: Option<f64>,
 }
 
