--- a/crates/quillhub-bench-adapter/src/error.rs
+++ b/crates/quillhub-bench-adapter/src/error.rs
@@ -1,15 +1,15 @@
-//! Why a session ends early, in one line: what was expected, and what was found instead.
+//! Errors that end a session. Each message is one line, in most cases with the expected and the found input.
 
 use quillhub_settings::{Excerpt, SettingsError};
 use std::io;
 use thiserror::Error;
 
-/// What is wrong with a line of input, or with reading or answering it.
+/// Error for a malformed input line, or for a failure to read input or write a reply.
 #[derive(Debug, Error)]
 pub enum LineError {
     #[error("expected {expected}, found '{found}'")]
     Unexpected { expected: &'static str, found: Excerpt },
-    #[error("expected {name}, found the line's end")]
+    #[error("expected {name}, found end of line")]
     MissingField { name: &'static str },
     #[error("expected a number as {name}, found '{found}'")]
     NotANumber { name: &'static str, found: Excerpt },
@@ -19,21 +19,21 @@
     MissingEntries { count: usize, list: u64, found: Excerpt },
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("expected YOUR_TURN, found the input's end")]
+    #[error("expected YOUR_TURN, found end of input")]
     InputEnd,
-    #[error("expected input, found {0}")]
+    #[error("input cannot be read: {0}")]
     Read(#[source] io::Error),
-    #[error("expected to write a reply, found {0}")]
+    #[error("reply cannot be written: {0}")]
     Write(#[source] io::Error),
 }
 
 impl LineError {
     pub fn unexpected(expected: &'static str, found: &str) -> Self {
-        Self::Unexpected { expected, found: Excerpt::of(found) }
+        Self::Unexpected { expected, found: Excerpt::new(found) }
     }
 }
 
-/// Why a session ended early, with the number of the line, from 1 on.
+/// Error that ended a session, with the number of the input line, counted from 1.
 #[derive(Debug, Error)]
 #[error("line {line}: {source}")]
 pub struct SessionError {
