--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -61,7 +61,7 @@
 
     /// Sets the maximum `retry_after` of [`Driver::reject`]; with `None`, rejections carry none.
     pub fn set_max_retry_after(&mut self, max: Option<Duration>) {
-        self.state.longest_retry_after = max.unwrap_or_default();
+        self.state.max_retry_after = max.unwrap_or_default();
     }
 
     /// Configures slow start for destinations that recover.
@@ -97,7 +97,7 @@
     /// rates in its list are.
     pub fn set_discovery(&mut self, must_poll: bool, rate_accuracy: ListedRateAccuracy) {
         self.state.discovery.set_must_poll(must_poll);
-        self.state.listed_rates = rate_accuracy;
+        self.state.listed_rate_accuracy = rate_accuracy;
     }
 
     /// Sets the period in which each instance should poll discovery once, if discovery must be polled.
@@ -248,7 +248,7 @@
     fn write_events(&mut self, driver: &mut dyn Driver) {
         let shared = &mut self.state.shared;
         shared.log_events.drain(..).for_each(|event| driver.log(&event));
-        for (destination, route) in shared.gossip.returned_routes.drain(..) {
+        for (destination, route) in shared.gossip.recovered_routes.drain(..) {
             driver.broadcast(&gossip::encode_recovery(destination, &route));
         }
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: which messages are accepted, what they are worth to whom, and which one goes when capacity is short.
 
-use super::state::{Execution, PendingMessage, State};
+use super::state::{MaybeExecutedAttempt, PendingMessage, State};
 use crate::{
     DestinationId, Driver, LogEvent, MessageId, NewMessage, RecoveredAttempts, RetrySafety,
     UnknownServiceClass, ms,
@@ -177,7 +177,7 @@
     /// Against effects that happen twice across a restart.
     pub(crate) fn restore_attempts(&mut self, id: MessageId, attempts: RecoveredAttempts) {
         let Some(destination) = self.pending.get(&id).map(|message| message.destination) else { return };
-        let first_execution = attempts.first_execution.map(|execution| Execution {
+        let first_execution = attempts.first_execution.map(|execution| MaybeExecutedAttempt {
             started: execution.started,
             zone: self.zone_of(destination, execution.endpoint),
         });
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -133,14 +133,14 @@
     }
 
     fn rate_estimate(&self, listed_rate: Option<f64>) -> RateEstimate {
-        let is_known = self.listed_rates != ListedRateAccuracy::Absent;
+        let is_known = self.listed_rate_accuracy != ListedRateAccuracy::Absent;
         let rate = listed_rate.filter(|rate| *rate > 0.0 && is_known);
-        RateEstimate::of_listed(rate, self.listed_rates == ListedRateAccuracy::Approximate)
+        RateEstimate::of_listed(rate, self.listed_rate_accuracy == ListedRateAccuracy::Approximate)
     }
 
     /// The end of a list or of changes; what a `snapshot` leaves out is removed.
     pub(crate) fn end_endpoint_list(&mut self, snapshot: Option<&BTreeSet<String>>, from_discovery: bool) {
-        let named = self.destinations.iter().filter(|(_, destination)| destination.is_named());
+        let named = self.destinations.iter().filter(|(_, destination)| destination.is_listed());
         self.known_destinations.on_list(named.map(|(id, _)| *id), self.now);
         if snapshot.is_some() || self.any_removed {
             self.drop_removed_endpoints(snapshot);
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -8,7 +8,7 @@
     /// The last moment at which another attempt of `message` may start, by its deadline and by its destination's
     /// deduplication window.
     pub(super) fn latest_start(&self, message: &PendingMessage) -> Duration {
-        let typical = self.typical_call(message.destination, message.class);
+        let typical = self.typical_latency(message.destination, message.class);
         let by_deadline = message.deadline.saturating_sub(typical);
         match (&message.first_execution, self.class(message).retry_safety) {
             (None, _) | (_, RetrySafety::Idempotent) => by_deadline,
@@ -49,7 +49,7 @@
         if self.may_reject(message) {
             let routes = self.routes_of(message.destination);
             let opens = routes.map(|route| route.limit.retry_after().max(route.checks.next())).min();
-            let wait = opens.unwrap_or_default().saturating_sub(self.now).min(self.longest_retry_after);
+            let wait = opens.unwrap_or_default().saturating_sub(self.now).min(self.max_retry_after);
             driver.reject(id, (!wait.is_zero()).then_some(wait));
         } else {
             driver.abandon(id);
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -80,11 +80,11 @@
     /// Whether the message's backoff is over, or does not matter as there is a connection for it.
     fn may_go_now(&self, message: &PendingMessage) -> bool {
         message.not_before <= self.now
-            || message.found_no_connection() && self.shared.connections.any_to(message.destination)
+            || message.hit_connection_limit() && self.shared.connections.any_to(message.destination)
     }
 
     fn priority(&self, message: &PendingMessage, candidate: &Candidate) -> Priority {
-        let typical = self.typical_call(message.destination, message.class);
+        let typical = self.typical_latency(message.destination, message.class);
         let value = self.value_at(message, self.now + typical);
         let class = self.class(message);
         let harm = match &message.first_execution {
@@ -119,7 +119,7 @@
         let Some(endpoint) = destination.endpoints.get_mut(&candidate.endpoint) else { return };
         let Some(route) = destination.routes.get_mut(&endpoint.route) else { return };
         driver.start_attempt(id, &candidate.endpoint, timeout);
-        let is_batched = endpoint.batch.has_place(now);
+        let is_batched = endpoint.batch.can_join(now);
         if is_batched {
             endpoint.batch.join();
         } else {
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -85,7 +85,7 @@
     }
     // Where calls are what is limited: what waits for the same endpoint goes along, at no cost to it. May lose all in
     // one call.
-    let is_batched = endpoint.batch.has_place(now) && !is_ejected && retry_after <= now;
+    let is_batched = endpoint.batch.can_join(now) && !is_ejected && retry_after <= now;
     Gate { opens, has_permit: endpoint.concurrency.available() > 0, is_batched }
 }
 
@@ -95,7 +95,7 @@
     /// Against taking calls lost one by one for that, where later ones are answered in their typical time. May tell
     /// late of one that is slow now and then.
     pub(super) fn tells_of_slowness(&self, attempt: &Attempt) -> bool {
-        let typical = self.typical_call(attempt.destination, attempt.class);
+        let typical = self.typical_latency(attempt.destination, attempt.class);
         if !latency::is_slow(self.now - attempt.started, typical) {
             return false;
         }
@@ -125,7 +125,7 @@
             load.impaired = load.impaired || self.tells_of_slowness(attempt);
         }
         for (id, load) in &mut loads {
-            load.impaired |= self.destinations.get(id).is_some_and(Destination::is_out);
+            load.impaired |= self.destinations.get(id).is_some_and(Destination::all_available_ejected);
         }
         loads
     }
@@ -139,7 +139,7 @@
     ) -> Vec<Candidate> {
         let Some(destination) = self.destinations.get_mut(&id) else { return Vec::new() };
         let load = loads.get(&id).copied().unwrap_or_default();
-        let impaired = load.impaired || destination.is_out();
+        let impaired = load.impaired || destination.all_available_ejected();
         let impaired_slots = loads.values().filter(|load| load.impaired).map(|load| load.slots).sum();
         let is_full = slots_full || share_is_used(&self.slots, load, impaired, impaired_slots);
         let now = self.now;
@@ -187,7 +187,7 @@
     ) -> Option<&'a Candidate> {
         let backoff_is_over = message.not_before <= self.now;
         let is_ready = message.in_flight == 0
-            && (backoff_is_over || message.found_no_connection())
+            && (backoff_is_over || message.hit_connection_limit())
             && message.attempts < self.max_attempts;
         if !is_ready || !self.is_in_order(id, message) || self.latest_start(message) < self.now {
             return None;
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -1,7 +1,8 @@
-//! What the decisions go by: the figures that a dispatcher was started with, and what it has seen.
+//! State of a dispatcher: its configuration, and what it knows of endpoints, messages and attempts.
 //!
-//! Nothing is decided here. The state of each mechanism is private to its module; this module puts them together by
-//! endpoint, route, destination and instance. The rules in the other modules are methods of [`State`].
+//! This module makes no decisions. The state of each mechanism is private to the mechanism's module; this module
+//! combines these states by endpoint, route, destination and instance. The rules in the other modules are methods of
+//! [`State`].
 
 use super::admission::{Admission, TenantQuotas};
 use super::concurrency::{ConcurrencyLimit, Slots};
@@ -22,33 +23,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A destination as far as the list names its endpoints; gone with the last of them, once no wait binds.
+/// Destination with its endpoints and routes.
+///
+/// Removed together with its last route, see [`Destination::drop_unused_routes`].
 #[derive(Default)]
 pub(crate) struct Destination {
     pub(super) endpoints: BTreeMap<String, Endpoint>,
     pub(super) routes: BTreeMap<String, Route>,
-    /// Recent latencies by service class.
+    /// Recent latencies by the index of the service class.
     pub(super) latency: BTreeMap<usize, LatencyWindow>,
 }
 
 impl Destination {
-    /// Whether the list names any endpoint of it.
-    pub(super) fn is_named(&self) -> bool {
+    /// Returns `true` if the endpoint list contains an endpoint of the destination.
+    pub(super) fn is_listed(&self) -> bool {
         self.endpoints.values().any(|endpoint| endpoint.state != EndpointState::Removed)
     }
 
-    /// Endpoints that take calls, as far as the list tells.
+    /// Returns the number of endpoints that accept calls according to the endpoint list.
     pub(super) fn available_endpoints(&self) -> usize {
         self.endpoints.values().filter(|endpoint| endpoint.is_available()).count()
     }
 
-    /// Whether all endpoints that take calls are ejected.
-    pub(super) fn is_out(&self) -> bool {
+    /// Returns `true` if endpoints are available and all of these are ejected.
+    pub(super) fn all_available_ejected(&self) -> bool {
         let mut available = self.endpoints.values().filter(|endpoint| endpoint.is_available()).peekable();
         available.peek().is_some() && available.all(|endpoint| endpoint.health.is_ejected())
     }
 
-    /// Drops routes without endpoints, unless a Retry-After is in force or calls fail there.
+    /// Removes the routes without endpoints, except those with a retry-after in force and suspect ones.
     pub(super) fn drop_unused_routes(&mut self, now: Duration) {
         let used: BTreeSet<_> = self.endpoints.values().map(|endpoint| &endpoint.route).collect();
         self.routes.retain(|name, route| {
@@ -57,19 +60,19 @@
     }
 }
 
-/// One endpoint of a destination.
+/// Endpoint of a destination, as this instance knows it.
 pub(crate) struct Endpoint {
     pub(super) zone: String,
     pub(super) kind: String,
-    /// The name of its route.
+    /// Name of the route that the endpoint belongs to; empty unless the destination has separate routes.
     pub(super) route: String,
     pub(super) state: EndpointState,
-    /// Drawn once, so that instances prefer different endpoints among equals.
+    /// Random number drawn once, so that instances choose differently among equally good endpoints.
     pub(super) tie_breaker: u32,
     pub(super) concurrency: ConcurrencyLimit,
     pub(super) health: EndpointHealth,
     pub(super) budget: SlowStartBudget,
-    /// When it was called last, if its connection may still be open.
+    /// Start of the last attempt, unless the connection to the endpoint is known to be closed.
     pub(super) last_used: Option<Duration>,
     pub(super) batch: Batch,
 }
@@ -96,35 +99,39 @@
         }
     }
 
+    /// Returns `true` if the endpoint accepts calls according to the endpoint list.
     pub(super) fn is_available(&self) -> bool {
         self.state == EndpointState::Available
     }
 }
 
-/// The last call to an endpoint, as far as more messages may travel in it.
+/// Last call to an endpoint, to which more messages can be added as long as it starts at the current time.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Batch {
     started: Duration,
-    places: u32,
+    free_places: u32,
 }
 
 impl Batch {
-    /// A call that starts now and holds up to `most` messages, one of which it carries.
-    pub(super) fn start(now: Duration, most: u32) -> Self {
-        Self { started: now, places: most.saturating_sub(1) }
+    /// Starts a call for up to `max_messages` messages, which carries one so far.
+    pub(super) fn start(now: Duration, max_messages: u32) -> Self {
+        Self { started: now, free_places: max_messages.saturating_sub(1) }
     }
 
-    /// Whether the call starts just now and has a place left.
-    pub(super) fn has_place(&self, now: Duration) -> bool {
-        self.started == now && self.places > 0
+    /// Returns `true` if the call starts at `now` and can carry another message.
+    pub(super) fn can_join(&self, now: Duration) -> bool {
+        self.started == now && self.free_places > 0
     }
 
+    /// Adds a message to the call.
     pub(super) fn join(&mut self) {
-        self.places -= 1;
+        self.free_places -= 1;
     }
 }
 
-/// What shares one rate limit: a destination, or one endpoint where routes are separate. Gone with its endpoints.
+/// State shared by the endpoints of a route: all endpoints of a destination, or a single one if its routes are separate.
+///
+/// Removed once it has no endpoints, see [`Destination::drop_unused_routes`].
 pub(crate) struct Route {
     pub(super) limit: RouteLimit,
     pub(super) retry_budget: RetryBudget,
@@ -143,39 +150,45 @@
     }
 }
 
-/// An attempt that may have been executed.
-pub(crate) struct Execution {
+/// Attempt that may have been executed, with the zone of the endpoint that was called.
+pub(crate) struct MaybeExecutedAttempt {
     pub(super) started: Duration,
+    /// Zone of the endpoint; empty if the endpoint was already removed.
     pub(super) zone: String,
 }
 
-/// A message accepted and without its final outcome.
+/// Accepted message without a final outcome.
 pub(crate) struct PendingMessage {
-    /// The position of its service class.
+    /// Index of the service class in [`State::classes`].
     pub(super) class: usize,
     pub(super) destination: DestinationId,
     pub(super) ordering_key: Option<u64>,
     pub(super) deadline: Duration,
+    /// Value before the soft deadline, reduced if the message exceeds its tenant's quota.
     pub(super) value: f64,
+    /// Number of attempts started, including those before a restart.
     pub(super) attempts: u32,
+    /// Number of attempts that ended without a final outcome, not counting [`AttemptOutcome::NotSent`]; determines the
+    /// backoff.
     pub(super) failures: u32,
+    /// Number of attempts in flight.
     pub(super) in_flight: u32,
-    /// The end of its backoff.
+    /// End of the backoff.
     pub(super) not_before: Duration,
     pub(super) last_outcome: Option<AttemptOutcome>,
-    /// The first attempt that may have been executed.
-    pub(super) first_execution: Option<Execution>,
-    /// Whether it was pending when the instance started, and has not been attempted.
+    /// First attempt that may have been executed, if any.
+    pub(super) first_execution: Option<MaybeExecutedAttempt>,
+    /// `true` if the message was recovered after a restart and has never been attempted.
     pub(super) is_recovered_untried: bool,
 }
 
 impl PendingMessage {
-    /// Whether its last attempt found no capacity for its connection.
-    pub(super) fn found_no_connection(&self) -> bool {
+    /// Returns `true` if the last attempt was refused because the endpoint held too many connections.
+    pub(super) fn hit_connection_limit(&self) -> bool {
         self.last_outcome == Some(AttemptOutcome::ConnectionLimit)
     }
 
-    /// Whether its last attempt was turned away.
+    /// Returns `true` if the last attempt was rejected, ambiguously or not.
     pub(super) fn was_rejected(&self) -> bool {
         matches!(
             self.last_outcome,
@@ -184,76 +197,84 @@
     }
 }
 
-/// An attempt in flight.
+/// Attempt in flight.
 pub(crate) struct Attempt {
     pub(super) destination: DestinationId,
     pub(super) endpoint: String,
+    /// Index of the message's service class in [`State::classes`].
     pub(super) class: usize,
     pub(super) ordering_key: Option<u64>,
     pub(super) started: Duration,
-    /// It travels in another message's call: one slot, one call at the destination, one outcome.
+    /// `true` if the message was added to another message's call, with which it shares the slot and the outcome.
     pub(super) is_batched: bool,
 }
 
-/// A service class and its name.
+/// Service class with the name that messages refer to it by.
 pub(crate) struct NamedClass {
     pub(super) name: String,
     pub(super) class: ServiceClass,
 }
 
-/// Gossip about routes that answer again, until it is sent.
+/// Gossip about recovered routes that is still to be sent.
 #[derive(Default)]
 pub(crate) struct GossipOutbox {
+    /// `true` if this instance may send gossip.
     pub(crate) is_allowed: bool,
-    pub(crate) returned_routes: Vec<(DestinationId, String)>,
+    /// Recovered routes by destination and route name.
+    pub(crate) recovered_routes: Vec<(DestinationId, String)>,
 }
 
-/// What outcomes at any endpoint change for the whole instance.
+/// State of the whole instance that the outcome of any attempt may change.
 pub(crate) struct Shared {
     pub(crate) rng: Pcg64Mcg,
-    /// Recent latencies of each service class over all destinations.
+    /// Recent latencies over all destinations, by the index of the service class.
     pub(super) class_latency: BTreeMap<usize, LatencyWindow>,
     pub(crate) connections: IdleConnections,
     pub(super) isolated_losses: IsolatedLosses,
     pub(crate) retry_credit: RetryCredit,
     pub(crate) gossip: GossipOutbox,
-    /// Events for the log, until they are written.
+    /// Events that are still to be written to the log.
     pub(crate) log_events: Vec<LogEvent>,
 }
 
-/// The state of one dispatcher.
+/// State of a dispatcher.
 pub(crate) struct State {
     pub(crate) now: Duration,
+    /// Number of gateway instances that share the work, at least 1.
     pub(super) instances: u32,
+    /// Zone in which this instance runs.
     pub(super) zone: String,
     pub(crate) slots: Slots,
     pub(crate) admission: Admission,
-    pub(crate) quotas: TenantQuotas,
+    pub(super) quotas: TenantQuotas,
+    /// Maximum number of attempts of one message.
     pub(crate) max_attempts: u32,
-    pub(crate) longest_retry_after: Duration,
+    /// Upper bound of the `retry_after` of rejected messages; zero if rejections carry none.
+    pub(crate) max_retry_after: Duration,
     pub(crate) slow_start: SlowStart,
-    /// For how long a returning destination bears too much before it falls; zero if that is not known.
+    /// Time for which a recovering destination withstands overload before it fails; zero if unknown.
     pub(crate) overload_tolerance: Duration,
-    pub(crate) listed_rates: ListedRateAccuracy,
+    pub(crate) listed_rate_accuracy: ListedRateAccuracy,
     pub(crate) discovery: DiscoveryPolls,
-    pub(crate) classes: Vec<NamedClass>,
-    /// Kinds of destination whose endpoints are routes of their own.
+    pub(super) classes: Vec<NamedClass>,
+    /// Kinds of destinations whose endpoints are separate routes.
     pub(crate) separate_routes: BTreeSet<String>,
-    /// Kinds of destination that take several messages in one call, and how many at most.
+    /// Maximum number of messages in one call, by the kind of destination; one for kinds that are missing.
     pub(crate) batch_limits: BTreeMap<String, u32>,
+    /// Cost of a call to an endpoint, in points by zone; zero for zones that are missing.
     pub(crate) zone_costs: BTreeMap<String, f64>,
     pub(super) destinations: BTreeMap<DestinationId, Destination>,
     pub(crate) known_destinations: KnownDestinations,
-    /// Whether the list has named endpoints that are removed and still held.
+    /// `true` if `destinations` may still contain endpoints that have left the endpoint list.
     pub(super) any_removed: bool,
     pub(crate) ordering: OrderingQueues,
     pub(super) pending: BTreeMap<MessageId, PendingMessage>,
-    /// By message and attempt number.
+    /// Attempts in flight by message and attempt number.
     pub(super) in_flight: BTreeMap<(MessageId, u32), Attempt>,
     pub(crate) shared: Shared,
-    /// When the host was asked to call back.
+    /// Time at which the timer requested last expires; `None` once it has fired.
     pub(super) timer: Option<Duration>,
-    /// When the rules may next have something to do, as found in going through them.
+    /// Earliest time at which a rule may act again, as determined by the rules while they are tried.
     pub(crate) next_due: Duration,
 }
 
@@ -277,10 +298,10 @@
             admission: Admission::new(),
             quotas: TenantQuotas::new(),
             max_attempts: u32::MAX,
-            longest_retry_after: Duration::ZERO,
+            max_retry_after: Duration::ZERO,
             slow_start: SlowStart { overload_factor: 1.0, initial_share: 0.0, warm_up: Duration::ZERO },
             overload_tolerance: Duration::ZERO,
-            listed_rates: ListedRateAccuracy::Absent,
+            listed_rate_accuracy: ListedRateAccuracy::Absent,
             discovery: DiscoveryPolls::new(),
             classes: Vec::new(),
             separate_routes: BTreeSet::new(),
@@ -302,11 +323,12 @@
         self.classes.push(NamedClass { name: name.into(), class });
     }
 
-    /// A tenant's rate for the whole pool.
-    pub(crate) fn add_tenant(&mut self, name: &str, rate: f64, excess_value_share: f64) {
-        self.quotas.add(name, rate / f64::from(self.instances), excess_value_share);
+    /// Adds a tenant with a quota of `rate_per_s` messages per second at all instances together.
+    pub(crate) fn add_tenant(&mut self, name: &str, rate_per_s: f64, excess_value_share: f64) {
+        self.quotas.add(name, rate_per_s / f64::from(self.instances), excess_value_share);
     }
 
+    /// Returns the service class of `message`.
     pub(super) fn class(&self, message: &PendingMessage) -> &ServiceClass {
         &self.classes[message.class].class
     }
@@ -315,7 +337,7 @@
         self.destinations.get(&destination)?.endpoints.get(name)
     }
 
-    /// The zone of an endpoint; empty once it is gone.
+    /// Returns the zone of an endpoint, which is empty if the endpoint has been removed.
     pub(super) fn zone_of(&self, destination: DestinationId, name: &str) -> String {
         self.endpoint(destination, name).map_or(String::new(), |endpoint| endpoint.zone.clone())
     }
@@ -324,33 +346,34 @@
         self.destinations.get(&destination).into_iter().flat_map(|destination| destination.routes.values())
     }
 
+    /// Returns the recent latencies of a service class at a destination, or `None` if no attempt has ended there.
     pub(super) fn latency(&self, destination: DestinationId, class: usize) -> Option<&LatencyWindow> {
         self.destinations.get(&destination)?.latency.get(&class)
     }
 
-    /// How long a call of a class typically takes at a destination.
-    pub(super) fn typical_call(&self, destination: DestinationId, class: usize) -> Duration {
+    /// Returns the typical duration of a call of a service class at a destination.
+    pub(super) fn typical_latency(&self, destination: DestinationId, class: usize) -> Duration {
         self.latency(destination, class).map_or(UNKNOWN_CALL, |latency| latency.typical(self.now))
     }
 
-    /// The end of the Retry-After in force for all routes of a destination.
+    /// Returns the earliest end of the retry-after over the routes of a destination; zero if it has no routes.
     pub(super) fn retry_after(&self, destination: DestinationId) -> Duration {
         self.routes_of(destination).map(|route| route.limit.retry_after()).min().unwrap_or_default()
     }
 
-    /// What `message` is worth when delivered at `at`.
-    pub(super) fn value_at(&self, message: &PendingMessage, at: Duration) -> f64 {
+    /// Returns the value of `message` if it is delivered at `delivered`.
+    pub(super) fn value_at(&self, message: &PendingMessage, delivered: Duration) -> f64 {
         let class = self.class(message);
-        message.value * class.value_share((at + class.deadline).saturating_sub(message.deadline))
+        message.value * class.value_share((delivered + class.deadline).saturating_sub(message.deadline))
     }
 
-    /// What `message` is worth if an attempt starts now and takes as long as is typical.
+    /// Returns the value of `message` if it is delivered by an attempt that starts now and takes the typical time.
     pub(super) fn value_if_attempted_now(&self, message: &PendingMessage) -> f64 {
-        let typical = self.typical_call(message.destination, message.class);
+        let typical = self.typical_latency(message.destination, message.class);
         self.value_at(message, self.now + typical)
     }
 
-    /// The message has its final outcome.
+    /// Stops handling a message, because it has its final outcome or its client left.
     pub(crate) fn finish(&mut self, id: MessageId) {
         let message = self.pending.remove(&id);
         if let Some(key) = message.and_then(|message| message.ordering_key) {
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -7,7 +7,7 @@
 use super::latency::LatencyWindow;
 use super::outlier::{self, Health};
 use super::rate_limit::Rejection;
-use super::state::{Attempt, Destination, Endpoint, Execution, Route, Shared, State};
+use super::state::{Attempt, Destination, Endpoint, MaybeExecutedAttempt, Route, Shared, State};
 use crate::{AttemptOutcome, AttemptResult, EndpointState, LogEvent, MessageId, gossip};
 use std::time::Duration;
 
@@ -104,7 +104,7 @@
         }
         if self.shared.gossip.is_allowed && (self.before.health == Health::Ejected || self.before.suspect) {
             let returned = (self.attempt.destination, self.endpoint.route.clone());
-            self.shared.gossip.returned_routes.push(returned);
+            self.shared.gossip.recovered_routes.push(returned);
         }
         let recovered = self.route.streak.is_outage(now);
         self.route.streak.reset();
@@ -279,7 +279,7 @@
         message.not_before = self.now + full_jitter(&mut self.shared.rng, message.failures, BASE, CAP);
         let is_first = message.first_execution.as_ref().is_none_or(|first| first.started > attempt.started);
         if !outcome.never_executed() && is_first {
-            message.first_execution = Some(Execution { started: attempt.started, zone });
+            message.first_execution = Some(MaybeExecutedAttempt { started: attempt.started, zone });
         }
     }
 
