--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -1,71 +1,76 @@
 //! Concurrency limits: attempts in flight of the whole instance, of a destination and of one endpoint.
 
-/// Share of the slots for one destination: the design page's.
+/// Maximum share of the slots that one destination may use.
 const DESTINATION_SHARE: f64 = 0.75;
-/// Share of the slots for all destinations that fail or are slow together: the design page's, for one.
+/// Maximum share of the slots that all impaired destinations may use together.
 const IMPAIRED_SHARE: f64 = 0.5;
-/// First limit of an endpoint: as many as one of typical latency serves at once; a slow one takes no more slots.
-const FIRST_LIMIT: f64 = 2.0;
-/// The most that an endpoint which proves itself may earn.
-const MOST_LIMIT: f64 = 32.0;
-/// What a lost call divides the limit by.
+/// Initial concurrency limit of an endpoint, in calls: as many as an endpoint of typical latency serves at a time, so
+/// that a slow one uses no more slots.
+const INITIAL_LIMIT: f64 = 2.0;
+/// Maximum concurrency limit of an endpoint, in calls, which it reaches through deliveries.
+const MAX_LIMIT: f64 = 32.0;
+/// Divisor of an endpoint's concurrency limit after a lost call.
 const LOSS_DIVISOR: f64 = 2.0;
 
-/// Slots for attempts in flight at once.
+/// Slots of the instance, which bound the calls in flight.
 pub(crate) struct Slots {
-    most: usize,
+    max: usize,
 }
 
 impl Slots {
-    pub(crate) fn new(most: usize) -> Self {
-        Self { most }
+    pub(super) fn new(max: usize) -> Self {
+        Self { max }
     }
 
-    pub(crate) fn set(&mut self, most: usize) {
-        self.most = most;
+    /// Sets the number of slots.
+    pub(crate) fn set(&mut self, max: usize) {
+        self.max = max;
     }
 
-    /// Bounds the slots by what the host has capacity for.
-    pub(crate) fn cap(&mut self, most: usize) {
-        self.most = self.most.min(most.max(1));
+    /// Lowers the number of slots to the capacity of the host, `host_max`, or to 1 if that is 0.
+    pub(crate) fn cap(&mut self, host_max: usize) {
+        self.max = self.max.min(host_max.max(1));
     }
 
+    /// Returns `true` if no slot is free while `in_use` are used.
     pub(super) fn are_full(&self, in_use: usize) -> bool {
-        in_use >= self.most
+        in_use >= self.max
     }
 
-    /// The share of the slots that is free while `in_use` are taken.
+    /// Returns the share of the slots that is free while `in_use` are used, from 0 to 1.
     pub(super) fn free_share(&self, in_use: usize) -> f64 {
-        1.0 - in_use.min(self.most) as f64 / self.most as f64
+        1.0 - in_use.min(self.max) as f64 / self.max as f64
     }
 
-    /// Slots that one destination may take.
+    /// Returns the number of slots that one destination may use, at least 1.
     pub(super) fn for_destination(&self) -> usize {
-        self.part(DESTINATION_SHARE)
+        self.portion(DESTINATION_SHARE)
     }
 
-    /// Slots that all impaired destinations may take together.
+    /// Returns the number of slots that all impaired destinations may use together, at least 1.
     pub(super) fn for_impaired(&self) -> usize {
-        self.part(IMPAIRED_SHARE)
+        self.portion(IMPAIRED_SHARE)
     }
 
-    fn part(&self, share: f64) -> usize {
-        ((self.most as f64 * share) as usize).max(1)
+    /// Returns the number of slots in `share` of all slots, rounded down but at least 1.
+    fn portion(&self, share: f64) -> usize {
+        ((self.max as f64 * share) as usize).max(1)
     }
 }
 
-/// What is in flight to one destination.
+/// Slots in use for one destination, and its condition.
 #[derive(Clone, Copy, Default)]
 pub(super) struct DestinationLoad {
-    /// Slots that its attempts take.
+    /// Number of slots used by attempts at the destination.
     pub(super) slots: usize,
-    /// Whether it is slow, or all its endpoints are ejected.
+    /// `true` if the destination is slow or all its available endpoints are ejected.
     pub(super) impaired: bool,
 }
 
-/// Whether a destination has its share of the slots; `impaired` if it fails or is slow, and `impaired_slots` are
-/// taken by all that do.
-pub(super) fn share_is_used(
+/// Returns `true` if a destination with this load may use no further slot.
+///
+/// `impaired` is `true` if the destination is impaired; all impaired destinations together use `impaired_slots`.
+pub(super) fn is_share_exhausted(
     slots: &Slots,
     load: DestinationLoad,
     impaired: bool,
@@ -74,8 +79,10 @@
     load.slots >= slots.for_destination() || impaired && impaired_slots >= slots.for_impaired()
 }
 
-/// Concurrency limit of one endpoint at this instance: grows with deliveries while it is well used, and is cut by
-/// lost calls. Bounds what is in flight at an endpoint that hangs before anyone knows.
+/// Concurrency limit of one endpoint at this instance.
+///
+/// The limit grows with deliveries while at least half of it is used, and is cut by lost calls. It bounds the calls in
+/// flight at an endpoint that hangs until the failure is detected.
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
     in_flight: u32,
@@ -83,28 +90,30 @@
 
 impl ConcurrencyLimit {
     pub(super) fn new() -> Self {
-        Self { limit: FIRST_LIMIT, in_flight: 0 }
+        Self { limit: INITIAL_LIMIT, in_flight: 0 }
     }
 
-    /// Permits left; below zero after a cut.
+    /// Returns the number of permits left, which is negative after the limit was cut below the calls in flight.
     pub(super) fn available(&self) -> i64 {
         self.limit as i64 - i64::from(self.in_flight)
     }
 
+    /// Returns the number of calls in flight.
     pub(super) fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
+    /// Takes a permit, whether or not one is left.
     pub(super) fn acquire(&mut self) {
         self.in_flight += 1;
     }
 
-    /// An attempt ended; `lost` if it tells that the endpoint does not answer.
+    /// Returns a permit and adapts the limit; `lost` is `true` if the call indicates that the endpoint does not respond.
     pub(super) fn release(&mut self, lost: bool) {
         if lost {
             self.limit = (self.limit / LOSS_DIVISOR).max(1.0);
         } else if f64::from(self.in_flight) * 2.0 >= self.limit {
-            self.limit = (self.limit + 1.0 / self.limit).min(MOST_LIMIT);
+            self.limit = (self.limit + 1.0 / self.limit).min(MAX_LIMIT);
         }
         self.in_flight = self.in_flight.saturating_sub(1);
     }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,6 +1,6 @@
 //! Selection: which endpoints of a destination may be called now, and which is best.
 
-use super::concurrency::{DestinationLoad, share_is_used};
+use super::concurrency::{DestinationLoad, is_share_exhausted};
 use super::slow_start::SlowStart;
 use super::state::{Attempt, Destination, Endpoint, PendingMessage, Route, State};
 use super::{latency, outlier::Health};
@@ -141,7 +141,7 @@
         let load = loads.get(&id).copied().unwrap_or_default();
         let impaired = load.impaired || destination.all_available_ejected();
         let impaired_slots = loads.values().filter(|load| load.impaired).map(|load| load.slots).sum();
-        let is_full = slots_full || share_is_used(&self.slots, load, impaired, impaired_slots);
+        let is_full = slots_full || is_share_exhausted(&self.slots, load, impaired, impaired_slots);
         let now = self.now;
         let input = GateInput {
             now,
--- a/src/policy/tests/concurrency.rs
+++ b/src/policy/tests/concurrency.rs
@@ -1,7 +1,9 @@
 use super::*;
 
+/// Guards against calls that pile up at an endpoint that does not respond, which happens if a lost call leaves the
+/// limit as it was, and against a limit that never recovers.
 #[test]
-fn permits_are_taken_by_attempts_halved_by_losses_and_earned_by_deliveries() {
+fn a_lost_call_halves_the_concurrency_limit_and_a_delivery_raises_it() {
     let mut concurrency = ConcurrencyLimit { limit: 4.0, in_flight: 4 };
     assert_eq!(concurrency.available(), 0);
     concurrency.release(true);
@@ -10,8 +12,10 @@
     assert!(concurrency.limit > 2.0 && concurrency.available() == 0);
 }
 
+/// Guards against one destination, or several that fail together, using up all slots, and against a share that rounds
+/// down to no slot at all.
 #[test]
-fn one_destination_and_all_impaired_ones_have_a_share_of_the_slots() {
-    let shares = |most| (Slots::new(most).for_destination(), Slots::new(most).for_impaired());
+fn one_destination_and_all_impaired_ones_together_use_only_a_share_of_the_slots() {
+    let shares = |max| (Slots::new(max).for_destination(), Slots::new(max).for_impaired());
     assert_eq!([shares(14), shares(3), shares(1)], [(10, 7), (2, 1), (1, 1)]);
 }
