--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which messages are accepted, what they are worth to whom, and which one goes when capacity is short.
+//! Admission: acceptance of messages, tenant quotas, and the choice of the message to reject when capacity is short.
 
 use super::state::{MaybeExecutedAttempt, PendingMessage, State};
 use crate::{
@@ -8,20 +8,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Share of the queue's capacity kept free, so that this instance chooses which message is rejected.
-const SPARE_SHARE: f64 = 0.05;
-/// Between two log lines on a full queue.
-const LOG_INTERVAL: Duration = ms(5_000);
-/// What one message takes of its tenant's quota.
-const MESSAGE: f64 = 1.0;
+/// Share of the queue capacity that is kept free, so that the dispatcher can choose the message to reject.
+const QUEUE_RESERVE_SHARE: f64 = 0.05;
+/// Minimum time between two log events about a nearly full queue.
+const MIN_LOG_INTERVAL: Duration = ms(5_000);
+/// Quota that one message uses, in messages.
+const QUOTA_PER_MESSAGE: f64 = 1.0;
 
-/// What may be accepted.
+/// Capacity for pending messages, and the message to which the storage capacity applies.
 pub(crate) struct Admission {
-    /// Messages pending at once.
+    /// Maximum number of pending messages.
     queue_capacity: usize,
-    /// Bytes that the host can still store.
+    /// Storage, in bytes, that the host has left.
     storage_capacity: u64,
-    /// The message accepted last, until the rules have been gone through.
+    /// Message accepted last, until the rules have been applied.
     just_accepted: Option<MessageId>,
     last_logged: Option<Duration>,
 }
@@ -44,19 +44,20 @@
         self.storage_capacity = bytes;
     }
 
-    /// The message accepted last, if the state directory has no capacity for it.
+    /// Returns the message accepted last if the state directory has no capacity for it, and forgets that message.
     fn take_unstorable(&mut self) -> Option<MessageId> {
         self.just_accepted.take().filter(|_| self.storage_capacity == 0)
     }
 
-    fn queue_is_short(&self, pending: usize) -> bool {
-        let spare = ((self.queue_capacity as f64 * SPARE_SHARE) as usize).max(1);
-        pending.saturating_add(spare) > self.queue_capacity
+    /// Returns `true` if `pending` messages leave less free capacity than is to be kept.
+    fn is_nearly_full(&self, pending: usize) -> bool {
+        let reserve = ((self.queue_capacity as f64 * QUEUE_RESERVE_SHARE) as usize).max(1);
+        pending.saturating_add(reserve) > self.queue_capacity
     }
 
-    /// Whether a log line is due; if so, it counts as written.
+    /// Returns `true` if the nearly full queue may be logged now, and starts the interval to the next log event if so.
     fn may_log(&mut self, now: Duration) -> bool {
-        let due = self.last_logged.is_none_or(|at| at + LOG_INTERVAL <= now);
+        let due = self.last_logged.is_none_or(|at| at + MIN_LOG_INTERVAL <= now);
         if due {
             self.last_logged = Some(now);
         }
@@ -64,41 +65,44 @@
     }
 }
 
-/// A tenant's share of the pool that falls to this instance, as buckets of one second: by time, an equal part of its
-/// rate; by messages, its part of whatever this instance is handed. The fuller one counts, as some instances are
-/// handed far more than others.
+/// Quota of a tenant at this instance: two token buckets that hold up to one second of its rate.
+///
+/// One bucket fills with time, at this instance's equal share of the tenant's rate. The other fills with each message
+/// that this instance receives, by the tenant's share of all quotas. The fuller bucket applies, as some instances
+/// receive far more messages than others.
 struct TenantQuota {
-    rate: f64,
-    by_time: f64,
-    by_messages: f64,
+    /// Messages per second at this instance.
+    rate_per_s: f64,
+    time_quota: f64,
+    message_quota: f64,
     refilled: Duration,
 }
 
 impl TenantQuota {
-    /// A message of any tenant was handed in, of which `part` is this one's.
-    fn on_message(&mut self, now: Duration, part: f64) {
-        let most = self.rate.max(MESSAGE);
-        let earned = self.rate * (now - self.refilled).as_secs_f64();
-        self.by_time = (self.by_time + earned).min(most);
-        self.by_messages = (self.by_messages + part).min(most);
+    /// Fills both buckets when a message of any tenant is received; `share` is the tenant's share of all quotas.
+    fn on_message(&mut self, now: Duration, share: f64) {
+        let capacity = self.rate_per_s.max(QUOTA_PER_MESSAGE);
+        let earned = self.rate_per_s * (now - self.refilled).as_secs_f64();
+        self.time_quota = (self.time_quota + earned).min(capacity);
+        self.message_quota = (self.message_quota + share).min(capacity);
         self.refilled = now;
     }
 
-    /// Whether one more message is within the share; if so, it is counted.
+    /// Returns `true` if one more message is within the quota, and deducts it if so.
     fn take(&mut self) -> bool {
-        let covered = self.by_time.max(self.by_messages) >= MESSAGE;
-        if covered {
-            self.by_time = (self.by_time - MESSAGE).max(0.0);
-            self.by_messages = (self.by_messages - MESSAGE).max(0.0);
+        let is_sufficient = self.time_quota.max(self.message_quota) >= QUOTA_PER_MESSAGE;
+        if is_sufficient {
+            self.time_quota = (self.time_quota - QUOTA_PER_MESSAGE).max(0.0);
+            self.message_quota = (self.message_quota - QUOTA_PER_MESSAGE).max(0.0);
         }
-        covered
+        is_sufficient
     }
 }
 
-/// The quotas of all tenants.
+/// Quotas of all tenants.
 pub(crate) struct TenantQuotas {
     quotas: BTreeMap<String, TenantQuota>,
-    /// The share of its value that a message beyond its tenant's quota has.
+    /// Share of its value that a message keeps if it exceeds its tenant's quota, from 0 to 1.
     excess_value_share: f64,
 }
 
@@ -107,32 +111,33 @@
         Self { quotas: BTreeMap::new(), excess_value_share: 1.0 }
     }
 
-    /// A tenant with `rate` messages a second at this instance.
-    pub(super) fn add(&mut self, name: &str, rate: f64, excess_value_share: f64) {
-        let quota = TenantQuota { rate, by_time: rate, by_messages: 0.0, refilled: Duration::ZERO };
+    /// Adds a tenant with a quota of `rate_per_s` messages per second at this instance.
+    pub(super) fn add(&mut self, name: &str, rate_per_s: f64, excess_value_share: f64) {
+        let quota =
+            TenantQuota { rate_per_s, time_quota: rate_per_s, message_quota: 0.0, refilled: Duration::ZERO };
         self.quotas.insert(name.into(), quota);
         self.excess_value_share = excess_value_share;
     }
 
-    /// A message of `tenant` was handed in; the share of its value that it has.
+    /// Deducts a received message from its tenant's quota and returns the share of its value that it keeps.
     fn on_message(&mut self, now: Duration, tenant: Option<&str>) -> f64 {
-        let sum: f64 = self.quotas.values().map(|quota| quota.rate).sum();
-        self.quotas.values_mut().for_each(|quota| quota.on_message(now, quota.rate / sum));
+        let sum: f64 = self.quotas.values().map(|quota| quota.rate_per_s).sum();
+        self.quotas.values_mut().for_each(|quota| quota.on_message(now, quota.rate_per_s / sum));
         let quota = tenant.and_then(|name| self.quotas.get_mut(name));
-        let is_covered = quota.is_none_or(TenantQuota::take);
-        if is_covered { 1.0 } else { self.excess_value_share }
+        let is_within_quota = quota.is_none_or(TenantQuota::take);
+        if is_within_quota { 1.0 } else { self.excess_value_share }
     }
 }
 
 impl State {
-    /// Takes in a message that was handed in.
+    /// Accepts a message, or returns [`UnknownServiceClass`] and changes nothing.
     pub(crate) fn accept(&mut self, message: NewMessage) -> Result<(), UnknownServiceClass> {
         let class = self.classes.iter().position(|named| named.name == message.service_class);
         let class = class.ok_or(UnknownServiceClass)?;
         let value_share = self.quotas.on_message(self.now, message.tenant);
         let service_class = &self.classes[class].class;
         let value = service_class.value * value_share;
-        // Against deadlines that no message of the class may ask for.
+        // Prevents deadlines later than the service class allows.
         let deadline = message.deadline.min(self.now + service_class.deadline);
         let ordering_key = message.ordering_key.filter(|_| service_class.ordered);
         if let Some(key) = ordering_key {
@@ -158,23 +163,25 @@
         Ok(())
     }
 
-    /// A message for `destination` earns its endpoints a part of an attempt each, but where a Retry-After is in force.
+    /// Credits a message for a destination to the slow-start budgets of its endpoints, in equal shares.
+    ///
+    /// Endpoints for which a retry-after is in force receive nothing.
     fn earn_slow_start_budgets(&mut self, id: DestinationId) {
         let Some(destination) = self.destinations.get_mut(&id) else { return };
-        let part = 1.0 / destination.available_endpoints().max(1) as f64;
+        let endpoint_share = 1.0 / destination.available_endpoints().max(1) as f64;
         let (now, slow_start, routes) = (self.now, self.slow_start, &destination.routes);
         for endpoint in destination.endpoints.values_mut() {
             if routes.get(&endpoint.route).is_some_and(|route| route.limit.retry_after() > now) {
                 continue;
             }
-            let share = endpoint.health.allowed_share(now, slow_start);
-            endpoint.budget.on_message(share, part);
+            let allowed_share = endpoint.health.allowed_share(now, slow_start);
+            endpoint.budget.on_message(allowed_share, endpoint_share);
         }
     }
 
-    /// Takes in what is known of the attempts of a message that was just accepted, from before a restart.
+    /// Restores the attempts made before a restart for a message that was just accepted.
     ///
-    /// Against effects that happen twice across a restart.
+    /// Prevents a message from being executed twice because of a restart.
     pub(crate) fn restore_attempts(&mut self, id: MessageId, attempts: RecoveredAttempts) {
         let Some(destination) = self.pending.get(&id).map(|message| message.destination) else { return };
         let first_execution = attempts.first_execution.map(|execution| MaybeExecutedAttempt {
@@ -190,7 +197,7 @@
         }
     }
 
-    /// Whether it is harmless to hand the message in again: only then it may be rejected.
+    /// Returns `true` if the client can safely submit the message again, which is the condition for rejecting it.
     pub(super) fn may_reject(&self, message: &PendingMessage) -> bool {
         match self.class(message).retry_safety {
             RetrySafety::Idempotent => true,
@@ -199,26 +206,29 @@
         }
     }
 
-    /// Rule: without capacity in the state directory, what was handed in just now is not accepted.
+    /// Rule: if the state directory has no capacity left, gives up the message accepted last.
     pub(crate) fn shed_unstorable(&mut self, driver: &mut dyn Driver) -> bool {
         let Some(id) = self.admission.take_unstorable() else { return false };
         self.give_up(id, driver);
         true
     }
 
-    /// Rule: while the queue is short, the message of the least value goes, so that it is not chance that turns the
-    /// next one away. What a restart recovered goes last.
+    /// Rule: if the queue is nearly full, gives up the message of the least value that may be rejected and is not in
+    /// flight.
+    ///
+    /// Prevents a full queue, at which the order of arrival would decide which message is rejected. Recovered messages
+    /// without an attempt are given up last.
     pub(crate) fn shed_least_valuable(&mut self, driver: &mut dyn Driver) -> bool {
-        if !self.admission.queue_is_short(self.pending.len()) {
+        if !self.admission.is_nearly_full(self.pending.len()) {
             return false;
         }
         let waiting =
             self.pending.iter().filter(|(_, message)| message.in_flight == 0 && self.may_reject(message));
         let least = waiting.min_by(|(id, message), (other_id, other)| {
-            let recovered = message.is_recovered_untried.cmp(&other.is_recovered_untried);
-            let value =
+            let by_recovery = message.is_recovered_untried.cmp(&other.is_recovered_untried);
+            let by_value =
                 || self.value_if_attempted_now(message).total_cmp(&self.value_if_attempted_now(other));
-            recovered.then_with(value).then(other_id.cmp(id))
+            by_recovery.then_with(by_value).then(other_id.cmp(id))
         });
         let Some(id) = least.map(|(id, _)| *id) else { return false };
         self.give_up(id, driver);
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -108,7 +108,8 @@
         self.in_flight += 1;
     }
 
-    /// Returns a permit and adapts the limit; `lost` is `true` if the call indicates that the endpoint does not respond.
+    /// Puts a permit back and adapts the limit; `lost` is `true` if the call indicates that the endpoint does not
+    /// respond.
     pub(super) fn release(&mut self, lost: bool) {
         if lost {
             self.limit = (self.limit / LOSS_DIVISOR).max(1.0);
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -129,7 +129,8 @@
     }
 }
 
-/// State shared by the endpoints of a route: all endpoints of a destination, or a single one if its routes are separate.
+/// State shared by the endpoints of a route: all endpoints of a destination, or a single one if its routes are
+/// separate.
 ///
 /// Removed once it has no endpoints, see [`Destination::drop_unused_routes`].
 pub(crate) struct Route {
--- a/src/policy/tests/admission.rs
+++ b/src/policy/tests/admission.rs
@@ -2,8 +2,9 @@
 use crate::PossibleExecution;
 use crate::policy::test_support::*;
 
+/// Guards against messages of high value being rejected while ones of low value are kept in a nearly full queue.
 #[test]
-fn a_short_queue_rejects_what_is_worth_least() {
+fn a_nearly_full_queue_rejects_the_message_of_the_least_value() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.set_limits(Some(0), Some(3), None);
     for (id, service_class) in [(1, "dear"), (2, "g"), (3, "dear")] {
@@ -12,8 +13,9 @@
     assert_eq!(actions(&mut dispatcher), ["reject 2 false"]);
 }
 
+/// Guards against a tenant that exceeds its quota and displaces the messages of other tenants.
 #[test]
-fn a_message_over_its_tenants_quota_is_worth_less() {
+fn a_message_beyond_its_tenants_quota_keeps_only_a_share_of_its_value() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.add_tenant("t", 2.0, 0.1);
     dispatcher.add_tenant("u", 6.0, 0.1);
@@ -23,9 +25,11 @@
     assert_eq!((dispatcher.state.pending[&1].value, dispatcher.state.pending[&2].value), (1.0, 0.1));
 }
 
-/// tunis-lac, big-1: six instances carried a fifth of all, held nearly all of it for over its quotas, and rejected it.
+/// Guards against quotas that refill by time only, at an equal share of the tenant's rate per instance: in the run
+/// big-1 of tunis-lac, six instances received a fifth of all messages, counted nearly all of them as beyond their
+/// tenants' quotas, and rejected them.
 #[test]
-fn a_message_within_its_tenants_part_of_what_a_busy_instance_is_handed_is_worth_its_full_value() {
+fn at_a_busy_instance_a_message_within_its_tenants_share_of_the_messages_keeps_its_full_value() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.add_tenant("t", 2.0, 0.1);
     dispatcher.add_tenant("u", 6.0, 0.1);
@@ -36,6 +40,8 @@
     assert!(dispatcher.state.pending.values().filter(|message| message.value == 1.0).count() >= 78);
 }
 
+/// Guards against state left behind by a message that was refused, and against events of a message that is no longer
+/// pending.
 #[test]
 fn an_unknown_service_class_or_message_changes_nothing() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -46,8 +52,9 @@
     assert!(dispatcher.state.pending.is_empty() && actions(&mut dispatcher).is_empty());
 }
 
+/// Guards against rejecting messages that are already stored when the state directory is full.
 #[test]
-fn without_storage_only_what_is_handed_in_just_then_is_rejected() {
+fn without_storage_capacity_only_the_message_accepted_last_is_rejected() {
     let mut dispatcher = dispatcher_for(DEDUPLICATED);
     assert_eq!(submit(&mut dispatcher, 1, None), ["attempt 1 a"]);
     dispatcher.set_storage_capacity(0);
@@ -57,9 +64,10 @@
     assert!(dispatcher.state.pending.contains_key(&1) && dispatcher.state.pending.contains_key(&3));
 }
 
+/// Guards against a second execution after a restart, which happens if the attempts made before it are forgotten.
 #[test]
-fn what_may_have_been_executed_before_a_restart_is_retried_only_while_its_key_is_remembered() {
-    for (retry_safety, ago, then) in [
+fn a_message_possibly_executed_before_a_restart_is_retried_only_if_a_second_execution_is_harmless() {
+    for (retry_safety, ago_ms, expected) in [
         (DEDUPLICATED, 4_000, "attempt 1 a"),
         (DEDUPLICATED, 7_000, "reject 1 false"),
         (RetrySafety::AtMostOnce, 4_000, "abandon 1"),
@@ -69,20 +77,22 @@
         dispatcher.advance_to(ms(8_000));
         let recovered = NewMessage { ordering_key: Some(5), deadline: ms(18_000), ..message(1) };
         dispatcher.accept(recovered).unwrap();
-        let first = PossibleExecution { started: ms(8_000 - ago), endpoint: "a" };
+        let first = PossibleExecution { started: ms(8_000 - ago_ms), endpoint: "a" };
         dispatcher.restore_attempts(1, RecoveredAttempts { count: 1, first_execution: Some(first) });
-        assert_eq!(actions(&mut dispatcher), [then], "{retry_safety:?}, {ago} ms ago");
+        assert_eq!(actions(&mut dispatcher), [expected], "{retry_safety:?}, {ago_ms} ms ago");
     }
 }
 
-/// lublin-ledger, roll+term: 65 of 133 that a restart found untried with half their time left were given up untried.
+/// Guards against recovered messages that expire without an attempt because new messages, with more value left, are
+/// preferred: in the run roll+term of lublin-ledger, this happened to 65 of 133 such messages, though half their time
+/// was left at the restart.
 #[test]
-fn what_a_restart_found_untried_goes_first_and_is_given_up_last() {
+fn a_recovered_message_without_an_attempt_is_attempted_first_and_given_up_last() {
     for (count, first) in [(0, "attempt 1 a"), (1, "attempt 3 a")] {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         dispatcher.set_limits(Some(1), Some(3), Some(5));
         dispatcher.advance_to(ms(8_000));
-        // Late, and of little value.
+        // Past its soft deadline, so of little value.
         dispatcher.accept(NewMessage { deadline: ms(11_000), ..message(1) }).unwrap();
         dispatcher.restore_attempts(1, RecoveredAttempts { count, first_execution: None });
         for id in [2, 3] {
@@ -94,8 +104,10 @@
     }
 }
 
+/// Guards against messages that stay pending for longer than their service class allows, which happens if the deadline
+/// of the client is taken as it is.
 #[test]
-fn a_message_lasts_no_longer_than_its_service_class_allows() {
+fn the_deadline_of_a_message_is_capped_by_its_service_class() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.accept(NewMessage { deadline: ms(9_000_000), ..message(1) }).unwrap();
     assert_eq!(dispatcher.state.pending[&1].deadline, dispatcher.state.now + ms(10_000));
