--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -1,19 +1,22 @@
-//! Expiry: until when a message may be attempted, and its final outcome once no attempt is left.
+//! Expiry: latest start of an attempt, and the final outcome of a message that can no longer be attempted.
 
 use super::state::{PendingMessage, State};
 use crate::{Driver, MessageId, RetrySafety};
 use std::time::Duration;
 
 impl State {
-    /// The last moment at which another attempt of `message` may start, by its deadline and by its destination's
-    /// deduplication window.
+    /// Returns the latest time at which another attempt of `message` may start.
+    ///
+    /// An attempt of the typical duration must end by the deadline of the message and, if an earlier attempt may have
+    /// been executed, within the deduplication window. An at-most-once message that may have been executed must not be
+    /// attempted again; the result is zero for it.
     pub(super) fn latest_start(&self, message: &PendingMessage) -> Duration {
         let typical = self.typical_latency(message.destination, message.class);
         let by_deadline = message.deadline.saturating_sub(typical);
         match (&message.first_execution, self.class(message).retry_safety) {
             (None, _) | (_, RetrySafety::Idempotent) => by_deadline,
-            // Against a retry that arrives, or is executed, once its key is forgotten: as for the deadline, the window
-            // must hold a typical call. May give up one that would have been in time.
+            // Prevents a retry that arrives or is executed after its idempotency key was forgotten: like the deadline,
+            // the window must cover a typical call. May give up a message whose retry would have been in time.
             (Some(first), RetrySafety::Deduplicated { window, .. }) => {
                 by_deadline.min((first.started + window).saturating_sub(typical))
             }
@@ -21,10 +24,10 @@
         }
     }
 
-    /// Whether no further attempt of `message` can start in time.
+    /// Returns `true` if no further attempt of `message` can start in time.
     fn is_expired(&self, message: &PendingMessage) -> bool {
-        let next = self.now.max(message.not_before).max(self.retry_after(message.destination));
-        message.attempts >= self.max_attempts || next > self.latest_start(message)
+        let next_start = self.now.max(message.not_before).max(self.retry_after(message.destination));
+        message.attempts >= self.max_attempts || next_start > self.latest_start(message)
     }
 
     /// Rule: gives up the first message that can no longer be delivered.
@@ -42,14 +45,16 @@
         true
     }
 
-    /// Gives a message its final outcome: rejected where it is harmless to hand in again, with the time at which its
-    /// destination may take calls again; abandoned otherwise.
+    /// Gives a message its final outcome.
+    ///
+    /// The message is rejected if the client can safely submit it again, with the time until its destination may be
+    /// called again as `retry_after`. Otherwise it is abandoned.
     pub(super) fn give_up(&mut self, id: MessageId, driver: &mut dyn Driver) {
         let Some(message) = self.pending.get(&id) else { return };
         if self.may_reject(message) {
             let routes = self.routes_of(message.destination);
-            let opens = routes.map(|route| route.limit.retry_after().max(route.checks.next())).min();
-            let wait = opens.unwrap_or_default().saturating_sub(self.now).min(self.max_retry_after);
+            let callable_from = routes.map(|route| route.limit.retry_after().max(route.checks.next())).min();
+            let wait = callable_from.unwrap_or_default().saturating_sub(self.now).min(self.max_retry_after);
             driver.reject(id, (!wait.is_zero()).then_some(wait));
         } else {
             driver.abandon(id);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,12 +1,12 @@
-//! All decisions: which endpoint, which message, whether to retry, when to give up.
+//! Decisions of a dispatcher: selection of messages and endpoints, retries, and giving up messages.
 //!
-//! Each mechanism stands in a module of its own with its constants and its private state. [`state`] puts them together;
-//! the rules and the reactions to inputs are methods of [`state::State`] in the module of the mechanism that decides.
-//! The ordered list of rules is in [`crate::dispatcher`]; docs/design.md says where each mechanism comes from.
+//! Each mechanism is a module with its constants and its private state, and [`state`] combines these states. The rules
+//! and the handlers of events are methods of [`state::State`], defined in the module of the mechanism that decides. The
+//! ordered list of rules is in [`crate::dispatcher`]; docs/design.md describes the origin of each mechanism.
 
-pub(crate) mod admission;
+mod admission;
 mod backoff;
-pub(crate) mod concurrency;
+mod concurrency;
 mod connections;
 mod discovery;
 mod expiry;
--- a/src/policy/tests/expiry.rs
+++ b/src/policy/tests/expiry.rs
@@ -1,6 +1,8 @@
 use crate::policy::test_support::*;
 use crate::{AttemptOutcome, EndpointState, EndpointUpdate, RetrySafety, ms};
 
+/// Guards against rejecting a message that a client may not submit again, and against retrying one in a zone that does
+/// not know its idempotency key.
 #[test]
 fn retry_safety_decides_between_rejection_and_abandonment() {
     let cases =
@@ -18,13 +20,15 @@
     dispatcher.attempt_ended(ended(1, 0, AttemptOutcome::Failed));
     dispatcher.endpoint_updated(EndpointUpdate { state: EndpointState::Removed, ..endpoint_of("a", "x") });
     dispatcher.advance_to(ms(1_000));
-    assert!(actions(&mut dispatcher).is_empty(), "the other zone does not know its key");
+    assert!(actions(&mut dispatcher).is_empty(), "the other zone does not know the idempotency key");
     dispatcher.advance_to(ms(6_100));
     assert_eq!(actions(&mut dispatcher), ["abandon 1"]);
 }
 
+/// Guards against a second execution of an at-most-once message, which happens if it is retried after a failure that
+/// does not prove that the endpoint never executed it.
 #[test]
-fn an_at_most_once_message_is_retried_only_after_proof_that_nothing_was_executed() {
+fn an_at_most_once_message_is_retried_only_after_an_attempt_that_was_never_executed() {
     let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
     submit(&mut dispatcher, 1, None);
     dispatcher.attempt_ended(ended(1, 0, AttemptOutcome::ConnectFailed));
@@ -34,8 +38,10 @@
     assert_eq!(actions(&mut dispatcher), ["abandon 1"]);
 }
 
+/// Guards against a second execution after a rejection that is not well-formed, which does not prove that the message was
+/// never executed, and against calls before the end of its retry-after.
 #[test]
-fn what_may_have_been_executed_though_it_reads_as_rejected_counts_and_its_retry_after_is_heeded() {
+fn an_ambiguous_rejection_counts_as_a_possible_execution_and_its_retry_after_is_respected() {
     let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
     assert_eq!(submit(&mut dispatcher, 1, None), ["attempt 1 a"]);
     let outcome = AttemptOutcome::AmbiguousRejection { retry_after: Some(ms(900)) };
