--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -193,7 +193,7 @@
         message.first_execution = first_execution;
         message.is_recovered_untried = attempts.count == 0;
         if let Some(key) = message.ordering_key.filter(|_| message.first_execution.is_some()) {
-            self.ordering.pause_for(key, id, self.now);
+            self.ordering.pause_others(key, id, self.now);
         }
     }
 
--- a/src/policy/ordering.rs
+++ b/src/policy/ordering.rs
@@ -1,36 +1,42 @@
-//! Ordering: messages with one ordering key are delivered one at a time, in the order of their acceptance.
+//! Ordering: messages with the same ordering key are delivered one at a time, in order of acceptance.
 
 use crate::MessageId;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// The messages with one key; gone when none is pending, in flight or paused for.
+/// Messages with one ordering key.
+///
+/// Removed once no message is pending or in flight and no pause is in force.
 #[derive(Default)]
 struct OrderingQueue {
+    /// Pending messages in order of acceptance.
     waiting: VecDeque<MessageId>,
+    /// Messages of the attempts in flight, some of which may already have a final outcome.
     in_flight: Vec<MessageId>,
     paused_until: Duration,
-    /// The message that the pause does not hold back.
-    paused_for: Option<MessageId>,
+    /// Message that may be attempted during the pause.
+    pause_exempt: Option<MessageId>,
 }
 
 impl OrderingQueue {
+    /// Returns `true` if an attempt of the message may start at `now`.
     fn may_start(&self, id: MessageId, now: Duration) -> bool {
         self.waiting.front() == Some(&id)
             && self.in_flight.iter().all(|other| *other == id)
-            && (self.paused_until <= now || self.paused_for == Some(id))
+            && (self.paused_until <= now || self.pause_exempt == Some(id))
     }
 
-    fn is_done(&self, now: Duration) -> bool {
+    /// Returns `true` if the queue restricts no message at `now` and can be removed.
+    fn is_unused(&self, now: Duration) -> bool {
         self.waiting.is_empty() && self.in_flight.is_empty() && self.paused_until <= now
     }
 }
 
-/// The queues of all ordering keys in use.
+/// Queues of all ordering keys in use.
 #[derive(Default)]
 pub(crate) struct OrderingQueues {
     queues: BTreeMap<u64, OrderingQueue>,
-    /// How long a key pauses after an attempt that may still be executed.
+    /// Pause of an ordering key after an attempt that may still be executed.
     pause: Duration,
 }
 
@@ -39,48 +45,51 @@
         self.pause = pause;
     }
 
+    /// Adds an accepted message to the queue of its ordering key.
     pub(super) fn on_accepted(&mut self, key: u64, id: MessageId) {
         self.queues.entry(key).or_default().waiting.push_back(id);
     }
 
+    /// Returns `true` if the ordering key permits an attempt of the message to start at `now`.
     pub(super) fn may_start(&self, key: u64, id: MessageId, now: Duration) -> bool {
         self.queues.get(&key).is_some_and(|queue| queue.may_start(id, now))
     }
 
+    /// Registers the start of an attempt.
     pub(super) fn on_started(&mut self, key: u64, id: MessageId) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.in_flight.push(id);
         }
     }
 
-    /// An attempt ended; `may_be_executed` if it may still be, so that the key pauses.
+    /// Registers the end of an attempt, and pauses its ordering key if the attempt may still be executed.
     pub(super) fn on_ended(&mut self, key: u64, id: MessageId, may_be_executed: bool, now: Duration) {
         let Some(queue) = self.queues.get_mut(&key) else { return };
         queue.in_flight.retain(|other| *other != id);
         if may_be_executed {
-            self.pause_for(key, id, now);
+            self.pause_others(key, id, now);
         }
     }
 
-    /// Holds back all messages with the key but `id` for a while.
-    pub(super) fn pause_for(&mut self, key: u64, id: MessageId, now: Duration) {
+    /// Starts a pause of the ordering key, during which only the message `id` may be attempted.
+    pub(super) fn pause_others(&mut self, key: u64, id: MessageId, now: Duration) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.paused_until = now + self.pause;
-            queue.paused_for = Some(id);
+            queue.pause_exempt = Some(id);
         }
     }
 
-    /// A message has its final outcome.
+    /// Removes a message that has its final outcome, and the queues that are no longer needed.
     pub(super) fn on_finished(&mut self, key: u64, id: MessageId, now: Duration) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.waiting.retain(|other| *other != id);
-            self.queues.retain(|_, queue| !queue.is_done(now));
+            self.queues.retain(|_, queue| !queue.is_unused(now));
         }
     }
 
-    /// When the next pause ends.
+    /// Returns the end of the pause that ends first, or `None` if no pause is in force.
     pub(super) fn next_pause_end(&self, now: Duration) -> Option<Duration> {
-        self.queues.values().map(|queue| queue.paused_until).filter(|until| *until > now).min()
+        self.queues.values().map(|queue| queue.paused_until).filter(|end| *end > now).min()
     }
 }
 
--- a/src/policy/tests/expiry.rs
+++ b/src/policy/tests/expiry.rs
@@ -38,8 +38,8 @@
     assert_eq!(actions(&mut dispatcher), ["abandon 1"]);
 }
 
-/// Guards against a second execution after a rejection that is not well-formed, which does not prove that the message was
-/// never executed, and against calls before the end of its retry-after.
+/// Guards against a second execution after a rejection that is not well-formed, which does not prove that the message
+/// was never executed, and against calls before the end of its retry-after.
 #[test]
 fn an_ambiguous_rejection_counts_as_a_possible_execution_and_its_retry_after_is_respected() {
     let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
--- a/src/policy/tests/ordering.rs
+++ b/src/policy/tests/ordering.rs
@@ -1,8 +1,10 @@
 use crate::policy::test_support::*;
 use crate::{AttemptOutcome, RetrySafety, ms};
 
+/// Guards against delivery out of order: an attempt that timed out may still be executed, even after its message was
+/// finished, so the next message with its ordering key has to wait for the pause.
 #[test]
-fn messages_with_one_key_go_one_at_a_time_and_pause_after_a_timeout() {
+fn messages_with_one_ordering_key_are_attempted_one_at_a_time_with_a_pause_after_a_timeout() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     assert_eq!(submit(&mut dispatcher, 1, Some(5)), ["attempt 1 a"]);
     assert!(submit(&mut dispatcher, 2, Some(5)).is_empty());
