--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -1,4 +1,4 @@
-//! Scheduling: which message goes next, how its attempt starts, and when the rules look again.
+//! Scheduling: choice of the message to attempt next, start of its attempt, and the timer for applying the rules again.
 
 use super::latency::LatencyWindow;
 use super::outlier::Health;
@@ -9,48 +9,52 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Seconds of a slot that any call counts for at least, so that none is taken for free.
-const LEAST_CALL: f64 = 0.05;
-/// Parts in which the values of messages for each second of a slot are compared.
-const VALUE_PARTS: f64 = 1e6;
-/// Shortest time between two looks at what is pending.
-const LEAST_WAIT: Duration = ms(20);
-/// The longest: a ramp opens sooner than its rate of now tells.
-const LONGEST_WAIT: Duration = ms(500);
+/// Minimum time, in seconds, for which a call is assumed to use a slot, so that no call seems free.
+const MIN_SLOT_SECS: f64 = 0.05;
+/// Factor by which value rates are multiplied before they are rounded down for the comparison.
+const VALUE_RATE_SCALE: f64 = 1e6;
+/// Minimum time until the timer fires.
+const MIN_TIMER_WAIT: Duration = ms(20);
+/// Maximum time until the timer fires while messages are waiting: as the rate of a recovery ramp grows, an attempt may
+/// start earlier than the current rate indicates.
+const MAX_TIMER_WAIT: Duration = ms(500);
 
-/// How little an attempt costs if it fails: health checks are made with what can be executed again first.
+/// Harmlessness of a failed attempt, least harmless first.
+///
+/// Health checks are made with messages that can be executed again if there are any.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Harm {
-    /// A health check with a message that a second execution harms, or that is lost with it.
+enum FailureTolerance {
+    /// Health check with a message that must not be executed again, or that may be lost with the attempt.
     MayLoseMessage,
-    /// A health check with an idempotent message.
+    /// Health check with an idempotent message.
     Idempotent,
-    /// A health check with a message that may have been executed already.
+    /// Health check with a message that may already have been executed.
     MayHaveBeenExecuted,
-    /// An attempt at an endpoint that is not ejected.
-    NoHealthCheck,
+    /// Attempt at an endpoint that is not ejected.
+    NotHealthCheck,
 }
 
-/// The order in which messages go: the greatest first.
+/// Priority of a message; the message with the greatest priority is attempted first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Priority {
-    harm: Harm,
-    /// Against what a restart recovered, late by then and of little value, waiting untried behind all that is new
-    /// until its deadline is over. May delay what is worth more, by one call each.
+    failure_tolerance: FailureTolerance,
+    /// Prevents recovered messages, which are late and have lost value, from waiting behind all new messages until they
+    /// expire without an attempt. May delay each message of more value by one call per recovered message.
     is_recovered_untried: bool,
-    /// Value for each second of a slot.
+    /// Value per second of slot time, scaled by [`VALUE_RATE_SCALE`].
     value_rate: i64,
+    /// Time up to which the message has its full value; an earlier one takes precedence.
     soft_deadline: Reverse<Duration>,
 }
 
 impl State {
-    /// Rule: starts the attempt that is worth most for the time of its slot.
+    /// Rule: starts the attempt of the highest priority.
     pub(crate) fn start_most_valuable(&mut self, driver: &mut dyn Driver) -> bool {
         let slots_full = self.slots.are_full(self.slots_in_use());
         if slots_full && self.batch_limits.is_empty() || self.pending.is_empty() {
             return false;
         }
-        let candidates = self.candidates_of_waiting(slots_full);
+        let candidates = self.candidates_by_destination(slots_full);
         let mut best: Option<(Priority, MessageId, &Candidate)> = None;
         for (id, message) in &self.pending {
             let Some(candidates) = candidates.get(&message.destination) else { continue };
@@ -61,56 +65,60 @@
             }
         }
         let Some((_, id, candidate)) = best else {
-            self.note_next_start();
+            self.schedule_next_start();
             return false;
         };
         self.start_attempt(id, candidate, driver);
         true
     }
 
-    /// The candidate endpoints of all destinations for which a message waits.
-    fn candidates_of_waiting(&mut self, slots_full: bool) -> BTreeMap<DestinationId, Vec<Candidate>> {
-        let waiting =
-            self.pending.values().filter(|message| message.in_flight == 0 && self.may_go_now(message));
+    /// Returns the candidate endpoints of all destinations for which a message could be attempted now.
+    fn candidates_by_destination(&mut self, slots_full: bool) -> BTreeMap<DestinationId, Vec<Candidate>> {
+        let waiting = self
+            .pending
+            .values()
+            .filter(|message| message.in_flight == 0 && self.may_be_attempted_now(message));
         let waiting: BTreeSet<_> = waiting.map(|message| message.destination).collect();
         let loads: Loads = self.loads();
         waiting.into_iter().map(|id| (id, self.candidates(id, &loads, slots_full))).collect()
     }
 
-    /// Whether the message's backoff is over, or does not matter as there is a connection for it.
-    fn may_go_now(&self, message: &PendingMessage) -> bool {
+    /// Returns `true` if the backoff of the message is over, or is irrelevant because the message only lacked a
+    /// connection and its destination has an idle one.
+    fn may_be_attempted_now(&self, message: &PendingMessage) -> bool {
         message.not_before <= self.now
             || message.hit_connection_limit() && self.shared.connections.any_to(message.destination)
     }
 
+    /// Returns the priority of an attempt of `message` at `candidate`.
     fn priority(&self, message: &PendingMessage, candidate: &Candidate) -> Priority {
         let typical = self.typical_latency(message.destination, message.class);
         let value = self.value_at(message, self.now + typical);
         let class = self.class(message);
-        let harm = match &message.first_execution {
-            _ if !candidate.is_health_check() => Harm::NoHealthCheck,
-            Some(_) => Harm::MayHaveBeenExecuted,
-            None if class.retry_safety == RetrySafety::Idempotent => Harm::Idempotent,
-            None => Harm::MayLoseMessage,
+        let failure_tolerance = match &message.first_execution {
+            _ if !candidate.is_health_check() => FailureTolerance::NotHealthCheck,
+            Some(_) => FailureTolerance::MayHaveBeenExecuted,
+            None if class.retry_safety == RetrySafety::Idempotent => FailureTolerance::Idempotent,
+            None => FailureTolerance::MayLoseMessage,
         };
         let soft_deadline = (message.deadline + class.soft_deadline).saturating_sub(class.deadline);
         Priority {
-            harm,
+            failure_tolerance,
             is_recovered_untried: message.is_recovered_untried,
-            value_rate: (value * VALUE_PARTS / typical.as_secs_f64().max(LEAST_CALL)) as i64,
+            value_rate: (value * VALUE_RATE_SCALE / typical.as_secs_f64().max(MIN_SLOT_SECS)) as i64,
             soft_deadline: Reverse(soft_deadline),
         }
     }
 
-    /// Nothing may start now: the rules look again when a backoff or an ordering pause ends.
-    fn note_next_start(&mut self) {
+    /// Ensures that the rules are applied again when a backoff or an ordering pause ends.
+    fn schedule_next_start(&mut self) {
         let backoffs = self.pending.values().map(|message| message.not_before).filter(|at| *at > self.now);
         if let Some(next) = backoffs.chain(self.ordering.next_pause_end(self.now)).min() {
             self.next_due = self.next_due.min(next);
         }
     }
 
-    /// Starts an attempt, and counts it at each mechanism; one that joins a call counts with that.
+    /// Starts an attempt and charges it to the budgets and limits, unless it is added to a call already charged.
     fn start_attempt(&mut self, id: MessageId, candidate: &Candidate, driver: &mut dyn Driver) {
         let Some(timeout) = self.attempt_timeout(id) else { return };
         let now = self.now;
@@ -123,8 +131,8 @@
         if is_batched {
             endpoint.batch.join();
         } else {
-            let most = self.batch_limits.get(&endpoint.kind).copied().unwrap_or(1);
-            endpoint.batch = Batch::start(now, most);
+            let max_messages = self.batch_limits.get(&endpoint.kind).copied().unwrap_or(1);
+            endpoint.batch = Batch::start(now, max_messages);
             route.retry_budget.on_attempt(now, message.attempts > 0);
             if message.was_rejected() {
                 self.shared.retry_credit.spend();
@@ -139,11 +147,11 @@
             endpoint.budget.spend();
         }
         endpoint.last_used = Some(now);
-        self.record_started(id, candidate, is_batched);
+        self.register_attempt(id, candidate, is_batched);
     }
 
-    /// The attempt is in flight from now on.
-    fn record_started(&mut self, id: MessageId, candidate: &Candidate, is_batched: bool) {
+    /// Registers an attempt as in flight.
+    fn register_attempt(&mut self, id: MessageId, candidate: &Candidate, is_batched: bool) {
         let Some(message) = self.pending.get_mut(&id) else { return };
         let endpoint = candidate.endpoint.clone();
         let key = (message.destination, endpoint);
@@ -165,39 +173,43 @@
         message.is_recovered_untried = false;
     }
 
-    /// How long an attempt of a message may take.
+    /// Returns the attempt timeout of a message, or `None` if the message is not pending.
     fn attempt_timeout(&self, id: MessageId) -> Option<Duration> {
         let message = self.pending.get(&id)?;
-        let calls = self.in_flight.values().filter(|attempt| !attempt.is_batched).count();
-        let least_share = self.shared.isolated_losses.least_timeout_share(self.slots.free_share(calls));
+        let calls_in_flight = self.in_flight.values().filter(|attempt| !attempt.is_batched).count();
+        let min_timeout_share =
+            self.shared.isolated_losses.least_timeout_share(self.slots.free_share(calls_in_flight));
         let time_left = message.deadline.saturating_sub(self.now);
         let class_latency = self.shared.class_latency.get(&message.class);
-        let elsewhere = class_latency.map_or(Duration::ZERO, LatencyWindow::tail_bound);
-        // An at-most-once message that is given up is lost: it waits for its response while slots are free.
+        let class_bound = class_latency.map_or(Duration::ZERO, LatencyWindow::tail_bound);
+        // An at-most-once message is lost if its attempt times out, so it waits for the response while slots are free.
         let is_at_most_once = self.class(message).retry_safety == RetrySafety::AtMostOnce;
-        let elsewhere = if is_at_most_once { elsewhere.max(time_left) } else { elsewhere };
-        let none = LatencyWindow::default();
-        let latency = self.latency(message.destination, message.class).unwrap_or(&none);
-        Some(latency.attempt_timeout(elsewhere, least_share).min(time_left))
+        let class_bound = if is_at_most_once { class_bound.max(time_left) } else { class_bound };
+        let no_samples = LatencyWindow::default();
+        let latency = self.latency(message.destination, message.class).unwrap_or(&no_samples);
+        Some(latency.attempt_timeout(class_bound, min_timeout_share).min(time_left))
     }
 
-    /// Asks the host to call back when the rules may next have something to do.
+    /// Requests a timer for the time at which a rule may act next, unless the timer requested last is due by then.
     pub(crate) fn set_timer(&mut self, driver: &mut dyn Driver) {
-        let waits = self.pending.values().any(|message| message.in_flight == 0);
-        let next_rule = waits.then(|| self.next_due.saturating_sub(self.now).min(LONGEST_WAIT));
-        let next_close = || self.next_idle_close();
-        let next_poll = self.discovery.wait(self.now);
-        let Some(wait) = next_rule.or_else(next_close).into_iter().chain(next_poll).min() else { return };
-        // Whole steps, and a new one for one that is past: against a timer that a host's coarser clock fires a little
-        // early, taken for none, and no other asked for. May ask for one too many.
-        let wait = ms(wait.max(LEAST_WAIT).as_millis() as u64 + 1);
+        let any_waiting = self.pending.values().any(|message| message.in_flight == 0);
+        let rules_wait = any_waiting.then(|| self.next_due.saturating_sub(self.now).min(MAX_TIMER_WAIT));
+        let idle_close_wait = || self.next_idle_close();
+        let poll_wait = self.discovery.wait(self.now);
+        let Some(wait) = rules_wait.or_else(idle_close_wait).into_iter().chain(poll_wait).min() else {
+            return;
+        };
+        // Waits are whole milliseconds, and an expired timer is replaced. Prevents messages from being stuck when a
+        // host with a coarse clock fires a timer slightly early, so that no rule acts yet and no other timer is
+        // requested. May request an unnecessary timer.
+        let wait = ms(wait.max(MIN_TIMER_WAIT).as_millis() as u64 + 1);
         if self.timer.is_none_or(|at| at <= self.now || at > self.now + wait) {
             self.timer = Some(self.now + wait);
             driver.set_timer(wait);
         }
     }
 
-    /// The timer that was asked for has run out.
+    /// Handles the expiry of a timer; the timer requested last stays registered if it is due later.
     pub(crate) fn timer_fired(&mut self) {
         self.timer = self.timer.filter(|at| *at > self.now);
     }
--- a/src/policy/tests/scheduling.rs
+++ b/src/policy/tests/scheduling.rs
@@ -3,8 +3,8 @@
 use crate::{Dispatcher, EndpointUpdate, NewMessage, RetrySafety, ms};
 use std::time::Duration;
 
-/// tunis-lac, rough-2: a timer fired at the microsecond, a part of one before its due time; no other was asked for,
-/// and messages got no final outcome in their time.
+/// Guards against messages that get no final outcome by their deadline: in the run rough-2 of tunis-lac, timers fired at
+/// whole microseconds, a fraction of one early, and no other timer was requested.
 #[test]
 fn a_timer_that_fires_a_little_early_is_followed_by_another() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -16,7 +16,7 @@
         let micros = recorded.0.iter().find_map(|action| action.strip_prefix("timer ")?.parse().ok());
         micros.map(Duration::from_micros)
     };
-    let wait = timer(&mut dispatcher).expect("a backoff runs");
+    let wait = timer(&mut dispatcher).expect("a timer for the end of the backoff");
     assert_eq!(wait.subsec_micros() % 1_000, 0);
     dispatcher.state.timer = dispatcher.state.timer.map(|at| at + Duration::from_nanos(1));
     dispatcher.advance_to(dispatcher.state.now + wait);
@@ -26,9 +26,10 @@
     assert!(timer(&mut dispatcher).is_some());
 }
 
-/// tunis-lac, rough-2: limits count calls, and each message went in one of its own: half were rejected.
+/// Guards against rate limits, which count calls, being used up by messages that could share a call: in the run rough-2
+/// of tunis-lac, each message had its own call, and half of the messages were rejected.
 #[test]
-fn what_waits_for_one_endpoint_travels_in_one_call_that_counts_once() {
+fn messages_waiting_for_one_endpoint_share_one_call_that_is_counted_once() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.set_batch_limit("k", 3);
     dispatcher.set_limits(Some(1), Some(100), Some(5));
@@ -36,20 +37,20 @@
         dispatcher.accept(NewMessage { deadline: ms(9_000), ..message(id) }).unwrap();
     }
     let attempts = actions(&mut dispatcher);
-    assert_eq!(attempts, ["attempt 1 a", "attempt 2 a", "attempt 3 a"]); // one slot holds no second call
+    assert_eq!(attempts, ["attempt 1 a", "attempt 2 a", "attempt 3 a"]); // the only slot is used by this call
     let in_flight = |dispatcher: &Dispatcher| endpoint(dispatcher, "a").concurrency.in_flight();
     let first_attempts = route(&dispatcher).retry_budget.first_attempts(ms(1));
     assert_eq!((in_flight(&dispatcher), first_attempts), (1, 1));
     dispatcher.advance_to(ms(5));
     (1..=3).for_each(|id| dispatcher.attempt_ended(ended(id, 0, rejected())));
     let rejections = route(&dispatcher).limit.rejections();
-    assert_eq!((in_flight(&dispatcher), rejections), (0, 1)); // one outcome, one verdict
+    assert_eq!((in_flight(&dispatcher), rejections), (0, 1)); // the outcome of the call is counted once
     assert!(dispatcher.state.pending.values().filter(|message| message.failures == 1).count() == 3);
 }
 
-/// incidents iaa78c2 and ide3163: new messages of slow destinations took all slots.
+/// Guards against slow destinations whose new messages use all slots, as in the incidents iaa78c2 and ide3163.
 #[test]
-fn with_slots_short_what_is_worth_most_for_a_second_of_a_slot_goes_first() {
+fn if_slots_are_scarce_the_message_of_most_value_per_second_of_slot_time_is_attempted_first() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.endpoint_updated(EndpointUpdate { destination: 8, ..endpoint_of("c", "x") });
     dispatcher.set_limits(Some(0), Some(100), None);
@@ -64,8 +65,9 @@
     assert_eq!(actions(&mut dispatcher), ["attempt 2 c"]);
 }
 
+/// Guards against losing a message by a health check that fails though a message that can be retried was available.
 #[test]
-fn what_can_be_executed_again_goes_first_on_a_health_check() {
+fn a_health_check_is_made_with_a_message_that_can_be_executed_again_if_possible() {
     let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
     dispatcher.add_service_class("again", class_of(RetrySafety::Idempotent, 0.1));
     for name in ["a", "b"] {
