--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,4 +1,4 @@
-//! Selection: which endpoints of a destination may be called now, and which is best.
+//! Selection: endpoints of a destination that may be called now, ranked by preference.
 
 use super::concurrency::{DestinationLoad, is_share_exhausted};
 use super::slow_start::SlowStart;
@@ -8,104 +8,113 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Calls in flight that an endpoint of another zone counts for: its way is longer, and has a cost.
+/// Calls in flight that are added to the load of an endpoint in another zone, as its latency and cost are higher.
 const OTHER_ZONE_LOAD: i64 = 2;
-/// Parts of a point in which costs are compared.
-const COST_PARTS: f64 = 1e6;
+/// Factor by which zone costs, in points, are multiplied before they are rounded for the comparison.
+const ZONE_COST_SCALE: f64 = 1e6;
 
-/// What is in flight, by destination.
+/// Load of each destination with attempts in flight.
 pub(super) type Loads = BTreeMap<DestinationId, DestinationLoad>;
 
-/// The order of a destination's candidates: the least is best.
+/// Rank of a candidate among those of its destination; the lowest is preferred.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    /// Healthy endpoints go before ejected ones, which get health checks only.
+    /// `true` if the endpoint is ejected, so that it only receives health checks, after all other endpoints.
     is_health_check: bool,
+    /// Cost of a call to the endpoint's zone, in points scaled by [`ZONE_COST_SCALE`].
     zone_cost: i64,
+    /// Calls in flight with additions for another zone and for recent failures; minimal if a call can be shared.
     load: i64,
-    /// The endpoint used last has an open connection.
+    /// Time since the last use; the endpoint used last is preferred, as its connection is open.
     idle_for: Duration,
     tie_breaker: u32,
 }
 
-/// An endpoint that may be called now.
+/// Endpoint that may be called now.
 pub(super) struct Candidate {
     pub(super) endpoint: String,
     zone: String,
-    /// Whether the retry budget of its route allows a retry.
+    /// `true` if the retry budget of the route allows a retry, or the attempt would be added to another call.
     allows_retries: bool,
-    /// Whether an idle connection to it is open.
+    /// `true` if there is an idle connection to the endpoint.
     has_connection: bool,
-    /// Whether a call that starts just now has a place for another message.
+    /// `true` if the attempt would be added to a call that starts at the current time.
     is_batched: bool,
     rank: Rank,
 }
 
 impl Candidate {
+    /// Returns `true` if an attempt at the endpoint is a health check.
     pub(super) fn is_health_check(&self) -> bool {
         self.rank.is_health_check
     }
 }
 
-/// What an endpoint's mechanisms say of a call now.
-struct Gate {
-    opens: Duration,
+/// Readiness of an endpoint for a call.
+struct Readiness {
+    /// Earliest time at which the next call may start.
+    earliest_start: Duration,
+    /// `true` if the concurrency limit of the endpoint has a permit left.
     has_permit: bool,
+    /// `true` if the message would be added to a call that starts at the current time.
     is_batched: bool,
 }
 
-/// What the gate of each endpoint of a destination goes by.
-struct GateInput {
+/// State outside an endpoint and its route on which the endpoint's readiness depends.
+struct CallContext {
     now: Duration,
     instances: u32,
     slow_start: SlowStart,
     available_endpoints: usize,
 }
 
-/// When `endpoint` takes its next call; its token bucket and slow-start budget are refilled.
-fn gate(endpoint: &mut Endpoint, route: &mut Route, input: &GateInput) -> Gate {
-    let GateInput { now, instances, slow_start, available_endpoints } = *input;
+/// Refills the token bucket and the slow-start budget of `endpoint`, and returns its readiness for a call.
+fn check_readiness(endpoint: &mut Endpoint, route: &mut Route, context: &CallContext) -> Readiness {
+    let CallContext { now, instances, slow_start, available_endpoints } = *context;
     route.limit.bucket.refill(now);
-    let part = route.limit.bucket.safe_rate() / f64::from(instances) / available_endpoints as f64;
+    let endpoint_rate = route.limit.bucket.safe_rate() / f64::from(instances) / available_endpoints as f64;
     let retry_after = route.limit.retry_after();
     endpoint.budget.skip_to(retry_after.min(now));
-    let share = endpoint.health.allowed_share(endpoint.budget.middle(now), slow_start);
-    let rate = (share * part).max(endpoint.health.least_check_rate(instances, available_endpoints));
-    let until_earned = endpoint.budget.refill(now, rate);
+    let allowed_share = endpoint.health.allowed_share(endpoint.budget.middle(now), slow_start);
+    let rate =
+        (allowed_share * endpoint_rate).max(endpoint.health.least_check_rate(instances, available_endpoints));
+    let budget_wait = endpoint.budget.refill(now, rate);
 
     let is_ejected = endpoint.health.is_ejected();
-    // Against many instances that each see too little to eject it. May slow an endpoint that loses some calls.
-    let is_sound = endpoint.health.status() == Health::Healthy && !route.streak.is_suspect(now);
-    let mut opens = route.limit.opens(now);
-    if !is_sound {
-        opens = opens.max(now + until_earned);
+    // Prevents an overload by many instances, each of which makes too few calls to eject the endpoint. May slow down an
+    // endpoint that loses some calls.
+    let is_healthy = endpoint.health.status() == Health::Healthy && !route.streak.is_suspect(now);
+    let mut earliest_start = route.limit.opens(now);
+    if !is_healthy {
+        earliest_start = earliest_start.max(now + budget_wait);
     }
     if is_ejected {
-        opens = opens.max(route.checks.next());
+        earliest_start = earliest_start.max(route.checks.next());
     }
-    // Where calls are what is limited: what waits for the same endpoint goes along, at no cost to it. May lose all in
-    // one call.
+    // Rate limits count calls, so messages that wait for the same endpoint are added to a call at no cost to the limit.
+    // May lose all of them with one call.
     let is_batched = endpoint.batch.can_join(now) && !is_ejected && retry_after <= now;
-    Gate { opens, has_permit: endpoint.concurrency.available() > 0, is_batched }
+    Readiness { earliest_start, has_permit: endpoint.concurrency.available() > 0, is_batched }
 }
 
 impl State {
-    /// Whether an attempt in flight for so long tells of a slow destination.
+    /// Returns `true` if an attempt has been in flight for so long that its destination is likely to be slow.
     ///
-    /// Against taking calls lost one by one for that, where later ones are answered in their typical time. May tell
-    /// late of one that is slow now and then.
-    pub(super) fn tells_of_slowness(&self, attempt: &Attempt) -> bool {
+    /// Prevents isolated lost calls from marking a destination as slow while later calls are delivered in their typical
+    /// time. May detect a destination late that is only slow at times.
+    pub(super) fn indicates_slow_destination(&self, attempt: &Attempt) -> bool {
         let typical = self.typical_latency(attempt.destination, attempt.class);
         if !latency::is_slow(self.now - attempt.started, typical) {
             return false;
         }
         let endpoint = self.endpoint(attempt.destination, &attempt.endpoint);
-        let answers = endpoint.is_some_and(|endpoint| endpoint.health.delivered_since(attempt.started));
+        let has_later_delivery =
+            endpoint.is_some_and(|endpoint| endpoint.health.delivered_since(attempt.started));
         let last = self.latency(attempt.destination, attempt.class).and_then(|window| window.last_duration());
-        !answers || last.is_some_and(|last| latency::is_slow(last, typical))
+        !has_later_delivery || last.is_some_and(|last| latency::is_slow(last, typical))
     }
 
-    /// Slots in use: messages that travel in one call take one together.
+    /// Returns the number of slots in use; messages in the same call use one slot together.
     pub(super) fn slots_in_use(&self) -> usize {
         if self.batch_limits.is_empty() {
             return self.in_flight.len();
@@ -115,14 +124,14 @@
         calls.len()
     }
 
-    /// What is in flight to each destination, and whether that is impaired.
+    /// Returns the load of each destination with attempts in flight.
     pub(super) fn loads(&self) -> Loads {
         let mut loads = Loads::new();
         let mut calls = BTreeSet::new();
         for attempt in self.in_flight.values() {
             let load = loads.entry(attempt.destination).or_default();
             load.slots += usize::from(calls.insert((&attempt.endpoint, attempt.started)));
-            load.impaired = load.impaired || self.tells_of_slowness(attempt);
+            load.impaired = load.impaired || self.indicates_slow_destination(attempt);
         }
         for (id, load) in &mut loads {
             load.impaired |= self.destinations.get(id).is_some_and(Destination::all_available_ejected);
@@ -130,7 +139,9 @@
         loads
     }
 
-    /// The endpoints of a destination that may be called now, best first; only batched ones if no slot is free.
+    /// Returns the endpoints of a destination that may be called now, in order of preference.
+    ///
+    /// Without a free slot for the destination, these are only endpoints with a call to which a message can be added.
     pub(super) fn candidates(
         &mut self,
         id: DestinationId,
@@ -143,7 +154,7 @@
         let impaired_slots = loads.values().filter(|load| load.impaired).map(|load| load.slots).sum();
         let is_full = slots_full || is_share_exhausted(&self.slots, load, impaired, impaired_slots);
         let now = self.now;
-        let input = GateInput {
+        let context = CallContext {
             now,
             instances: self.instances,
             slow_start: self.slow_start,
@@ -154,10 +165,10 @@
             destination.endpoints.iter_mut().filter(|(_, endpoint)| endpoint.is_available())
         {
             let Some(route) = destination.routes.get_mut(&endpoint.route) else { continue };
-            let gate = gate(endpoint, route, &input);
-            if !gate.is_batched && (is_full || gate.opens > now || !gate.has_permit) {
-                if gate.opens > now {
-                    self.next_due = self.next_due.min(gate.opens);
+            let readiness = check_readiness(endpoint, route, &context);
+            if !readiness.is_batched && (is_full || readiness.earliest_start > now || !readiness.has_permit) {
+                if readiness.earliest_start > now {
+                    self.next_due = self.next_due.min(readiness.earliest_start);
                 }
                 continue;
             }
@@ -167,18 +178,18 @@
             candidates.push(Candidate {
                 endpoint: key.1,
                 zone: endpoint.zone.clone(),
-                allows_retries: gate.is_batched
+                allows_retries: readiness.is_batched
                     || route.retry_budget.allows(now, route.streak.has_failures()),
                 has_connection,
-                is_batched: gate.is_batched,
-                rank: rank(endpoint, gate.is_batched, zone_cost, &self.zone, now),
+                is_batched: readiness.is_batched,
+                rank: rank(endpoint, readiness.is_batched, zone_cost, &self.zone, now),
             });
         }
         candidates.sort_by_key(|candidate| candidate.rank);
         candidates
     }
 
-    /// The best of its destination's candidates that `message` may go to now.
+    /// Returns the preferred candidate at which `message` may be attempted now, if there is one.
     pub(super) fn candidate_for<'a>(
         &self,
         id: MessageId,
@@ -197,18 +208,20 @@
             candidate.allows_retries
                 && (!message.was_rejected() || candidate.is_batched || self.shared.retry_credit.allows())
         };
-        // What found no capacity for a connection needs none of its own. Against tables that all instances fill.
+        // During the backoff after a connection limit, only idle connections are used. Prevents instances from filling
+        // the connection table of an endpoint.
         let reachable = candidates.iter().filter(|candidate| backoff_is_over || candidate.has_connection);
         let mut allowed = reachable
             .filter(|candidate| message.attempts == 0 || candidate.is_health_check() || may_retry(candidate));
         allowed.find(|candidate| required_zone.is_none_or(|zone| *zone == candidate.zone))
     }
 
+    /// Returns `true` if the ordering key of the message, if any, permits an attempt now.
     fn is_in_order(&self, id: MessageId, message: &PendingMessage) -> bool {
         message.ordering_key.is_none_or(|key| self.ordering.may_start(key, id, self.now))
     }
 
-    /// The zone that knows the message's idempotency key, where only that one does.
+    /// Returns the zone that knows the idempotency key of the message, if only one zone knows it.
     fn required_zone<'a>(&self, message: &'a PendingMessage) -> Option<&'a String> {
         let per_zone =
             matches!(self.class(message).retry_safety, RetrySafety::Deduplicated { per_zone: true, .. });
@@ -216,15 +229,16 @@
     }
 }
 
+/// Returns the rank of an endpoint in the selection by an instance in `own_zone`.
 fn rank(endpoint: &Endpoint, is_batched: bool, zone_cost: f64, own_zone: &str, now: Duration) -> Rank {
     let load = i64::from(endpoint.concurrency.in_flight())
         + OTHER_ZONE_LOAD * i64::from(endpoint.zone != own_zone)
         + endpoint.health.suspicion_load();
     Rank {
         is_health_check: endpoint.health.is_ejected(),
-        zone_cost: (zone_cost * COST_PARTS) as i64,
+        zone_cost: (zone_cost * ZONE_COST_SCALE) as i64,
         load: if is_batched { i64::MIN } else { load },
-        idle_for: endpoint.last_used.map_or(Duration::MAX, |at| now - at),
+        idle_for: endpoint.last_used.map_or(Duration::MAX, |last_used| now - last_used),
         tie_breaker: endpoint.tie_breaker,
     }
 }
--- a/src/policy/tests/scheduling.rs
+++ b/src/policy/tests/scheduling.rs
@@ -3,8 +3,8 @@
 use crate::{Dispatcher, EndpointUpdate, NewMessage, RetrySafety, ms};
 use std::time::Duration;
 
-/// Guards against messages that get no final outcome by their deadline: in the run rough-2 of tunis-lac, timers fired at
-/// whole microseconds, a fraction of one early, and no other timer was requested.
+/// Guards against messages that get no final outcome by their deadline: in the run rough-2 of tunis-lac, timers fired
+/// at whole microseconds, a fraction of one early, and no other timer was requested.
 #[test]
 fn a_timer_that_fires_a_little_early_is_followed_by_another() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
--- a/src/policy/tests/selection.rs
+++ b/src/policy/tests/selection.rs
@@ -2,9 +2,10 @@
 use crate::{Dispatcher, RetrySafety, ms};
 use std::collections::BTreeSet;
 
-/// incident iaa78c2: all calls went to the one endpoint with a warm connection, slow as it was.
+/// Guards against sending all calls to one slow endpoint because only its connection is open, as in the incident
+/// iaa78c2.
 #[test]
-fn attempts_spread_over_endpoints_and_prefer_the_own_zone_a_little() {
+fn attempts_are_spread_over_endpoints_with_a_slight_preference_for_the_own_zone() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let attempts: Vec<_> = (1..=4).flat_map(|id| submit(&mut dispatcher, id, None)).collect();
     assert_eq!(attempts, ["attempt 1 a", "attempt 2 a", "attempt 3 b", "attempt 4 b"]);
@@ -18,9 +19,10 @@
     assert!(["a", "b", "c"].iter().all(|name| in_flight(name) == 1));
 }
 
-/// A fifth of the responses got lost: each destination had one call in flight for long, and all counted as slow.
+/// Guards against lost responses marking healthy destinations as slow: with a fifth of the responses lost, each
+/// destination had a call in flight for a long time, and all of them were considered slow.
 #[test]
-fn a_long_call_tells_of_a_slow_destination_unless_later_ones_are_delivered_in_typical_time() {
+fn a_long_call_indicates_a_slow_destination_unless_later_calls_are_delivered_in_typical_time() {
     for (delivered_at, duration, slow) in [(5, 300, true), (60, 300, false), (60, 1_300, true)] {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         let destination = dispatcher.state.destinations.get_mut(&DESTINATION).unwrap();
@@ -29,9 +31,9 @@
         endpoint_mut(&mut dispatcher, "a").health.set_last_delivery(ms(delivered_at));
         let attempt = attempt_at("a", ms(10));
         dispatcher.advance_to(ms(20));
-        assert!(!dispatcher.state.tells_of_slowness(&attempt), "not in flight for long");
+        assert!(!dispatcher.state.indicates_slow_destination(&attempt), "not in flight for long");
         dispatcher.advance_to(ms(1_300));
-        let found = dispatcher.state.tells_of_slowness(&attempt);
+        let found = dispatcher.state.indicates_slow_destination(&attempt);
         assert_eq!(found, slow, "delivered at {delivered_at} after {duration}");
     }
 }
