--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: when the endpoint list is polled, and what its entries change.
+//! Discovery: polling of the endpoint list, and the changes that its entries make.
 
 use super::backoff::{CAP, full_jitter};
 use super::outlier::{EndpointHealth, Health};
@@ -12,35 +12,46 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Upper end of the first gap between polls that failed.
-const FIRST_GAP: Duration = ms(500);
-/// From one poll to the next at most: a change counts as notified after 6 s.
-const POLL_WITHIN: Duration = ms(5_000);
-/// Part of that bound, and of the poll period, that is drawn at random: polls of a fleet spread out.
-const BOUND_SPREAD: Range<f64> = 0.8..1.0;
-const PERIOD_SPREAD: Range<f64> = 0.5..1.0;
-/// How long a destination without endpoints still exists.
-const FORGET: Duration = ms(600_000);
-
-/// When discovery is polled.
+/// Upper bound of the random delay before the poll after a first failure; the bound grows with further failures.
+const MAX_FIRST_RETRY_DELAY: Duration = ms(500);
+/// Maximum time from the start of one poll to the start of the next. Instances are expected to know of a change after
+/// 6 s.
+const MAX_POLL_INTERVAL: Duration = ms(5_000);
+/// Range of the random factor of [`MAX_POLL_INTERVAL`], which spreads out the polls of many instances.
+const MAX_INTERVAL_JITTER: Range<f64> = 0.8..1.0;
+/// Range of the random factor of the poll period, which spreads out the polls of many instances.
+const PERIOD_JITTER: Range<f64> = 0.5..1.0;
+/// Time for which a destination is known after its last endpoint has left the endpoint list.
+const KNOWN_DESTINATION_RETENTION: Duration = ms(600_000);
+
+/// Schedule of the polls of discovery.
 pub(crate) struct DiscoveryPolls {
-    /// Whether it notifies changes only to those that poll.
+    /// `true` if discovery reports changes only to instances that poll it.
     must_poll: bool,
-    /// The period in which it wants each instance to poll once.
+    /// Period in which each instance should poll discovery once.
     period: Duration,
-    /// Whether a poll is in flight, or the watch that it opened stands.
+    /// `true` while a poll, or the watch that it opened, is in progress.
     is_watching: bool,
-    /// When the last poll began.
-    began: Duration,
+    /// Start of the last poll.
+    last_poll_started: Duration,
+    /// Number of failures since the last endpoint list; at least 1 before the first one.
     failures: u32,
-    next: Duration,
+    /// Earliest time of the next poll.
+    next_poll: Duration,
 }
 
 impl DiscoveryPolls {
     pub(super) fn new() -> Self {
         let zero = Duration::ZERO;
-        // Before the first success counts as a failure.
-        Self { must_poll: false, period: zero, is_watching: false, began: zero, failures: 1, next: zero }
+        // The time before the first endpoint list counts as a failure.
+        Self {
+            must_poll: false,
+            period: zero,
+            is_watching: false,
+            last_poll_started: zero,
+            failures: 1,
+            next_poll: zero,
+        }
     }
 
     pub(crate) fn set_must_poll(&mut self, must_poll: bool) {
@@ -51,67 +62,76 @@
         self.period = period;
     }
 
-    fn begin_if_due(&mut self, now: Duration) -> bool {
-        let due = self.must_poll && !self.is_watching && self.next <= now;
+    /// Returns `true` if a poll is due, and registers its start if so.
+    fn start_poll_if_due(&mut self, now: Duration) -> bool {
+        let due = self.must_poll && !self.is_watching && self.next_poll <= now;
         if due {
             self.is_watching = true;
-            self.began = now;
+            self.last_poll_started = now;
         }
         due
     }
 
+    /// Registers a list from discovery, which ends the series of failures.
     fn on_list(&mut self) {
         self.is_watching = true;
         self.failures = 0;
     }
 
-    /// Against more polls of all instances than discovery answers in time, so that it answers none. The last bound
-    /// counts from begin to begin.
+    /// Schedules the next poll after one that failed or ended.
+    ///
+    /// Prevents the instances from sending more polls than discovery can answer in time, which would leave all of them
+    /// unanswered. [`MAX_POLL_INTERVAL`] applies from the start of one poll to the start of the next, unless the first of
+    /// them takes too long for that.
     pub(crate) fn on_failure(&mut self, now: Duration, rng: &mut Pcg64Mcg) {
         self.is_watching = false;
         self.failures += 1;
-        let soon = now + FIRST_GAP.mul_f64(rng.random());
-        let period = self.period.mul_f64(rng.random_range(PERIOD_SPREAD));
-        let later = now + full_jitter(rng, self.failures, FIRST_GAP, CAP) + period;
-        let last = self.began + POLL_WITHIN.mul_f64(rng.random_range(BOUND_SPREAD));
-        self.next = if self.failures > 1 { later.min(last).max(soon) } else { soon };
+        let earliest = now + MAX_FIRST_RETRY_DELAY.mul_f64(rng.random());
+        let period = self.period.mul_f64(rng.random_range(PERIOD_JITTER));
+        let desired = now + full_jitter(rng, self.failures, MAX_FIRST_RETRY_DELAY, CAP) + period;
+        let latest =
+            self.last_poll_started + MAX_POLL_INTERVAL.mul_f64(rng.random_range(MAX_INTERVAL_JITTER));
+        self.next_poll = if self.failures > 1 { desired.min(latest).max(earliest) } else { earliest };
     }
 
-    /// The time until the next poll, if one is to come.
-    pub(super) fn wait(&self, now: Duration) -> Option<Duration> {
-        (self.must_poll && !self.is_watching).then(|| self.next.saturating_sub(now))
+    /// Returns the time until the next poll, or `None` if none is planned.
+    pub(super) fn time_until_poll(&self, now: Duration) -> Option<Duration> {
+        (self.must_poll && !self.is_watching).then(|| self.next_poll.saturating_sub(now))
     }
 }
 
-/// Destinations, and when the list last named an endpoint of theirs; forgotten a good while after.
+/// Destinations with the time at which the endpoint list last contained an endpoint of each.
+///
+/// A destination is removed [`KNOWN_DESTINATION_RETENTION`] after that.
 #[derive(Default)]
 pub(crate) struct KnownDestinations {
-    last_named: BTreeMap<DestinationId, Duration>,
+    last_listed: BTreeMap<DestinationId, Duration>,
 }
 
 impl KnownDestinations {
-    /// Whether there is such a destination. With no list at all there may be any.
+    /// Returns `true` if the destination exists; before the first list, every destination may exist.
     pub(crate) fn contains(&self, destination: DestinationId) -> bool {
-        self.last_named.is_empty() || self.last_named.contains_key(&destination)
+        self.last_listed.is_empty() || self.last_listed.contains_key(&destination)
     }
 
-    fn on_list(&mut self, named: impl Iterator<Item = DestinationId>, now: Duration) {
-        self.last_named.extend(named.map(|id| (id, now)));
-        self.last_named.retain(|_, at| now < *at + FORGET);
+    /// Registers the destinations in the current endpoint list, and removes those not listed for too long.
+    fn on_list(&mut self, listed: impl Iterator<Item = DestinationId>, now: Duration) {
+        self.last_listed.extend(listed.map(|id| (id, now)));
+        self.last_listed.retain(|_, listed_at| now < *listed_at + KNOWN_DESTINATION_RETENTION);
     }
 }
 
 impl State {
-    /// Rule: polls discovery once that is due.
+    /// Rule: polls discovery if a poll is due.
     pub(crate) fn poll_discovery(&mut self, driver: &mut dyn Driver) -> bool {
-        let due = self.discovery.begin_if_due(self.now);
+        let due = self.discovery.start_poll_if_due(self.now);
         if due {
             driver.watch_endpoints();
         }
         due
     }
 
-    /// Takes in one entry of the endpoint list.
+    /// Handles an entry of the endpoint list, or a change to one.
     pub(crate) fn update_endpoint(&mut self, update: EndpointUpdate) {
         let estimate = self.rate_estimate(update.listed_rate);
         let now = self.now;
@@ -121,7 +141,7 @@
         let route = destination.routes.entry(route_name.into()).or_insert_with(new_route);
         route.limit.on_listed_rate(estimate);
 
-        let health = first_health(destination, &update, route_name);
+        let health = initial_health(destination, &update, route_name);
         let rng = &mut self.shared.rng;
         let endpoint = destination.endpoints.entry(update.name.into()).or_insert_with(|| {
             let tie_breaker = rng.random();
@@ -132,16 +152,17 @@
         self.any_removed |= update.state == EndpointState::Removed;
     }
 
+    /// Returns the rate estimate for a listed rate, which is ignored unless it is positive and rates are meaningful.
     fn rate_estimate(&self, listed_rate: Option<f64>) -> RateEstimate {
         let is_known = self.listed_rate_accuracy != ListedRateAccuracy::Absent;
         let rate = listed_rate.filter(|rate| *rate > 0.0 && is_known);
         RateEstimate::of_listed(rate, self.listed_rate_accuracy == ListedRateAccuracy::Approximate)
     }
 
-    /// The end of a list or of changes; what a `snapshot` leaves out is removed.
+    /// Handles the end of an endpoint list or of a series of changes; endpoints missing from a `snapshot` are removed.
     pub(crate) fn end_endpoint_list(&mut self, snapshot: Option<&BTreeSet<String>>, from_discovery: bool) {
-        let named = self.destinations.iter().filter(|(_, destination)| destination.is_listed());
-        self.known_destinations.on_list(named.map(|(id, _)| *id), self.now);
+        let listed = self.destinations.iter().filter(|(_, destination)| destination.is_listed());
+        self.known_destinations.on_list(listed.map(|(id, _)| *id), self.now);
         if snapshot.is_some() || self.any_removed {
             self.drop_removed_endpoints(snapshot);
         }
@@ -150,31 +171,33 @@
         }
     }
 
-    /// Drops the endpoints that are removed and have nothing in flight, and what went only with them.
+    /// Removes the endpoints that have left the endpoint list and have no attempt in flight, and then the routes and
+    /// destinations that are no longer needed.
     fn drop_removed_endpoints(&mut self, snapshot: Option<&BTreeSet<String>>) {
         let now = self.now;
         let busy: BTreeSet<_> = self.in_flight.values().map(|attempt| &attempt.endpoint).collect();
-        let mut any_left = false;
+        let mut any_removed_left = false;
         self.destinations.retain(|_, destination| {
             destination.endpoints.retain(|name, endpoint| {
                 if snapshot.is_some_and(|names| !names.contains(name)) {
                     endpoint.state = EndpointState::Removed;
                 }
                 let removed = endpoint.state == EndpointState::Removed;
-                any_left |= removed && busy.contains(name);
+                any_removed_left |= removed && busy.contains(name);
                 !removed || busy.contains(name)
             });
             destination.drop_unused_routes(now);
             !destination.routes.is_empty()
         });
-        self.any_removed = any_left;
+        self.any_removed = any_removed_left;
     }
 }
 
-/// The health that a new endpoint begins with: the best of its route's siblings.
+/// Returns the initial health of an endpoint: for a new one, the best health among the other endpoints of its route.
 ///
-/// Against taking a new endpoint of a destination that is ejected or warming up for a way around that.
-fn first_health(destination: &Destination, update: &EndpointUpdate, route: &str) -> Health {
+/// Prevents a new endpoint from receiving the full load of a destination that is ejected or warming up. An endpoint
+/// with a separate route starts healthy.
+fn initial_health(destination: &Destination, update: &EndpointUpdate, route: &str) -> Health {
     let is_new = !destination.endpoints.contains_key(update.name);
     if !is_new || route == update.name {
         return Health::Healthy;
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -195,7 +195,7 @@
         let any_waiting = self.pending.values().any(|message| message.in_flight == 0);
         let rules_wait = any_waiting.then(|| self.next_due.saturating_sub(self.now).min(MAX_TIMER_WAIT));
         let idle_close_wait = || self.next_idle_close();
-        let poll_wait = self.discovery.wait(self.now);
+        let poll_wait = self.discovery.time_until_poll(self.now);
         let Some(wait) = rules_wait.or_else(idle_close_wait).into_iter().chain(poll_wait).min() else {
             return;
         };
--- a/src/policy/tests/discovery.rs
+++ b/src/policy/tests/discovery.rs
@@ -2,30 +2,32 @@
 use crate::policy::test_support::*;
 use crate::{Dispatcher, RetrySafety};
 
-/// The longest time from one poll to the next: of polls that fail at once, and of one that fails after so long.
-pub(crate) fn longest_between_polls(fails_after: Duration) -> Duration {
-    POLL_WITHIN.max(fails_after + FIRST_GAP)
+/// Returns the maximum time from one poll to the next if polls fail `fails_after` their start.
+pub(crate) fn max_poll_interval(fails_after: Duration) -> Duration {
+    MAX_POLL_INTERVAL.max(fails_after + MAX_FIRST_RETRY_DELAY)
 }
 
-/// Whether a period is so long that polls go by the bound.
-pub(crate) fn is_beyond_bound(period: Duration) -> bool {
-    period >= POLL_WITHIN
+/// Returns `true` if polls are limited by the maximum interval rather than by `period`.
+pub(crate) fn reaches_max_interval(period: Duration) -> bool {
+    period >= MAX_POLL_INTERVAL
 }
 
+/// Guards against missing all later changes after a watch has failed.
 #[test]
-fn a_discovery_that_fails_is_polled_again_after_a_gap() {
+fn discovery_is_polled_again_after_a_delay_when_its_watch_fails() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.set_discovery(true, ListedRateAccuracy::Absent);
     assert_eq!(actions(&mut dispatcher), ["watch"]);
     dispatcher.endpoint_list_ended(None, true);
     dispatcher.endpoint_list_failed();
     assert!(actions(&mut dispatcher).is_empty());
-    dispatcher.advance_to(dispatcher.state.now + FIRST_GAP);
+    dispatcher.advance_to(dispatcher.state.now + MAX_FIRST_RETRY_DELAY);
     assert_eq!(actions(&mut dispatcher), ["watch"]);
 }
 
+/// Guards against calls to endpoints that do not accept them, and against ignoring an endpoint that is listed again.
 #[test]
-fn a_draining_or_missing_endpoint_gets_nothing_and_one_that_comes_back_is_used() {
+fn a_draining_or_missing_endpoint_receives_no_attempt_until_it_is_available_again() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.endpoint_updated(EndpointUpdate { state: EndpointState::Draining, ..endpoint_of("a", "x") });
     dispatcher.endpoint_list_ended(Some(&BTreeSet::from(["a".into()])), true);
@@ -34,8 +36,10 @@
     assert_eq!(actions(&mut dispatcher), ["attempt 1 b"]);
 }
 
+/// Guards against rejecting messages for a destination as unknown while its endpoints are being replaced, or before the
+/// first endpoint list is received.
 #[test]
-fn a_destination_exists_from_its_first_listing_until_long_after_its_last() {
+fn a_destination_is_known_until_long_after_it_was_last_listed() {
     let mut dispatcher = Dispatcher::new(7, 2, "x");
     assert!(dispatcher.knows_destination(9), "there is no list yet");
     dispatcher.endpoint_updated(endpoint_of("a", "x"));
@@ -44,7 +48,7 @@
     dispatcher.endpoint_list_ended(Some(&BTreeSet::new()), true);
     assert!(dispatcher.knows_destination(9));
     dispatcher.endpoint_updated(EndpointUpdate { destination: 8, ..endpoint_of("b", "x") });
-    dispatcher.advance_to(FORGET);
+    dispatcher.advance_to(KNOWN_DESTINATION_RETENTION);
     dispatcher.endpoint_list_ended(None, true);
     assert!(dispatcher.knows_destination(8) && !dispatcher.knows_destination(9));
 }
--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! What many instances add up to, at one destination or at discovery: each does little, the sum must hold.
 
-use super::discovery::tests::{is_beyond_bound, longest_between_polls};
+use super::discovery::tests::{max_poll_interval, reaches_max_interval};
 use super::outlier::{EndpointHealth, FailureStreak, Health};
 use super::rate_limit::{RateEstimate, TokenBucket};
 use super::slow_start::SlowStartBudget;
@@ -43,11 +43,11 @@
                 let polls = polls_that_fail(seed, every, fails_after);
                 let between: Vec<_> = polls.windows(2).map(|two| two[1] - two[0]).collect();
                 let longest = between.iter().max().unwrap();
-                let bound = longest_between_polls(fails_after) + ms(5);
+                let bound = max_poll_interval(fails_after) + ms(5);
                 assert!(*longest <= bound, "{every:?} {fails_after:?} {seed}: {longest:?}");
                 let count = polls.len() as u32;
                 assert!(
-                    !is_beyond_bound(every) || count <= 17,
+                    !reaches_max_interval(every) || count <= 17,
                     "{every:?} {fails_after:?}: {count} polls in 60 s"
                 );
             }
