--- a/src/policy/tests/support.rs
+++ b/src/policy/tests/support.rs
@@ -1,4 +1,4 @@
-//! Builders for states, messages and outcomes, and drivers that record what a dispatcher asks for.
+//! Builders of dispatchers, messages and results for tests, and drivers that record the actions of a dispatcher.
 
 use super::state::{Attempt, Endpoint, Route};
 use crate::{
@@ -9,11 +9,12 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// The destination of all messages here, but where a test says otherwise.
+/// Destination of all messages unless a test sets another one.
 pub(super) const DESTINATION: u64 = 9;
+/// Retry safety with a deduplication window of 6 s for all zones.
 pub(super) const DEDUPLICATED: RetrySafety = RetrySafety::Deduplicated { window: ms(6_000), per_zone: false };
 
-/// Records what a dispatcher asks for, one line each.
+/// Driver that records the actions that a dispatcher requests, except log events, as one string each.
 #[derive(Default)]
 pub(super) struct RecordedActions(pub(super) Vec<String>);
 
@@ -42,7 +43,7 @@
     fn log(&mut self, _: &LogEvent) {}
 }
 
-/// Records the timeout of each attempt.
+/// Driver that records the timeout of each attempt.
 #[derive(Default)]
 pub(super) struct RecordedTimeouts(pub(super) Vec<Duration>);
 
@@ -59,10 +60,12 @@
     fn log(&mut self, _: &LogEvent) {}
 }
 
+/// Returns a random number generator with a fixed seed.
 pub(super) fn rng() -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(7)
 }
 
+/// Returns an ordered service class with a soft deadline of 1 s, a deadline of 10 s, and linear decay.
 pub(super) fn class_of(retry_safety: RetrySafety, value: f64) -> ServiceClass {
     ServiceClass {
         retry_safety,
@@ -75,7 +78,7 @@
     }
 }
 
-/// An entry of the endpoint list for [`DESTINATION`]; its kind is `k`.
+/// Returns an entry of the endpoint list for an available endpoint of [`DESTINATION`], of kind `k`.
 pub(super) fn endpoint_of<'a>(name: &'a str, zone: &'a str) -> EndpointUpdate<'a> {
     EndpointUpdate {
         name,
@@ -87,8 +90,10 @@
     }
 }
 
-/// A dispatcher of two instances with eight slots, and [`DESTINATION`] with endpoints `a` and `b` in zones x and y.
-/// Its classes are `g`, and `dear` of twice the value.
+/// Returns the dispatcher of one of two instances, with eight slots, in zone `x`.
+///
+/// [`DESTINATION`] has the endpoints `a` and `b` in the zones `x` and `y`. The service classes are `g`, and `dear` with
+/// twice the value.
 pub(super) fn dispatcher_for(retry_safety: RetrySafety) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(7, 2, "x");
     dispatcher.set_limits(Some(8), Some(100), Some(5));
@@ -103,7 +108,7 @@
     dispatcher
 }
 
-/// A message of class `g` for [`DESTINATION`], due in the first seconds.
+/// Returns a message of class `g` for [`DESTINATION`] with a deadline of 9.5 s after the start.
 pub(super) fn message(id: MessageId) -> NewMessage<'static> {
     NewMessage {
         id,
@@ -115,50 +120,53 @@
     }
 }
 
-/// What a dispatcher asks for now, but for timers.
+/// Applies the rules and returns the requested actions except timers.
 pub(super) fn actions(dispatcher: &mut Dispatcher) -> Vec<String> {
-    let mut recorded = RecordedActions::default();
-    dispatcher.apply_rules(&mut recorded);
-    recorded.0.retain(|action| !action.starts_with("timer"));
-    recorded.0
+    let mut driver = RecordedActions::default();
+    dispatcher.apply_rules(&mut driver);
+    driver.0.retain(|action| !action.starts_with("timer"));
+    driver.0
 }
 
-/// Hands in a message with the class's whole time; what the dispatcher asks for then.
+/// Submits a message with the deadline of its class, applies the rules, and returns the requested actions.
 pub(super) fn submit(dispatcher: &mut Dispatcher, id: MessageId, ordering_key: Option<u64>) -> Vec<String> {
     let deadline = dispatcher.state.now + ms(10_000);
     dispatcher.accept(NewMessage { ordering_key, deadline, ..message(id) }).unwrap();
     actions(dispatcher)
 }
 
-/// The end of an attempt that leaves its message pending.
+/// Returns the result of an attempt after which its message stays pending.
 pub(super) fn ended(message: MessageId, attempt: u32, outcome: AttemptOutcome) -> AttemptResult {
     AttemptResult { message, attempt, outcome, duration: ms(9), finished: false, load_report: None }
 }
 
-/// The end of an attempt that delivers its message.
+/// Returns the result of an attempt that delivered its message.
 pub(super) fn delivered(message: MessageId, attempt: u32) -> AttemptResult {
     AttemptResult { finished: true, ..ended(message, attempt, AttemptOutcome::Delivered) }
 }
 
+/// Returns a rejection without a retry-after.
 pub(super) fn rejected() -> AttemptOutcome {
     AttemptOutcome::Rejected { retry_after: None }
 }
 
+/// Returns a rejection with a retry-after.
 pub(super) fn rejected_for(retry_after: Duration) -> AttemptOutcome {
     AttemptOutcome::Rejected { retry_after: Some(retry_after) }
 }
 
-/// An attempt at an endpoint of [`DESTINATION`].
+/// Returns an attempt at an endpoint of [`DESTINATION`] that started at `started`.
 pub(super) fn attempt_at(endpoint: &str, started: Duration) -> Attempt {
     let endpoint = endpoint.into();
     Attempt { destination: DESTINATION, endpoint, class: 0, ordering_key: None, started, is_batched: false }
 }
 
-/// Hands the outcome of an attempt to the mechanisms, whatever its message.
+/// Reports the outcome of an attempt to the mechanisms without involving a message.
 pub(super) fn judge(dispatcher: &mut Dispatcher, attempt: &Attempt, outcome: AttemptOutcome) {
     judge_with_report(dispatcher, attempt, outcome, None);
 }
 
+/// Reports the outcome of an attempt and a load report to the mechanisms without involving a message.
 pub(super) fn judge_with_report(
     dispatcher: &mut Dispatcher,
     attempt: &Attempt,
@@ -169,20 +177,23 @@
     dispatcher.state.judge(attempt, &result);
 }
 
+/// Returns an endpoint of [`DESTINATION`].
 pub(super) fn endpoint<'a>(dispatcher: &'a Dispatcher, name: &str) -> &'a Endpoint {
     &dispatcher.state.destinations[&DESTINATION].endpoints[name]
 }
 
+/// Returns an endpoint of [`DESTINATION`] for modification.
 pub(super) fn endpoint_mut<'a>(dispatcher: &'a mut Dispatcher, name: &str) -> &'a mut Endpoint {
     let destination = dispatcher.state.destinations.get_mut(&DESTINATION).unwrap();
     destination.endpoints.get_mut(name).unwrap()
 }
 
-/// The one route of [`DESTINATION`].
+/// Returns the only route of [`DESTINATION`].
 pub(super) fn route(dispatcher: &Dispatcher) -> &Route {
     &dispatcher.state.destinations[&DESTINATION].routes[""]
 }
 
+/// Returns the only route of [`DESTINATION`] for modification.
 pub(super) fn route_mut(dispatcher: &mut Dispatcher) -> &mut Route {
     dispatcher.state.destinations.get_mut(&DESTINATION).unwrap().routes.get_mut("").unwrap()
 }
