--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -81,8 +81,8 @@
     /// Schedules the next poll after one that failed or ended.
     ///
     /// Prevents the instances from sending more polls than discovery can answer in time, which would leave all of them
-    /// unanswered. [`MAX_POLL_INTERVAL`] applies from the start of one poll to the start of the next, unless the first of
-    /// them takes too long for that.
+    /// unanswered. [`MAX_POLL_INTERVAL`] applies from the start of one poll to the start of the next, unless the first
+    /// one takes too long for that.
     pub(crate) fn on_failure(&mut self, now: Duration, rng: &mut Pcg64Mcg) {
         self.is_watching = false;
         self.failures += 1;
--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What many instances add up to, at one destination or at discovery: each does little, the sum must hold.
+//! Tests of the total load that many instances put on one destination or on discovery.
 
 use super::discovery::tests::{max_poll_interval, reaches_max_interval};
 use super::outlier::{EndpointHealth, FailureStreak, Health};
@@ -14,66 +14,74 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// When an instance polls, if each poll fails after `fails_after` and its discovery wants one in `every`, for 60 s.
-fn polls_that_fail(seed: u64, every: Duration, fails_after: Duration) -> Vec<Duration> {
+/// Returns the times at which an instance polls within 60 s, if each poll fails after `fails_after` and the poll period
+/// is `period`.
+fn failing_poll_times(seed: u64, period: Duration, fails_after: Duration) -> Vec<Duration> {
     let mut dispatcher = Dispatcher::new(seed, 300, "x");
     dispatcher.set_discovery(true, ListedRateAccuracy::Absent);
-    dispatcher.set_poll_period(every);
-    let (mut polls, mut fails) = (Vec::new(), None);
+    dispatcher.set_poll_period(period);
+    let (mut polls, mut next_failure) = (Vec::new(), None);
     for now in (0..60_000).step_by(5).map(ms) {
         dispatcher.advance_to(now);
-        if fails.is_some_and(|at| at <= now) {
-            fails = None;
+        if next_failure.is_some_and(|at| at <= now) {
+            next_failure = None;
             dispatcher.endpoint_list_failed();
         }
         if !actions(&mut dispatcher).is_empty() {
             polls.push(now);
-            fails = Some(now + fails_after);
+            next_failure = Some(now + fails_after);
         }
     }
     polls
 }
 
-/// What discovery has counts as notified 6 s after it could be reached, which may be just after a poll that is lost.
+/// Guards against changes that an instance learns too late: it is expected to know of them 6 s after discovery becomes
+/// reachable, which may be just after a poll was lost.
 #[test]
-fn the_next_poll_begins_within_five_seconds_of_one_that_is_lost() {
-    for every in [0, 2_000, 10_000, 60_000].map(ms) {
+fn the_next_poll_starts_within_five_seconds_of_the_start_of_a_lost_one() {
+    for period in [0, 2_000, 10_000, 60_000].map(ms) {
         for fails_after in [0, 100, 2_000, 2_500, 4_990].map(ms) {
             for seed in 0..40 {
-                let polls = polls_that_fail(seed, every, fails_after);
-                let between: Vec<_> = polls.windows(2).map(|two| two[1] - two[0]).collect();
-                let longest = between.iter().max().unwrap();
+                let polls = failing_poll_times(seed, period, fails_after);
+                let intervals: Vec<_> = polls.windows(2).map(|pair| pair[1] - pair[0]).collect();
+                let longest = intervals.iter().max().unwrap();
                 let bound = max_poll_interval(fails_after) + ms(5);
-                assert!(*longest <= bound, "{every:?} {fails_after:?} {seed}: {longest:?}");
+                assert!(*longest <= bound, "{period:?} {fails_after:?} {seed}: {longest:?}");
                 let count = polls.len() as u32;
                 assert!(
-                    !reaches_max_interval(every) || count <= 17,
-                    "{every:?} {fails_after:?}: {count} polls in 60 s"
+                    !reaches_max_interval(period) || count <= 17,
+                    "{period:?} {fails_after:?}: {count} polls in 60 s"
                 );
             }
         }
     }
 }
 
-/// All that lost their watches in one instant, as at an outage's begin: their polls must not come in one, either.
+/// Guards against overloading discovery: at the start of an outage, all instances lose their watches at the same time,
+/// and without random delays they would all poll again at the same time.
 #[test]
-fn instances_whose_polls_fail_together_poll_again_apart() {
+fn instances_whose_polls_fail_at_the_same_time_poll_again_at_different_times() {
     for fails_after in [0, 2_500].map(ms) {
-        let all: Vec<_> = (0..300).map(|seed| polls_that_fail(seed, ms(10_000), fails_after)).collect();
+        let all: Vec<_> = (0..300).map(|seed| failing_poll_times(seed, ms(10_000), fails_after)).collect();
         for nth in 1..10 {
             let mut polls: Vec<_> = all.iter().map(|polls| polls[nth]).collect();
             polls.sort();
-            let within =
-                |from: &Duration| polls.iter().filter(|at| (*from..*from + ms(100)).contains(at)).count();
-            let at_once = polls.iter().map(within);
-            let (most, span) = (at_once.max().unwrap(), polls[299] - polls[0]);
-            assert!(most <= 60 && span >= ms(800), "poll {nth}: {most} of 300 in 100 ms, all in {span:?}");
+            let count_within_100_ms =
+                |start: &Duration| polls.iter().filter(|at| (*start..*start + ms(100)).contains(at)).count();
+            let counts = polls.iter().map(count_within_100_ms);
+            let (max_count, span) = (counts.max().unwrap(), polls[299] - polls[0]);
+            assert!(
+                max_count <= 60 && span >= ms(800),
+                "poll {nth}: {max_count} of 300 in 100 ms, all in {span:?}"
+            );
         }
     }
 }
 
-/// How many of `instances`, started in one instant, hold the list after 30 s. Their discovery takes one poll of each
-/// in 8 s, answers in order, and works on what has waited for its 2 s in vain all the same, up to 3 s of work.
+/// Returns how many of `instances`, all started at the same time, have received the endpoint list after 30 s.
+///
+/// The simulated discovery needs 8 s to answer one poll of each instance and answers them in order. Polls time out
+/// after 2 s but are processed nevertheless; a poll is refused if discovery already has work for more than 3 s.
 fn instances_with_a_list(instances: u32) -> usize {
     let start = |seed| {
         let mut dispatcher = Dispatcher::new(seed, instances, "x");
@@ -81,46 +89,48 @@
         dispatcher.set_poll_period(ms(10_000));
         dispatcher
     };
-    let mut all: Vec<_> = (0..u64::from(instances)).map(start).collect();
+    let mut dispatchers: Vec<_> = (0..u64::from(instances)).map(start).collect();
     let mut queue: VecDeque<(Duration, usize, bool)> = VecDeque::new();
-    let (each, mut free, mut notified) = (ms(8_000) / instances, ms(0), BTreeSet::new());
+    let (time_per_poll, mut free_at, mut notified) = (ms(8_000) / instances, ms(0), BTreeSet::new());
     for now in (0..30_000).step_by(10).map(ms) {
         while queue.front().is_some_and(|(answered, ..)| *answered <= now) {
-            let (_, at, in_time) = queue.pop_front().unwrap();
+            let (_, index, in_time) = queue.pop_front().unwrap();
             if in_time {
-                all[at].endpoint_list_ended(None, true)
+                dispatchers[index].endpoint_list_ended(None, true)
             } else {
-                all[at].endpoint_list_failed()
+                dispatchers[index].endpoint_list_failed()
             }
-            notified.extend(in_time.then_some(at));
+            notified.extend(in_time.then_some(index));
         }
-        for (at, dispatcher) in all.iter_mut().enumerate() {
+        for (index, dispatcher) in dispatchers.iter_mut().enumerate() {
             dispatcher.advance_to(now);
             if !actions(dispatcher).is_empty() {
-                free = free.max(now);
-                if free > now + ms(3_000) {
+                free_at = free_at.max(now);
+                if free_at > now + ms(3_000) {
                     dispatcher.endpoint_list_failed();
                     continue;
                 }
-                free += each;
-                queue.push_back((free.min(now + ms(2_000)), at, free <= now + ms(2_000)));
+                free_at += time_per_poll;
+                queue.push_back((free_at.min(now + ms(2_000)), index, free_at <= now + ms(2_000)));
             }
         }
     }
     notified.len()
 }
 
+/// Guards against polls that are repeated faster than discovery can answer them, so that all time out and no instance
+/// ever receives the endpoint list.
 #[test]
-fn a_discovery_that_all_instances_poll_at_once_answers_them_all_in_the_end() {
+fn a_discovery_that_all_instances_poll_at_the_same_time_eventually_answers_them_all() {
     assert_eq!([10, 30, 100, 300].map(instances_with_a_list), [10, 30, 100, 300]);
 }
 
-/// glenmuir-claims, big-2: 24 instances called an endpoint that warmed up in the half second after the wait that all
-/// were told.
+/// Guards against overloading a destination right after a retry-after that all instances received: in the run big-2 of
+/// glenmuir-claims, 24 instances called an endpoint that was warming up within half a second of its end.
 #[test]
-fn what_many_were_rejected_together_does_not_come_back_together() {
+fn instances_rejected_at_the_same_time_do_not_retry_at_the_same_time() {
     for retry_after in [Some(ms(2_000)), None] {
-        let starts = |seed| {
+        let first_retry = |seed| {
             let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
             dispatcher.state.shared.rng = Pcg64Mcg::seed_from_u64(seed);
             dispatcher.set_overload_tolerance(ms(2_000));
@@ -133,20 +143,22 @@
                 !actions(&mut dispatcher).is_empty()
             })
         };
-        let mut times: Vec<_> = (0..60).filter_map(starts).collect();
+        let mut times: Vec<_> = (0..60).filter_map(first_retry).collect();
         times.sort();
-        let within =
-            |at: &Duration| times.iter().filter(|time| **time >= *at && **time < *at + ms(500)).count();
-        let most = times.iter().map(within).max();
-        assert!(times.len() > 30 && most < Some(24), "{retry_after:?}: {times:?}");
+        let count_within_500_ms = |start: &Duration| {
+            times.iter().filter(|time| **time >= *start && **time < *start + ms(500)).count()
+        };
+        let max_count = times.iter().map(count_within_500_ms).max();
+        assert!(times.len() > 30 && max_count < Some(24), "{retry_after:?}: {times:?}");
         assert!(times[0] >= retry_after.unwrap_or_default());
     }
 }
 
-/// The fleet's calm day: 60 instances sent a limit of 17 a second 20 to 40 calls, and as rejected calls use it up too
-/// none was let in for 13 s.
+/// Guards against overloading a recovered destination: when all instances received the gossip of its recovery, 60 of
+/// them sent 20 to 40 calls to a rate limit of 17 calls per second. Rejected calls use up the limit too, so no call was
+/// accepted for 13 s.
 #[test]
-fn instances_that_hear_of_a_return_together_do_not_call_together() {
+fn instances_that_receive_gossip_of_a_recovery_at_the_same_time_do_not_call_at_the_same_time() {
     let waiting = |seed| {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         dispatcher.state.instances = 100;
@@ -164,52 +176,55 @@
         dispatcher.gossip_received(&gossip::encode_recovery(9, ""));
         dispatcher
     };
-    let mut all: Vec<_> = (0..100).map(waiting).collect();
+    let mut dispatchers: Vec<_> = (0..100).map(waiting).collect();
     let calls: Vec<_> = (0..30)
         .map(|tenth| {
-            let called = |dispatcher: &mut Dispatcher| {
+            let started = |dispatcher: &mut Dispatcher| {
                 dispatcher.advance_to(ms(100 * tenth + 1));
                 actions(dispatcher).len()
             };
-            all.iter_mut().map(called).sum::<usize>()
+            dispatchers.iter_mut().map(started).sum::<usize>()
         })
         .collect();
-    // Warming up, it may be sent three tenths of 100 a second.
-    let (most, sum) = (calls.iter().max().unwrap(), calls.iter().sum::<usize>());
-    assert!(*most <= 15 && sum > 60, "{calls:?}");
+    // While it is warming up, the destination may receive three tenths of its 100 calls per second.
+    let (max_calls, total) = (calls.iter().max().unwrap(), calls.iter().sum::<usize>());
+    assert!(*max_calls <= 15 && total > 60, "{calls:?}");
 }
 
+/// Guards against instances that together keep exceeding a rate limit which rejected calls use up too, so that hardly
+/// any call is accepted.
 #[test]
-fn rejections_bring_the_sum_of_all_instances_under_a_limit_that_rejected_calls_use_up() {
+fn rejections_reduce_the_total_rate_of_all_instances_below_a_limit_that_rejected_calls_use_up() {
     let (limit, instances) = (17.0, 60);
     let mut buckets: Vec<_> = (0..instances).map(|_| TokenBucket::with_limit(limit)).collect();
-    let (mut allowance, mut let_in) = (limit, [0, 0]);
+    let (mut allowance, mut accepted) = (limit, [0, 0]);
     for at in 1..=300 {
         let now = ms(at * 100);
         allowance = (allowance + limit / 10.0).min(limit);
         for (nth, bucket) in buckets.iter_mut().enumerate() {
             bucket.refill(now);
-            // Each has a call to make twice in three seconds, some three times the limit in all.
+            // Each instance has two calls to make in three seconds, about three times the limit in total.
             if (at as usize + nth * 7).is_multiple_of(15) && bucket.has_token() {
                 bucket.take();
                 allowance = (allowance - 1.0).max(-limit);
                 if allowance > 0.0 {
                     bucket.on_delivery(Some(allowance / limit));
-                    let_in[usize::from(at > 150)] += 1;
+                    accepted[usize::from(at > 150)] += 1;
                 } else {
                     bucket.cut_by_rejection(0.67, instances);
                 }
             }
         }
     }
-    assert!(let_in[1] as f64 > 0.5 * limit * 15.0, "{let_in:?}");
+    assert!(accepted[1] as f64 > 0.5 * limit * 15.0, "{accepted:?}");
     assert!(buckets.iter().all(|bucket| {
         let (rate, least) = bucket.rate_and_least(limit, instances);
         rate >= least
     }));
 }
 
-/// Destination 9's endpoints as `name`d, with a listed rate of `rate` calls a second, at one of `instances`.
+/// Returns the dispatcher of one of `instances`, with [`DESTINATION`] consisting of the endpoints `names`, each with a
+/// listed rate of `rate` calls per second.
 fn one_of_many(instances: u32, seed: u64, rate: f64, names: &[&str]) -> Dispatcher {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.state.instances = instances;
@@ -223,32 +238,36 @@
     dispatcher
 }
 
+/// Returns an entry of the endpoint list with a listed rate of `rate` calls per second.
 fn listed_with_rate(name: &str, rate: f64) -> EndpointUpdate<'_> {
     EndpointUpdate { kind: "", listed_rate: Some(rate), ..endpoint_of(name, "x") }
 }
 
-/// How many attempts a dispatcher starts now.
+/// Returns the number of attempts that a dispatcher starts now.
 fn attempts(dispatcher: &mut Dispatcher) -> usize {
     actions(dispatcher).iter().filter(|action| action.starts_with("attempt")).count()
 }
 
-/// How many attempts `instances` start in the two seconds from `from` on, each looked at every 20 ms.
-fn attempts_of(instances: &mut [Dispatcher], from: Duration) -> usize {
+/// Returns the number of attempts that `instances` start within 2 s of `start`, with their rules applied every 20 ms.
+fn attempts_of(instances: &mut [Dispatcher], start: Duration) -> usize {
     let mut count = 0;
     for step in 0..100 {
         for dispatcher in instances.iter_mut() {
-            dispatcher.advance_to(from + ms(20 * step));
+            dispatcher.advance_to(start + ms(20 * step));
             count += attempts(dispatcher);
         }
     }
     count
 }
 
-/// What a destination that was sent `allowed` calls in a window can still bear by chance.
-fn bearable(allowed: f64) -> usize {
+/// Returns the number of calls that a destination may receive in a window by chance if `allowed` are expected: two
+/// standard deviations more, and two calls.
+fn max_by_chance(allowed: f64) -> usize {
     (allowed + 2.0 * allowed.sqrt() + 2.0) as usize
 }
 
+/// Guards against an unlimited load on a failing destination whose last endpoint is replaced, which happens if its
+/// route is forgotten in between.
 #[test]
 fn a_route_stays_suspect_while_its_last_endpoint_is_replaced() {
     let mut dispatcher = one_of_many(2, 1, 10.0, &["a"]);
@@ -260,9 +279,10 @@
     assert!(route(&dispatcher).streak.is_suspect(dispatcher.state.now));
 }
 
-/// The same day: what was earned in a minute in which all was well went out in two seconds, a call from each instance.
+/// Guards against overloading a destination that has just failed: each instance had earned a slow-start budget for a
+/// call during a minute without failures, and all of them used it within 2 s.
 #[test]
-fn many_instances_that_fail_together_have_no_budgets_saved_up_from_before() {
+fn slow_start_budgets_earned_before_a_failure_are_not_spent_after_it() {
     let failed = |seed| {
         let mut dispatcher = one_of_many(200, seed, 20.0, &["a"]);
         dispatcher.advance_to(ms(60_000));
@@ -271,7 +291,7 @@
         dispatcher
     };
     let mut instances: Vec<_> = (0..200).map(failed).collect();
-    // Each is handed one message, twenty a second in all, as many as the destination takes when warm.
+    // Each instance receives one message. This makes twenty per second, the capacity of the destination when warm.
     let mut calls = Vec::new();
     for step in 0..500 {
         let now = ms(60_000 + 20 * step);
@@ -283,17 +303,18 @@
             calls.extend(std::iter::repeat_n(now, attempts(dispatcher)));
         }
     }
-    // Warming up it does a fifth of twenty a second, of which twice is borne for two seconds.
-    let most =
-        calls.iter().map(|from| calls.iter().filter(|at| (*from..*from + ms(2_000)).contains(at)).count());
-    let most = most.max().unwrap_or(0);
-    assert!((5..=bearable(2.0 * 0.2 * 20.0 * 2.0)).contains(&most), "{most}");
+    // While it is warming up, the destination handles a fifth of twenty calls per second, and withstands twice that for
+    // two seconds.
+    let counts =
+        calls.iter().map(|start| calls.iter().filter(|at| (*start..*start + ms(2_000)).contains(at)).count());
+    let max_count = counts.max().unwrap_or(0);
+    assert!((5..=max_by_chance(2.0 * 0.2 * 20.0 * 2.0)).contains(&max_count), "{max_count}");
 }
 
-/// glenmuir-claims, 188 instances: a route of 0.66 calls a second was shut; each instance was rejected once, seconds
-/// before its next call.
+/// Guards against overloading a route that many instances share: in a run of glenmuir-claims with 188 instances, a
+/// route of 0.66 calls per second was closed. Each instance was rejected only once, seconds before its next call.
 #[test]
-fn many_instances_that_were_rejected_once_each_and_long_ago_send_no_more_than_a_cold_route_bears() {
+fn instances_with_one_rejection_each_send_far_less_if_the_limit_is_not_reported() {
     let rejected_once = |load_report: Option<LoadReport>| {
         move |seed| {
             let mut dispatcher = one_of_many(188, seed, 0.66, &["a"]);
@@ -307,13 +328,13 @@
         }
     };
     let mut instances: Vec<_> = (0..188).map(rejected_once(None)).collect();
-    let unreported = attempts_of(&mut instances, ms(27_000));
-    // One of a hundred and eighty-eight instances at a time: what each earns by its new message, and little else.
+    // Each of the 188 instances earns little more than its share of an attempt for the new message.
+    let without_report = attempts_of(&mut instances, ms(27_000));
     let report = LoadReport { remaining_share: 0.5, rate_limit: 0.66 };
     let mut instances: Vec<_> = (0..188).map(rejected_once(Some(report))).collect();
-    let reported = attempts_of(&mut instances, ms(27_000));
+    let with_report = attempts_of(&mut instances, ms(27_000));
     assert!(
-        unreported * 3 < reported,
-        "{unreported} where nothing tells of the limit, {reported} where it is reported"
+        without_report * 3 < with_report,
+        "{without_report} attempts without and {with_report} with a reported limit"
     );
 }
