--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -23,6 +23,7 @@
     storage_capacity: u64,
     /// Message accepted last, until the rules have been applied.
     just_accepted: Option<MessageId>,
+    /// Time of the last log event about a nearly full queue.
     last_logged: Option<Duration>,
 }
 
@@ -36,10 +37,12 @@
         }
     }
 
+    /// Sets the maximum number of pending messages.
     pub(crate) fn set_queue_capacity(&mut self, messages: usize) {
         self.queue_capacity = messages;
     }
 
+    /// Sets the storage, in bytes, that the host will have left after storing the message accepted next.
     pub(crate) fn set_storage_capacity(&mut self, bytes: u64) {
         self.storage_capacity = bytes;
     }
@@ -73,8 +76,11 @@
 struct TenantQuota {
     /// Messages per second at this instance.
     rate_per_s: f64,
+    /// Messages left in the bucket that fills with time.
     time_quota: f64,
+    /// Messages left in the bucket that fills with received messages.
     message_quota: f64,
+    /// Time at which the buckets were filled last.
     refilled: Duration,
 }
 
@@ -224,13 +230,13 @@
         }
         let waiting =
             self.pending.iter().filter(|(_, message)| message.in_flight == 0 && self.may_reject(message));
-        let least = waiting.min_by(|(id, message), (other_id, other)| {
+        let least_valuable = waiting.min_by(|(id, message), (other_id, other)| {
             let by_recovery = message.is_recovered_untried.cmp(&other.is_recovered_untried);
             let by_value =
                 || self.value_if_attempted_now(message).total_cmp(&self.value_if_attempted_now(other));
             by_recovery.then_with(by_value).then(other_id.cmp(id))
         });
-        let Some(id) = least.map(|(id, _)| *id) else { return false };
+        let Some(id) = least_valuable.map(|(id, _)| *id) else { return false };
         self.give_up(id, driver);
         if self.admission.may_log(self.now) {
             driver.log(&LogEvent::QueueNearlyFull {
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -19,9 +19,9 @@
 /// start earlier than the current rate indicates.
 const MAX_TIMER_WAIT: Duration = ms(500);
 
-/// Harmlessness of a failed attempt, least harmless first.
+/// Suitability of a message for an attempt that may fail, least suitable first.
 ///
-/// Health checks are made with messages that can be executed again if there are any.
+/// Makes health checks preferably use messages that can be executed again.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum FailureTolerance {
     /// Health check with a message that must not be executed again, or that may be lost with the attempt.
@@ -38,6 +38,8 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Priority {
     failure_tolerance: FailureTolerance,
+    /// `true` if the message was recovered after a restart and has never been attempted.
+    ///
     /// Prevents recovered messages, which are late and have lost value, from waiting behind all new messages until they
     /// expire without an attempt. May delay each message of more value by one call per recovered message.
     is_recovered_untried: bool,
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -81,8 +81,9 @@
     let budget_wait = endpoint.budget.refill(now, rate);
 
     let is_ejected = endpoint.health.is_ejected();
-    // Prevents an overload by many instances, each of which makes too few calls to eject the endpoint. May slow down an
-    // endpoint that loses some calls.
+    // An endpoint that is not healthy, or whose route is suspect, is limited by its slow-start budget. Prevents an
+    // overload by many instances, each of which makes too few calls to eject the endpoint. May slow down an endpoint
+    // that loses some calls.
     let is_healthy = endpoint.health.status() == Health::Healthy && !route.streak.is_suspect(now);
     let mut earliest_start = route.limit.opens(now);
     if !is_healthy {
@@ -110,8 +111,9 @@
         let endpoint = self.endpoint(attempt.destination, &attempt.endpoint);
         let has_later_delivery =
             endpoint.is_some_and(|endpoint| endpoint.health.delivered_since(attempt.started));
-        let last = self.latency(attempt.destination, attempt.class).and_then(|window| window.last_duration());
-        !has_later_delivery || last.is_some_and(|last| latency::is_slow(last, typical))
+        let last_duration =
+            self.latency(attempt.destination, attempt.class).and_then(|window| window.last_duration());
+        !has_later_delivery || last_duration.is_some_and(|duration| latency::is_slow(duration, typical))
     }
 
     /// Returns the number of slots in use; messages in the same call use one slot together.
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -109,6 +109,7 @@
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Batch {
     started: Duration,
+    /// Number of messages that can still be added.
     free_places: u32,
 }
 
