--- a/src/policy/tests/support.rs
+++ b/src/policy/tests/support.rs
@@ -166,7 +166,7 @@
     load_report: Option<LoadReport>,
 ) {
     let result = AttemptResult { load_report, ..ended(0, 0, outcome) };
-    dispatcher.state.judge(attempt, &result);
+    dispatcher.state.process_result(attempt, &result);
 }
 
 pub(super) fn endpoint<'a>(dispatcher: &'a Dispatcher, name: &str) -> &'a Endpoint {
--- a/src/policy/tests/verdict.rs
+++ b/src/policy/tests/verdict.rs
@@ -3,8 +3,10 @@
 use crate::policy::test_support::*;
 use crate::{Dispatcher, EndpointUpdate, RetrySafety, ms};
 
+/// Without the gossip, each instance would notice a recovery only through its own health checks. Gossip that is
+/// malformed, of another version, or about an unknown destination or route must not change any health.
 #[test]
-fn gossip_of_a_return_starts_the_warm_up_of_an_ejected_route_and_other_gossip_is_passed_over() {
+fn recovery_gossip_warms_up_an_ejected_route_and_other_gossip_is_ignored() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let eject = |dispatcher: &mut Dispatcher| {
         ["a", "b"].iter().for_each(|name| endpoint_mut(dispatcher, name).health.set_status(Health::Ejected));
@@ -12,7 +14,7 @@
     eject(&mut dispatcher);
     let gossip = gossip::encode_recovery(9, "");
     let later_version = [&[gossip[0] + 1], &gossip[1..]].concat();
-    for odd in [
+    for ignored in [
         &[][..],
         &gossip[..1],
         &gossip[..5],
@@ -21,8 +23,8 @@
         &gossip::encode_recovery(9, "a"),
         b"\x01........\xff",
     ] {
-        dispatcher.gossip_received(odd);
-        assert_eq!(endpoint(&dispatcher, "a").health.status(), Health::Ejected, "{odd:?}");
+        dispatcher.gossip_received(ignored);
+        assert_eq!(endpoint(&dispatcher, "a").health.status(), Health::Ejected, "{ignored:?}");
     }
     dispatcher.gossip_received(&gossip);
     assert_eq!(endpoint(&dispatcher, "b").health.status(), Health::WarmingUp { since: ms(1) });
@@ -32,9 +34,10 @@
     assert!(actions(&mut dispatcher).contains(&format!("broadcast {gossip:?}")));
 }
 
-/// Calls were reset here and there; gossip that others are answered made endpoints warm up that delivered all along.
+/// Occasional connection resets make a route suspect while its endpoints keep delivering. Gossip from an instance whose
+/// calls are answered must not put such endpoints into a warm-up, which would limit them for no reason.
 #[test]
-fn gossip_ends_a_suspicion_and_warms_up_no_endpoint_that_delivered_just_now() {
+fn recovery_gossip_ends_suspicion_and_warms_up_only_endpoints_without_recent_deliveries() {
     for (now, status) in [(1_000, Health::Healthy), (2_100, Health::WarmingUp { since: ms(2_100) })] {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         endpoint_mut(&mut dispatcher, "a").health.set_last_delivery(ms(100));
@@ -46,13 +49,14 @@
     }
 }
 
+/// A Retry-After or the draining of the endpoint may arrive while the connection of an attempt is being established.
 #[test]
-fn an_attempt_does_not_begin_once_its_destination_asks_to_wait_or_its_endpoint_drains() {
+fn no_request_is_sent_during_a_retry_after_or_to_a_draining_endpoint() {
     let mut dispatcher = dispatcher_for(DEDUPLICATED);
     submit(&mut dispatcher, 1, None);
     submit(&mut dispatcher, 2, None);
     let may_send_request =
-        |dispatcher: &Dispatcher, id, attempt, at| dispatcher.may_send_request(id, attempt, ms(at));
+        |dispatcher: &Dispatcher, id, attempt, now_ms| dispatcher.may_send_request(id, attempt, ms(now_ms));
     assert!(may_send_request(&dispatcher, 1, 0, 1) && may_send_request(&dispatcher, 2, 0, 1));
     assert!(!may_send_request(&dispatcher, 1, 1, 1));
     dispatcher.attempt_ended(ended(2, 0, rejected_for(ms(500))));
@@ -61,11 +65,11 @@
     assert!(!may_send_request(&dispatcher, 1, 0, 501));
 }
 
-/// The fleet's split day: connections that a partitioned zone held up came up when it was healed, and their calls went
-/// out after the idempotency keys of the first attempts were forgotten.
+/// A network partition delays the establishment of connections until it heals. Requests sent over them then would
+/// arrive after the idempotency keys of the first attempts have been forgotten, and be executed twice.
 #[test]
-fn an_attempt_does_not_begin_once_its_key_is_forgotten_or_its_message_finished() {
-    for (retry_safety, late) in [(DEDUPLICATED, false), (RetrySafety::Idempotent, true)] {
+fn no_request_is_sent_after_the_deduplication_window_the_deadline_or_the_final_outcome() {
+    for (retry_safety, allowed_after_window) in [(DEDUPLICATED, false), (RetrySafety::Idempotent, true)] {
         let mut dispatcher = dispatcher_for(retry_safety);
         submit(&mut dispatcher, 1, None);
         dispatcher.advance_to(ms(2_000));
@@ -73,8 +77,8 @@
         dispatcher.advance_to(ms(5_400));
         assert_eq!(actions(&mut dispatcher).len(), 1);
         assert!(dispatcher.may_send_request(1, 1, ms(5_501)), "a typical call ends within the window");
-        assert_eq!(dispatcher.may_send_request(1, 1, ms(5_502)), late, "{retry_safety:?}");
-        assert!(!dispatcher.may_send_request(1, 1, ms(9_999)), "too late for its client");
+        assert_eq!(dispatcher.may_send_request(1, 1, ms(5_502)), allowed_after_window, "{retry_safety:?}");
+        assert!(!dispatcher.may_send_request(1, 1, ms(9_999)), "too late for the deadline");
         dispatcher.finish(1);
         assert!(!dispatcher.may_send_request(1, 1, ms(5_401)));
     }
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -1,7 +1,8 @@
-//! Verdict: what the end of an attempt, here or at another instance, says of its endpoint, its route and the rest.
+//! Verdict: effects of the end of an attempt on its message, its endpoint, its route and the rest of the state.
 //!
-//! Each outcome is handed to the mechanisms that it concerns, and weighed once as [`Evidence`]; the endpoint's health
-//! and the route's budgets follow from that.
+//! Each outcome is reported to the mechanisms that it concerns and summarized as an [`Assessment`], from which the
+//! endpoint's health and the slow-start budgets of the route's endpoints are updated. Gossip about recoveries at other
+//! instances is handled here too.
 
 use super::backoff::{BASE, CAP, full_jitter};
 use super::latency::LatencyWindow;
@@ -11,44 +12,44 @@
 use crate::{AttemptOutcome, AttemptResult, EndpointState, LogEvent, MessageId, gossip};
 use std::time::Duration;
 
-/// What an outcome says beyond the health of its endpoint.
+/// Consequence of an outcome for all endpoints of its route.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Signal {
     None,
-    /// Retry-After asks for longer than a limit's span: the route is shut.
-    Shut,
-    /// The first of several rejections where no response tells of the limit.
+    /// The route requested a Retry-After longer than a rate limit explains, so it is unavailable.
+    Unavailable,
+    /// The attempt got the first rejection since the last delivery on a route that reports no rate limit.
     FirstRejection,
-    /// A delivery that ends an outage.
+    /// The message was delivered after an outage of the route.
     Recovered,
 }
 
-/// One outcome, weighed.
-struct Evidence {
-    /// Its weight in the failing share of the endpoint; 0 if it is no failure.
+/// Assessment of one outcome.
+struct Assessment {
+    /// Weight in the failing share of the endpoint, from 0 to 1; 0 if the outcome is no failure.
     failure_weight: f64,
-    /// Whether it tells that the endpoint does not answer.
-    lost: bool,
+    /// `true` if the outcome indicates that the endpoint does not respond to any call.
+    indicates_outage: bool,
     signal: Signal,
 }
 
-impl Evidence {
-    const NONE: Self = Self { failure_weight: 0.0, lost: false, signal: Signal::None };
+impl Assessment {
+    const NONE: Self = Self { failure_weight: 0.0, indicates_outage: false, signal: Signal::None };
 
     fn failure(failure_weight: f64) -> Self {
         Self { failure_weight, ..Self::NONE }
     }
 }
 
-/// What held before an outcome was taken in.
+/// Health of the endpoint and its route before an outcome was processed.
 #[derive(Clone, Copy)]
-struct Before {
+struct PriorHealth {
     health: Health,
     suspect: bool,
 }
 
-/// What an outcome is handed to.
-struct Scope<'a> {
+/// Attempt that ended, and the parts of the state that its outcome may change.
+struct OutcomeContext<'a> {
     now: Duration,
     instances: u32,
     overload_tolerance: Duration,
@@ -57,12 +58,12 @@
     route: &'a mut Route,
     latency: &'a mut LatencyWindow,
     shared: &'a mut Shared,
-    before: Before,
+    prior: PriorHealth,
 }
 
-impl Scope<'_> {
-    /// Hands the outcome to the mechanisms that it concerns, and weighs it.
-    fn weigh(&mut self, result: &AttemptResult) -> Evidence {
+impl OutcomeContext<'_> {
+    /// Reports the outcome to the mechanisms that it concerns, and returns its assessment.
+    fn assess(&mut self, result: &AttemptResult) -> Assessment {
         match result.outcome {
             AttemptOutcome::Delivered => self.on_delivery(result),
             AttemptOutcome::Rejected { retry_after } | AttemptOutcome::AmbiguousRejection { retry_after } => {
@@ -70,26 +71,27 @@
             }
             AttemptOutcome::Failed => {
                 self.route.streak.add_failures(1);
-                Evidence::failure(outlier::FAILURE_WEIGHT)
+                Assessment::failure(outlier::FAILURE_WEIGHT)
             }
             AttemptOutcome::TimedOut => self.on_timeout(),
             AttemptOutcome::ConnectFailed => self.on_connect_failure(),
             AttemptOutcome::ConnectionReset => {
                 self.route.streak.add_failures(1);
-                Evidence::failure(outlier::WEAK_WEIGHT)
+                Assessment::failure(outlier::WEAK_WEIGHT)
             }
-            // Against many instances' connections that fill an endpoint's table: it lives, and no limit is reached.
-            // Another endpoint, or a table that others left, may take the next one.
+            // Keeps an endpoint whose connection table is full, with the connections of many instances, from being
+            // treated as failed or rate-limited: it works, and the next connection may succeed at another endpoint or
+            // after other instances have closed theirs.
             AttemptOutcome::ConnectionLimit => {
                 self.shared.connections.on_connect_failure(&self.endpoint.kind);
                 self.endpoint.last_used = None;
-                Evidence::NONE
+                Assessment::NONE
             }
-            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => Evidence::NONE,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => Assessment::NONE,
         }
     }
 
-    fn on_delivery(&mut self, result: &AttemptResult) -> Evidence {
+    fn on_delivery(&mut self, result: &AttemptResult) -> Assessment {
         let now = self.now;
         let class_latency = self.shared.class_latency.entry(self.attempt.class).or_default();
         class_latency.on_delivery(now, result.duration);
@@ -99,23 +101,24 @@
         self.shared.isolated_losses.on_delivery();
         self.endpoint.health.on_delivery(now);
         self.route.limit.on_delivery(result.load_report.map(|report| report.remaining_share));
-        if self.before.health == Health::Ejected {
+        if self.prior.health == Health::Ejected {
             self.route.checks.on_return(now);
         }
-        if self.shared.gossip.is_allowed && (self.before.health == Health::Ejected || self.before.suspect) {
-            let returned = (self.attempt.destination, self.endpoint.route.clone());
-            self.shared.gossip.returned_routes.push(returned);
+        if self.shared.gossip.is_allowed && (self.prior.health == Health::Ejected || self.prior.suspect) {
+            let recovered_route = (self.attempt.destination, self.endpoint.route.clone());
+            self.shared.gossip.returned_routes.push(recovered_route);
         }
-        let recovered = self.route.streak.is_outage(now);
+        let ends_outage = self.route.streak.is_outage(now);
         self.route.streak.reset();
-        Evidence { signal: if recovered { Signal::Recovered } else { Signal::None }, ..Evidence::NONE }
+        Assessment { signal: if ends_outage { Signal::Recovered } else { Signal::None }, ..Assessment::NONE }
     }
 
-    fn on_rejection(&mut self, retry_after: Duration, result: &AttemptResult) -> Evidence {
+    fn on_rejection(&mut self, retry_after: Duration, result: &AttemptResult) -> Assessment {
         let now = self.now;
         let route = &mut *self.route;
         let is_reported = route.limit.is_reported();
-        // Responses that tell of a limit pace it; otherwise one call is no rate of one a second.
+        // Without a reported limit, the attempt rate is averaged over the overload tolerance at least: a single call
+        // must not count as a rate of one per second.
         let span = if is_reported { Duration::ZERO } else { self.overload_tolerance };
         let rejection = Rejection {
             now,
@@ -127,13 +130,14 @@
         route.limit.on_rejection(rejection, &mut self.shared.rng);
         self.shared.retry_credit.on_rejection();
 
-        let shut = route.limit.is_shut(now);
-        let first = !is_reported && route.streak.on_rejection_without_limit();
-        // Where responses tell of no limit, or so many came in a row, the route is shut or its queue full.
-        let has_no_limit = result.load_report.is_some_and(|report| report.rate_limit <= 0.0);
-        let is_streak = route.limit.rejections() >= outlier::REJECTION_STREAK;
-        route.streak.add_failures(u32::from(has_no_limit || is_streak));
-        if shut {
+        let is_unavailable = route.limit.is_shut(now);
+        let is_first_rejection = !is_reported && route.streak.on_rejection_without_limit();
+        // Rejections count as failures if the route reports that it has no rate limit, or if there were many in a row:
+        // the route is then unavailable, or its queue is full.
+        let is_unlimited = result.load_report.is_some_and(|report| report.rate_limit <= 0.0);
+        let is_rejection_streak = route.limit.rejections() >= outlier::REJECTION_STREAK;
+        route.streak.add_failures(u32::from(is_unlimited || is_rejection_streak));
+        if is_unavailable {
             route.streak.add_suspicion();
         }
         let failure_weight = if route.limit.rejects_for_long(now) {
@@ -143,41 +147,44 @@
         } else {
             0.0
         };
-        let signal = match (shut, first) {
-            (true, _) => Signal::Shut,
+        let signal = match (is_unavailable, is_first_rejection) {
+            (true, _) => Signal::Unavailable,
             (false, true) => Signal::FirstRejection,
             (false, false) => Signal::None,
         };
-        Evidence { failure_weight, lost: false, signal }
+        Assessment { failure_weight, indicates_outage: false, signal }
     }
 
-    /// Against taking calls that get lost one by one, as on a bad network, for an outage: where others are just
-    /// answered, a loss says little. May delay an ejection.
-    fn on_timeout(&mut self) -> Evidence {
-        let lost = self.endpoint.health.is_silent(self.now, self.attempt.started);
-        if lost {
+    /// Handles an attempt timeout: counts it as an isolated loss if the endpoint delivered another call recently.
+    ///
+    /// Keeps single losses, as on a bad network, from being treated as an outage: while other calls are answered, one
+    /// loss says little about the endpoint. May delay an ejection.
+    fn on_timeout(&mut self) -> Assessment {
+        let indicates_outage = self.endpoint.health.is_silent(self.now, self.attempt.started);
+        if indicates_outage {
             self.latency.on_timeout();
         } else {
             self.shared.isolated_losses.on_isolated_timeout();
         }
-        self.on_lost_call(lost)
+        self.on_unanswered_call(indicates_outage)
     }
 
-    fn on_connect_failure(&mut self) -> Evidence {
+    fn on_connect_failure(&mut self) -> Assessment {
         self.shared.connections.on_connect_failure(&self.endpoint.kind);
-        let lost = !self.endpoint.health.delivered_since(self.attempt.started);
-        self.on_lost_call(lost)
+        let indicates_outage = !self.endpoint.health.delivered_since(self.attempt.started);
+        self.on_unanswered_call(indicates_outage)
     }
 
-    fn on_lost_call(&mut self, lost: bool) -> Evidence {
+    fn on_unanswered_call(&mut self, indicates_outage: bool) -> Assessment {
         self.route.streak.add_failures(1);
-        let failure_weight = if lost { outlier::SILENCE_WEIGHT } else { outlier::WEAK_WEIGHT };
-        Evidence { failure_weight, lost, signal: Signal::None }
+        let failure_weight = if indicates_outage { outlier::SILENCE_WEIGHT } else { outlier::WEAK_WEIGHT };
+        Assessment { failure_weight, indicates_outage, signal: Signal::None }
     }
 
-    /// Releases the attempt's permit; its connection is idle then, if it is the last and stays open.
-    fn release(&mut self, outcome: AttemptOutcome, lost: bool) {
-        self.endpoint.concurrency.release(lost);
+    /// Releases the attempt's permit, and records its connection as idle if it stays open and the endpoint has no other
+    /// call in flight.
+    fn release(&mut self, outcome: AttemptOutcome, indicates_outage: bool) {
+        self.endpoint.concurrency.release(indicates_outage);
         let closed = matches!(outcome, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLimit);
         if self.endpoint.concurrency.in_flight() == 0 && !closed {
             let key = (self.attempt.destination, self.attempt.endpoint.clone());
@@ -185,8 +192,9 @@
         }
     }
 
-    /// The endpoint's health after the outcome, and when it is checked next if it is ejected.
-    fn change_health(&mut self, outcome: AttemptOutcome, failure_weight: f64) -> Health {
+    /// Updates the endpoint's health, schedules the next health check if it is ejected, logs a change, and returns the
+    /// health after the outcome.
+    fn update_health(&mut self, outcome: AttemptOutcome, failure_weight: f64) -> Health {
         if failure_weight > 0.0 {
             self.endpoint.health.on_failure(self.now, failure_weight);
         }
@@ -194,27 +202,27 @@
         if after == Health::Ejected && outcome != AttemptOutcome::Delivered {
             self.route.checks.on_failure(self.now, outcome.never_executed(), &mut self.shared.rng);
         }
-        if self.before.health.differs_from(after) {
+        if self.prior.health.differs_from(after) {
             self.shared.log_events.push(LogEvent::HealthChanged {
                 endpoint: self.attempt.endpoint.clone(),
                 destination: self.attempt.destination,
-                before: self.before.health,
+                before: self.prior.health,
                 after,
             });
         }
         after
     }
 
-    /// Whether the route's endpoints go by their slow-start budgets from now on.
+    /// Returns `true` if the slow-start budgets of the route's endpoints start to apply with this outcome.
     fn begins_slow_start(&self, signal: Signal, after: Health) -> bool {
-        let ejected = self.before.health == Health::Healthy && after == Health::Ejected;
-        let newly_suspect = !self.before.suspect && self.route.streak.is_suspect(self.now);
-        matches!(signal, Signal::Shut | Signal::FirstRejection) || ejected || newly_suspect
+        let ejected = self.prior.health == Health::Healthy && after == Health::Ejected;
+        let newly_suspect = !self.prior.suspect && self.route.streak.is_suspect(self.now);
+        matches!(signal, Signal::Unavailable | Signal::FirstRejection) || ejected || newly_suspect
     }
 }
 
-/// Whether an outcome is a failure or a rejection.
-fn is_adverse(outcome: AttemptOutcome) -> bool {
+/// Returns `true` if an outcome is a failure or a rejection, either of which starts the route's failure streak.
+fn is_failure_or_rejection(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
         AttemptOutcome::Delivered
@@ -224,38 +232,39 @@
     )
 }
 
-/// Takes a turning point in to all endpoints of a route.
-fn change_route(
+/// Applies the consequences of an outcome to all endpoints of its route.
+fn update_route_endpoints(
     destination: &mut Destination,
     route: &str,
     signal: Signal,
-    begins: bool,
+    begins_slow_start: bool,
     shared: &mut Shared,
     now: Duration,
 ) {
     for endpoint in destination.endpoints.values_mut().filter(|endpoint| endpoint.route == route) {
-        // Against a herd at the end of the Retry-After of a route that is shut: all its endpoints return cold.
-        if signal == Signal::Shut {
+        // Prevents a burst of calls at the end of the Retry-After of an unavailable route: all its endpoints recover
+        // cold, so all are ejected, and the first call to each is a health check.
+        if signal == Signal::Unavailable {
             endpoint.health.on_failure(now, outlier::SHUT_WEIGHT);
         }
-        // Against all that waits at many instances, released by the first call that each sees delivered.
+        // Prevents the first delivery at each of many instances from releasing all messages that wait there.
         if signal == Signal::Recovered && endpoint.health.status() == Health::Healthy {
             endpoint.health.start_warm_up(now);
         }
-        // Against budgets saved up while all was well: of many instances each would send a call at once.
-        if begins {
+        // Prevents many instances from each sending a call at once, out of budgets earned while the route was healthy.
+        if begins_slow_start {
             endpoint.budget.restart(&mut shared.rng, now);
         }
     }
 }
 
 impl State {
-    /// Takes in the end of an attempt.
+    /// Handles the end of an attempt: updates the state of its endpoint, its ordering key and its message.
     pub(crate) fn attempt_ended(&mut self, result: &AttemptResult) {
         let Some(attempt) = self.in_flight.remove(&(result.message, result.attempt)) else { return };
         let outcome = result.outcome;
         if !attempt.is_batched {
-            self.judge(&attempt, result);
+            self.process_result(&attempt, result);
         }
         if let Some(key) = attempt.ordering_key {
             let answered = matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::Failed);
@@ -268,7 +277,7 @@
         self.back_off(&attempt, result);
     }
 
-    /// The message waits for its next attempt.
+    /// Starts the message's backoff, and records the attempt if it is the first that may have been executed.
     fn back_off(&mut self, attempt: &Attempt, result: &AttemptResult) {
         let outcome = result.outcome;
         let zone = self.zone_of(attempt.destination, &attempt.endpoint);
@@ -283,17 +292,17 @@
         }
     }
 
-    /// Hands an outcome to each mechanism, and draws the consequences.
-    pub(super) fn judge(&mut self, attempt: &Attempt, result: &AttemptResult) {
+    /// Updates the state of the endpoint, its route and the instance from the result of an attempt.
+    pub(super) fn process_result(&mut self, attempt: &Attempt, result: &AttemptResult) {
         let now = self.now;
         let Some(destination) = self.destinations.get_mut(&attempt.destination) else { return };
         let Some(endpoint) = destination.endpoints.get_mut(&attempt.endpoint) else { return };
         let Some(route) = destination.routes.get_mut(&endpoint.route) else { return };
         route.limit.bucket.refill(now);
         route.limit.on_report(result.load_report);
-        let before = Before { health: endpoint.health.status(), suspect: route.streak.is_suspect(now) };
+        let prior = PriorHealth { health: endpoint.health.status(), suspect: route.streak.is_suspect(now) };
         self.shared.connections.on_call(&endpoint.kind);
-        let mut scope = Scope {
+        let mut context = OutcomeContext {
             now,
             instances: self.instances,
             overload_tolerance: self.overload_tolerance,
@@ -302,25 +311,33 @@
             route,
             latency: destination.latency.entry(attempt.class).or_default(),
             shared: &mut self.shared,
-            before,
+            prior,
         };
-        let evidence = scope.weigh(result);
-        if is_adverse(result.outcome) {
-            scope.route.streak.begin(now);
+        let assessment = context.assess(result);
+        if is_failure_or_rejection(result.outcome) {
+            context.route.streak.begin(now);
         }
-        scope.release(result.outcome, evidence.lost);
-        let after = scope.change_health(result.outcome, evidence.failure_weight);
-        let begins = scope.begins_slow_start(evidence.signal, after);
-        if begins || evidence.signal == Signal::Recovered {
-            let route = scope.endpoint.route.clone();
-            change_route(destination, &route, evidence.signal, begins, &mut self.shared, now);
+        context.release(result.outcome, assessment.indicates_outage);
+        let after = context.update_health(result.outcome, assessment.failure_weight);
+        let begins_slow_start = context.begins_slow_start(assessment.signal, after);
+        if begins_slow_start || assessment.signal == Signal::Recovered {
+            let route = context.endpoint.route.clone();
+            update_route_endpoints(
+                destination,
+                &route,
+                assessment.signal,
+                begins_slow_start,
+                &mut self.shared,
+                now,
+            );
         }
     }
 
-    /// Whether an attempt may begin whose connection has come up.
+    /// Returns `true` if the request of an attempt may be sent at `now`, once the connection is established.
     ///
-    /// Against waits and drains that came while its connection was opened, which may also last until the message has
-    /// its final outcome or its idempotency key is forgotten. May hold back one that would be in time.
+    /// Prevents requests during a Retry-After, or to a draining endpoint, that began while the connection was being
+    /// established. This can take so long that the message has its final outcome or its idempotency key has been
+    /// forgotten, which is checked too. May hold back a request that would have been in time.
     pub(crate) fn may_send_request(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
         let Some(attempt) = self.in_flight.get(&(id, attempt)) else { return false };
         if self.pending.get(&id).is_none_or(|message| now > self.latest_start(message)) {
@@ -331,10 +348,12 @@
         endpoint.state == EndpointState::Available && route.limit.retry_after() <= now
     }
 
-    /// A route answered another instance. Against learning of a return instance by instance.
-    pub(crate) fn gossip_received(&mut self, octets: &[u8]) {
+    /// Handles gossip that a route has recovered: ejected and unresponsive endpoints of the route start to warm up.
+    ///
+    /// Prevents instances from noticing a recovery one by one, each with its own health checks.
+    pub(crate) fn gossip_received(&mut self, datagram: &[u8]) {
         let now = self.now;
-        let Some((destination, route_name)) = gossip::decode_recovery(octets) else { return };
+        let Some((destination, route_name)) = gossip::decode_recovery(datagram) else { return };
         let Some(destination) = self.destinations.get_mut(&destination) else { return };
         let Some(route) = destination.routes.get_mut(route_name) else { return };
         let suspect = route.streak.is_suspect(now);
