--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: which endpoints are ejected, which are suspect, and when they are checked again.
+//! Outlier detection: the health of endpoints, the failure streaks of routes, and the schedule of health checks.
 
 use super::backoff::equal_jitter;
 use super::latency::LEAST_TIMEOUT;
@@ -9,42 +9,47 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Failures in a row that make a route suspect, on a slow-start budget: a call and its retry.
+/// Consecutive failures after which a route is suspect and its calls need slow-start budget: a call and its retry.
 const SUSPECT_FAILURES: u32 = 2;
-/// Rejections in a row from which each counts as a failure: seldom a limit.
+/// Consecutive rejections from which on each counts as a failure of the route: a rate limit seldom rejects so many.
 pub(super) const REJECTION_STREAK: u32 = 3;
-/// Weight of an answered failure in the failing share: four eject an endpoint.
+/// Weight, in the failing share, of a response that reports an error: four in a row eject an endpoint.
 pub(super) const FAILURE_WEIGHT: f64 = 0.2;
-/// Weight of a failed connection or a timeout: two eject it.
-pub(super) const SILENCE_WEIGHT: f64 = 0.35;
-/// Weight of a rejection, a reset, or a call lost while others were answered: seven eject it.
-pub(super) const WEAK_WEIGHT: f64 = 0.1;
-/// Weight of being shut: it ejects at once.
-pub(super) const SHUT_WEIGHT: f64 = 1.0;
-/// Failing share over which an endpoint is ejected: most calls fail.
-const EJECTION_SHARE: f64 = 0.5;
-/// Failing share of an endpoint just back: another failure or two and it is ejected again.
-const RETURN_SHARE: f64 = 0.4;
-/// Calls in flight that a failing share of 1 counts for in the selection: a retry goes elsewhere first.
-const SUSPICION_LOAD: f64 = 4.0;
-/// Longest gap between health checks that cannot have been executed.
-const CHECK_GAP: Duration = ms(1_000);
-/// Longest gap between those that may have been: each can cost its message.
-const COSTLY_CHECK_GAP: Duration = ms(1_500);
-/// Health checks a second of all instances together at one ejected endpoint: the design page's.
-const CHECKS_PER_SECOND: f64 = 1.0;
-
-/// What an instance takes an endpoint for: as healthy as it sorts low.
+/// Weight of a failed connection, of a timeout, or of a rejection after the route has rejected for long: two in a row
+/// eject an endpoint.
+pub(super) const NO_RESPONSE_WEIGHT: f64 = 0.35;
+/// Weight of a rejection, of a connection reset, or of a call without a response while others were answered: seven in a
+/// row eject an endpoint.
+pub(super) const MINOR_FAILURE_WEIGHT: f64 = 0.1;
+/// Weight of the route being unavailable, which ejects an endpoint at once.
+pub(super) const UNAVAILABLE_WEIGHT: f64 = 1.0;
+/// Failing share above which an endpoint is ejected: more than half of its calls fail.
+const EJECTION_FAILING_SHARE: f64 = 0.5;
+/// Maximum failing share of an endpoint that starts to warm up, so high that one or two further failures eject it again.
+const MAX_RECOVERY_FAILING_SHARE: f64 = 0.4;
+/// Calls in flight that a failing share of 1 counts as when endpoints are compared by load, so that a retry prefers
+/// another endpoint.
+const MAX_LOAD_PENALTY_CALLS: f64 = 4.0;
+/// Upper bound of the delay before the next health check, unless `MAX_COSTLY_CHECK_INTERVAL` applies.
+const MAX_CHECK_INTERVAL: Duration = ms(1_000);
+/// Upper bound of the delay before the next health check after a failed call whose message may have been executed; each
+/// such call can cost its message.
+const MAX_COSTLY_CHECK_INTERVAL: Duration = ms(1_500);
+/// Health checks per second that all instances together may make at a destination's endpoints while they are ejected or
+/// suspect.
+const CHECKS_PER_S: f64 = 1.0;
+
+/// Health of an endpoint, as assessed by one gateway instance; variants are ordered from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Health {
-    /// It takes calls as its limits allow.
+    /// The endpoint receives calls up to its limits.
     Healthy,
-    /// It has returned, and its load grows.
+    /// The endpoint has recovered, and its load is increased gradually.
     WarmingUp {
-        /// The return, or the last failure since.
+        /// Time of the recovery, or of the last failure after it.
         since: Duration,
     },
-    /// It gets health checks only.
+    /// The endpoint receives only health checks.
     Ejected,
 }
 
@@ -59,16 +64,16 @@
 }
 
 impl Health {
-    /// Whether two states differ in kind.
+    /// Returns `true` if the two are different variants; the start of a warm-up makes no difference.
     pub(super) fn differs_from(self, other: Self) -> bool {
         std::mem::discriminant(&self) != std::mem::discriminant(&other)
     }
 }
 
-/// What is known of one endpoint's health.
+/// Health of one endpoint, with the failures and deliveries that determine it.
 pub(crate) struct EndpointHealth {
     status: Health,
-    /// The share of calls that fail, weighed by what each failure tells.
+    /// Moving average, from 0 to 1, of failed calls; each failure counts by its weight.
     failing_share: f64,
     last_failure: Duration,
     last_delivery: Duration,
@@ -91,20 +96,20 @@
         self.last_failure
     }
 
-    /// Whether a call was delivered after `since`.
+    /// Returns `true` if a call was delivered after `since`.
     pub(super) fn delivered_since(&self, since: Duration) -> bool {
         self.last_delivery > since
     }
 
-    /// The failing share in calls in flight, for the selection.
-    pub(super) fn suspicion_load(&self) -> i64 {
-        (self.failing_share * SUSPICION_LOAD) as i64
+    /// Returns the calls in flight that the failing share counts as when endpoints are compared by load.
+    pub(super) fn load_penalty(&self) -> i64 {
+        (self.failing_share * MAX_LOAD_PENALTY_CALLS) as i64
     }
 
     pub(super) fn on_failure(&mut self, now: Duration, weight: f64) {
         self.failing_share += (1.0 - self.failing_share) * weight;
         self.last_failure = now;
-        if self.failing_share > EJECTION_SHARE {
+        if self.failing_share > EJECTION_FAILING_SHARE {
             self.status = Health::Ejected;
         } else if let Health::WarmingUp { since } = &mut self.status {
             *since = now;
@@ -119,43 +124,47 @@
         }
     }
 
-    /// Whether nothing was delivered since `began`, nor within the least attempt timeout.
-    pub(super) fn is_silent(&self, now: Duration, began: Duration) -> bool {
-        !self.delivered_since(began) && self.last_delivery + LEAST_TIMEOUT <= now
+    /// Returns `true` if nothing was delivered after `since` or within the minimum attempt timeout before `now`.
+    pub(super) fn is_unresponsive(&self, now: Duration, since: Duration) -> bool {
+        !self.delivered_since(since) && self.last_delivery + LEAST_TIMEOUT <= now
     }
 
     pub(super) fn start_warm_up(&mut self, now: Duration) {
-        self.failing_share = self.failing_share.min(RETURN_SHARE);
+        self.failing_share = self.failing_share.min(MAX_RECOVERY_FAILING_SHARE);
         self.status = Health::WarmingUp { since: now };
     }
 
-    /// The share of its warm rate that it may get at `at`. One that was warming up for the whole time without a
-    /// failure is healthy.
-    pub(super) fn allowed_share(&mut self, at: Duration, slow_start: SlowStart) -> f64 {
+    /// Returns the share of its full rate that the endpoint may receive at `time`.
+    ///
+    /// Ends a warm-up whose full length has passed without a failure: the endpoint is healthy then.
+    pub(super) fn allowed_share(&mut self, time: Duration, slow_start: SlowStart) -> f64 {
         match self.status {
-            Health::WarmingUp { since } if at >= since + slow_start.warm_up => self.status = Health::Healthy,
-            Health::WarmingUp { since } => return slow_start.share(at.saturating_sub(since)),
+            Health::WarmingUp { since } if time >= since + slow_start.warm_up => {
+                self.status = Health::Healthy
+            }
+            Health::WarmingUp { since } => return slow_start.share(time.saturating_sub(since)),
             Health::Healthy | Health::Ejected => {}
         }
         slow_start.share(Duration::ZERO)
     }
 
-    /// Health checks a second that one of `instances` may make at least, spread over `endpoints`.
-    pub(super) fn least_check_rate(&self, instances: u32, endpoints: usize) -> f64 {
+    /// Returns the minimum rate of calls per second to this endpoint that one of `instances` may always make, for health
+    /// checks; the rate is divided among the `endpoints` of the destination. It is 0 during a warm-up.
+    pub(super) fn min_check_rate(&self, instances: u32, endpoints: usize) -> f64 {
         if matches!(self.status, Health::WarmingUp { .. }) {
             return 0.0;
         }
-        CHECKS_PER_SECOND / f64::from(instances) / endpoints as f64
+        CHECKS_PER_S / f64::from(instances) / endpoints as f64
     }
 }
 
-/// What went wrong on a route since a call was last delivered.
+/// Failures and rejections on a route since a call was last delivered.
 #[derive(Default)]
 pub(crate) struct FailureStreak {
     failures: u32,
-    /// Since when calls fail or are rejected.
+    /// Time of the first failure or rejection, if any.
     since: Option<Duration>,
-    /// Whether one of these was rejected where no response tells of the limit.
+    /// `true` after a rejection on a route that has not reported a rate limit.
     rejected_without_limit: bool,
 }
 
@@ -172,44 +181,47 @@
         self.failures += count;
     }
 
-    /// Enough failures at once to make the route suspect.
-    pub(super) fn add_suspicion(&mut self) {
+    /// Adds enough failures at once to make the route suspect.
+    pub(super) fn mark_suspect(&mut self) {
         self.failures += SUSPECT_FAILURES;
     }
 
-    /// A call failed or was rejected.
+    /// Sets the start of the streak to `now`, unless it has started already.
     pub(super) fn begin(&mut self, now: Duration) {
         self.since = self.since.or(Some(now));
     }
 
-    /// A rejection where no response tells of the limit; whether it is the first.
+    /// Records a rejection on a route that has not reported a rate limit, and returns `true` if it is the first.
     pub(super) fn on_rejection_without_limit(&mut self) -> bool {
         !std::mem::replace(&mut self.rejected_without_limit, true)
     }
 
-    /// Whether nothing was delivered for longer than a limit's span.
-    fn lasts(&self, now: Duration) -> bool {
+    /// Returns `true` if the streak has continued for longer than a rate limit explains.
+    fn is_prolonged(&self, now: Duration) -> bool {
         self.since.is_some_and(|since| since + SHUT < now)
     }
 
-    /// Whether calls failed more than once, for longer than a limit's span.
+    /// Returns `true` if calls failed more than once in a streak that is longer than a rate limit explains.
     pub(super) fn is_outage(&self, now: Duration) -> bool {
-        self.failures >= SUSPECT_FAILURES && self.lasts(now)
+        self.failures >= SUSPECT_FAILURES && self.is_prolonged(now)
     }
 
-    /// Whether the route is suspect.
+    /// Returns `true` if the route is suspect: after two failures, or after prolonged rejections without a reported rate
+    /// limit.
     ///
-    /// Rejections count once they last, where no response tells of a limit. Against instances that call too seldom to
-    /// see two failures. May hold back calls that a limit would take.
+    /// Counting the rejections covers instances that call too seldom to observe two failures. May hold back calls that a
+    /// rate limit would have accepted.
     pub(super) fn is_suspect(&self, now: Duration) -> bool {
-        self.failures >= SUSPECT_FAILURES || self.rejected_without_limit && self.lasts(now)
+        self.failures >= SUSPECT_FAILURES || self.rejected_without_limit && self.is_prolonged(now)
     }
 }
 
-/// When the ejected endpoints of a route are checked again.
+/// Schedule of the health checks of a route's ejected endpoints.
 #[derive(Default)]
 pub(crate) struct HealthChecks {
+    /// Health checks and failures since the last recovery; the delay grows with them.
     count: u32,
+    /// Earliest time of the next health check.
     next: Duration,
 }
 
@@ -218,21 +230,22 @@
         self.next
     }
 
-    /// An ejected endpoint answered: its siblings may be back too.
-    pub(super) fn on_return(&mut self, now: Duration) {
+    /// Makes health checks due at once, as the other endpoints of the route may have recovered together with the one
+    /// that delivered a call.
+    pub(super) fn on_recovery(&mut self, now: Duration) {
         self.count = 0;
         self.next = now;
     }
 
     pub(super) fn on_check(&mut self, now: Duration, rng: &mut Pcg64Mcg) {
         self.count += 1;
-        self.next = now + equal_jitter(rng, self.count, CHECK_GAP);
+        self.next = now + equal_jitter(rng, self.count, MAX_CHECK_INTERVAL);
     }
 
-    /// A call at an ejected endpoint failed.
+    /// Postpones the next health check after a failed call to an ejected endpoint; it is never moved to an earlier time.
     pub(super) fn on_failure(&mut self, now: Duration, never_executed: bool, rng: &mut Pcg64Mcg) {
         self.count += 1;
-        let cap = if never_executed { CHECK_GAP } else { COSTLY_CHECK_GAP };
+        let cap = if never_executed { MAX_CHECK_INTERVAL } else { MAX_COSTLY_CHECK_INTERVAL };
         self.next = self.next.max(now + equal_jitter(rng, self.count, cap));
     }
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -70,7 +70,7 @@
     let retry_after = route.limit.retry_after();
     endpoint.budget.skip_to(retry_after.min(now));
     let share = endpoint.health.allowed_share(endpoint.budget.middle(now), slow_start);
-    let rate = (share * part).max(endpoint.health.least_check_rate(instances, available_endpoints));
+    let rate = (share * part).max(endpoint.health.min_check_rate(instances, available_endpoints));
     let until_earned = endpoint.budget.refill(now, rate);
 
     let is_ejected = endpoint.health.is_ejected();
@@ -219,7 +219,7 @@
 fn rank(endpoint: &Endpoint, is_batched: bool, zone_cost: f64, own_zone: &str, now: Duration) -> Rank {
     let load = i64::from(endpoint.concurrency.in_flight())
         + OTHER_ZONE_LOAD * i64::from(endpoint.zone != own_zone)
-        + endpoint.health.suspicion_load();
+        + endpoint.health.load_penalty();
     Rank {
         is_health_check: endpoint.health.is_ejected(),
         zone_cost: (zone_cost * COST_PARTS) as i64,
--- a/src/policy/tests/outlier.rs
+++ b/src/policy/tests/outlier.rs
@@ -13,7 +13,7 @@
 }
 
 impl FailureStreak {
-    /// As many failures as make a route suspect.
+    /// Number of failures that make a route suspect.
     pub(crate) const SUSPECT: u32 = SUSPECT_FAILURES;
 }
 
@@ -23,13 +23,15 @@
     }
 }
 
+/// Without a warm-up, an endpoint would receive its full load at the first delivery after an ejection; without an end
+/// of the warm-up, it would stay limited forever.
 #[test]
-fn an_ejection_ends_in_a_warm_up_and_that_ends_after_its_time() {
+fn an_ejected_endpoint_warms_up_after_a_delivery_and_is_healthy_after_the_warm_up() {
     let slow_start = SlowStart { overload_factor: 2.0, initial_share: 0.2, warm_up: ms(10_000) };
     let mut health = EndpointHealth::new(Health::Healthy);
-    health.on_failure(ms(1), SILENCE_WEIGHT);
+    health.on_failure(ms(1), NO_RESPONSE_WEIGHT);
     assert_eq!(health.status(), Health::Healthy);
-    health.on_failure(ms(2), SILENCE_WEIGHT);
+    health.on_failure(ms(2), NO_RESPONSE_WEIGHT);
     assert_eq!(health.status(), Health::Ejected);
     health.on_delivery(ms(100));
     assert_eq!(health.status(), Health::WarmingUp { since: ms(100) });
@@ -37,33 +39,35 @@
     assert_eq!(health.status(), Health::Healthy);
 }
 
+/// An endpoint that fails while it warms up is overloaded; its load must not keep growing.
 #[test]
-fn a_failure_while_warming_up_starts_the_ramp_again() {
+fn a_failure_during_a_warm_up_restarts_it() {
     let mut health = EndpointHealth::new(Health::WarmingUp { since: ms(1) });
     health.failing_share = 0.1;
     health.on_failure(ms(5_000), FAILURE_WEIGHT);
     assert_eq!(health.status(), Health::WarmingUp { since: ms(5_000) });
 }
 
-/// incident rules-3: few calls saw the rejections, and the wait's end released all that had waited.
+/// Only a few calls of each instance are rejected by an unavailable route. If its endpoints stayed healthy, or budgets
+/// accumulated during the Retry-After, all messages that wait for its end would be sent at once.
 #[test]
-fn a_route_that_rejects_for_longer_than_a_limits_span_returns_warming_up() {
+fn a_route_with_a_long_retry_after_is_ejected_and_accumulates_no_budget() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     submit(&mut dispatcher, 1, None);
     dispatcher.attempt_ended(ended(1, 0, rejected_for(ms(4_000))));
     for endpoint in dispatcher.state.destinations[&DESTINATION].endpoints.values() {
         let status = endpoint.health.status();
-        assert_eq!(status, Health::Ejected, "its sibling too: the wait is the whole destination's");
+        assert_eq!(status, Health::Ejected, "the Retry-After is in force for all endpoints of the route");
     }
-    // isafjordur-utsending-later, ha7c03b: what each of 66 instances had saved up during the wait went at its end.
+    // At 66 instances, the budget that each had accumulated during the Retry-After was spent together at its end.
     (2..40).for_each(|id| assert!(submit(&mut dispatcher, id, None).is_empty()));
     let mut endpoints = dispatcher.state.destinations[&DESTINATION].endpoints.values();
     assert!(!endpoints.any(|endpoint| endpoint.budget.is_ready()));
 }
 
-/// incident ide3163: one call in six got no response, and endpoints that answered the rest were ejected.
+/// With one call in six lost on the network, endpoints that answered all other calls were ejected.
 #[test]
-fn calls_lost_while_others_are_delivered_are_no_outage() {
+fn timeouts_while_other_calls_are_delivered_do_not_eject_an_endpoint() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     endpoint_mut(&mut dispatcher, "a").health.set_last_delivery(ms(50));
     for at in 1..=4 {
@@ -79,9 +83,10 @@
     }
 }
 
-/// incident i3b06b2: rejections above a limit in the first seconds made healthy endpoints count as ejected.
+/// Rejections by a rate limit in the first seconds must not be treated as an outage, which would eject healthy
+/// endpoints.
 #[test]
-fn a_few_rejections_in_turn_are_a_limit_and_no_outage() {
+fn a_few_rejections_pause_a_route_and_do_not_eject_its_endpoint() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     for id in 1..=5 {
         dispatcher.advance_to(ms(id * 100));
@@ -91,9 +96,9 @@
     assert!(route(&dispatcher).limit.paused_until() > ms(500), "but its route pauses");
 }
 
-/// incident i639774: four calls in ten were reset, and endpoints that delivered the rest were ejected.
+/// With four connections in ten reset, endpoints that delivered all other calls were ejected.
 #[test]
-fn resets_between_deliveries_are_no_outage_and_failed_connections_are_one() {
+fn resets_between_deliveries_do_not_eject_an_endpoint_and_failed_connections_do() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let mut status_after = |at, outcome| {
         dispatcher.advance_to(ms(at + 9));
@@ -109,9 +114,10 @@
     assert_eq!(status_after(6_100, AttemptOutcome::ConnectFailed), Health::Ejected);
 }
 
-/// isafjordur-utsending-later: a destination without a limit was shut; 190 instances saw two rejections each.
+/// At 190 instances, each sees only two rejections of an unavailable destination that has no rate limit. They must
+/// suffice to make its route suspect there, unlike rejections by a rate limit.
 #[test]
-fn rejections_without_a_limit_make_a_route_suspect_and_those_above_a_limit_do_not() {
+fn two_rejections_make_a_route_suspect_only_if_it_reports_that_it_has_no_limit() {
     let report = |rate_limit| Some(LoadReport { remaining_share: 0.0, rate_limit });
     for (load_report, expected) in [(report(0.0), true), (report(4.0), false), (None, false)] {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -123,10 +129,10 @@
     }
 }
 
-/// glenmuir-claims, 194 instances: a destination failed, one of its endpoints was replaced by a new one, and all
-/// instances took that for healthy.
+/// A destination failed and one of its endpoints was replaced: all of 194 instances took the new endpoint for healthy,
+/// and sent their calls to it.
 #[test]
-fn a_new_endpoint_of_a_destination_that_is_out_or_warming_up_begins_as_its_siblings_are() {
+fn a_new_endpoint_starts_with_the_best_health_of_its_siblings() {
     let warming_up = Health::WarmingUp { since: ms(7) };
     for (first, second, expected) in [
         (Health::Ejected, Health::Ejected, Health::Ejected),
--- a/src/policy/tests/slow_start.rs
+++ b/src/policy/tests/slow_start.rs
@@ -23,7 +23,7 @@
             }
             let share = health.allowed_share(budget.middle(ms(at)), slow_start);
             let part = 10.0 / f64::from(instances);
-            budget.refill(ms(at), (share * part).max(health.least_check_rate(instances, 1)));
+            budget.refill(ms(at), (share * part).max(health.min_check_rate(instances, 1)));
             if budget.is_ready() {
                 budget.spend();
                 sent += 1;
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -77,7 +77,7 @@
             AttemptOutcome::ConnectFailed => self.on_connect_failure(),
             AttemptOutcome::ConnectionReset => {
                 self.route.streak.add_failures(1);
-                Assessment::failure(outlier::WEAK_WEIGHT)
+                Assessment::failure(outlier::MINOR_FAILURE_WEIGHT)
             }
             // Keeps an endpoint whose connection table is full, with the connections of many instances, from being
             // treated as failed or rate-limited: it works, and the next connection may succeed at another endpoint or
@@ -102,7 +102,7 @@
         self.endpoint.health.on_delivery(now);
         self.route.limit.on_delivery(result.load_report.map(|report| report.remaining_share));
         if self.prior.health == Health::Ejected {
-            self.route.checks.on_return(now);
+            self.route.checks.on_recovery(now);
         }
         if self.shared.gossip.is_allowed && (self.prior.health == Health::Ejected || self.prior.suspect) {
             let recovered_route = (self.attempt.destination, self.endpoint.route.clone());
@@ -138,12 +138,12 @@
         let is_rejection_streak = route.limit.rejections() >= outlier::REJECTION_STREAK;
         route.streak.add_failures(u32::from(is_unlimited || is_rejection_streak));
         if is_unavailable {
-            route.streak.add_suspicion();
+            route.streak.mark_suspect();
         }
         let failure_weight = if route.limit.rejects_for_long(now) {
-            outlier::SILENCE_WEIGHT
+            outlier::NO_RESPONSE_WEIGHT
         } else if self.attempt.started >= self.endpoint.health.last_failure() {
-            outlier::WEAK_WEIGHT
+            outlier::MINOR_FAILURE_WEIGHT
         } else {
             0.0
         };
@@ -160,7 +160,7 @@
     /// Keeps single losses, as on a bad network, from being treated as an outage: while other calls are answered, one
     /// loss says little about the endpoint. May delay an ejection.
     fn on_timeout(&mut self) -> Assessment {
-        let indicates_outage = self.endpoint.health.is_silent(self.now, self.attempt.started);
+        let indicates_outage = self.endpoint.health.is_unresponsive(self.now, self.attempt.started);
         if indicates_outage {
             self.latency.on_timeout();
         } else {
@@ -177,7 +177,8 @@
 
     fn on_unanswered_call(&mut self, indicates_outage: bool) -> Assessment {
         self.route.streak.add_failures(1);
-        let failure_weight = if indicates_outage { outlier::SILENCE_WEIGHT } else { outlier::WEAK_WEIGHT };
+        let failure_weight =
+            if indicates_outage { outlier::NO_RESPONSE_WEIGHT } else { outlier::MINOR_FAILURE_WEIGHT };
         Assessment { failure_weight, indicates_outage, signal: Signal::None }
     }
 
@@ -245,7 +246,7 @@
         // Prevents a burst of calls at the end of the Retry-After of an unavailable route: all its endpoints recover
         // cold, so all are ejected, and the first call to each is a health check.
         if signal == Signal::Unavailable {
-            endpoint.health.on_failure(now, outlier::SHUT_WEIGHT);
+            endpoint.health.on_failure(now, outlier::UNAVAILABLE_WEIGHT);
         }
         // Prevents the first delivery at each of many instances from releasing all messages that wait there.
         if signal == Signal::Recovered && endpoint.health.status() == Health::Healthy {
@@ -358,8 +359,8 @@
         let Some(route) = destination.routes.get_mut(route_name) else { return };
         let suspect = route.streak.is_suspect(now);
         for endpoint in destination.endpoints.values_mut().filter(|endpoint| endpoint.route == route_name) {
-            let is_silent = suspect && endpoint.health.is_silent(now, now);
-            if endpoint.health.is_ejected() || is_silent {
+            let is_unresponsive = suspect && endpoint.health.is_unresponsive(now, now);
+            if endpoint.health.is_ejected() || is_unresponsive {
                 endpoint.health.start_warm_up(now);
                 endpoint.budget.randomize(&mut self.shared.rng);
             }
