--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -164,7 +164,7 @@
         let part = 1.0 / destination.available_endpoints().max(1) as f64;
         let (now, slow_start, routes) = (self.now, self.slow_start, &destination.routes);
         for endpoint in destination.endpoints.values_mut() {
-            if routes.get(&endpoint.route).is_some_and(|route| route.limit.retry_after() > now) {
+            if routes.get(&endpoint.route).is_some_and(|route| route.limit.retry_after_end() > now) {
                 continue;
             }
             let share = endpoint.health.allowed_share(now, slow_start);
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -135,7 +135,7 @@
     fn rate_estimate(&self, listed_rate: Option<f64>) -> RateEstimate {
         let is_known = self.listed_rates != ListedRateAccuracy::Absent;
         let rate = listed_rate.filter(|rate| *rate > 0.0 && is_known);
-        RateEstimate::of_listed(rate, self.listed_rates == ListedRateAccuracy::Approximate)
+        RateEstimate::from_listed(rate, self.listed_rates == ListedRateAccuracy::Approximate)
     }
 
     /// The end of a list or of changes; what a `snapshot` leaves out is removed.
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -48,7 +48,7 @@
         let Some(message) = self.pending.get(&id) else { return };
         if self.may_reject(message) {
             let routes = self.routes_of(message.destination);
-            let opens = routes.map(|route| route.limit.retry_after().max(route.checks.next())).min();
+            let opens = routes.map(|route| route.limit.retry_after_end().max(route.checks.next())).min();
             let wait = opens.unwrap_or_default().saturating_sub(self.now).min(self.longest_retry_after);
             driver.reject(id, (!wait.is_zero()).then_some(wait));
         } else {
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -2,7 +2,7 @@
 
 use super::backoff::equal_jitter;
 use super::latency::LEAST_TIMEOUT;
-use super::rate_limit::SHUT;
+use super::rate_limit::OUTAGE_THRESHOLD;
 use super::slow_start::SlowStart;
 use crate::ms;
 use rand_pcg::Pcg64Mcg;
@@ -198,7 +198,7 @@
 
     /// Returns `true` if the streak has continued for longer than a rate limit explains.
     fn is_prolonged(&self, now: Duration) -> bool {
-        self.since.is_some_and(|since| since + SHUT < now)
+        self.since.is_some_and(|since| since + OUTAGE_THRESHOLD < now)
     }
 
     /// Returns `true` if calls failed more than once in a streak that is longer than a rate limit explains.
--- a/src/policy/rate_limit.rs
+++ b/src/policy/rate_limit.rs
@@ -1,139 +1,154 @@
-//! Rate limits: a route gets no more calls than its known limit, and rests after rejections.
+//! Rate limits: bounds the calls to a route by its known limit, and pauses the route after rejections.
 
 use super::backoff::{BASE, CAP, full_jitter, time_to_earn};
-use super::slow_start::FIRST_WARM_UP_RATE;
+use super::slow_start::ASSUMED_WARM_RATE_PER_S;
 use crate::{LoadReport, ms};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// What the limit allows in this span may go at once: limits are counted over a second or so.
-const BURST: Duration = ms(700);
-/// What a rejection leaves of the rate that this instance sent at.
-const ADAPTIVE_CUT: f64 = 0.6;
-/// Growth of the adaptive rate with each delivery, times the share of the limit that is left.
-const ADAPTIVE_GROWTH: f64 = 0.5;
-/// The share taken to be left where none is reported.
-const UNREPORTED_SHARE: f64 = 0.2;
-/// The least adaptive rate, in equal parts of the limit: the sum of all instances is then under it.
-const LEAST_PART: f64 = 0.5;
-/// The limit that this least rate goes by where none is known, in calls a second.
-const UNKNOWN_LIMIT: f64 = 1.0;
-/// How far a listed rate may be off, either way; concurrency limits do the rest.
-const LISTED_SLACK: f64 = 1.5;
-/// Rejecting for longer than a limit's span, a second or two, is being shut.
-pub(super) const SHUT: Duration = ms(2_500);
-
-/// A listed rate as the token bucket and the slow start take it.
+/// Period whose tokens may accumulate for a burst; destinations measure their limits over a second or so.
+const BURST_PERIOD: Duration = ms(700);
+/// Factor by which a rejection lowers the rate at which this instance sent.
+const ADAPTIVE_DECREASE_FACTOR: f64 = 0.6;
+/// Growth of the adaptive rate with each delivery, as a share of it, if the whole limit is left; the growth is
+/// proportional to the remaining share of the limit.
+const ADAPTIVE_GROWTH_SHARE: f64 = 0.5;
+/// Remaining share of the limit that is assumed for a response without a load report.
+const ASSUMED_REMAINING_SHARE: f64 = 0.2;
+/// Minimum adaptive rate as a share of this instance's equal part of the limit, below 1 so that all instances together
+/// stay under the limit.
+const MIN_RATE_SHARE: f64 = 0.5;
+/// Limit from which the minimum adaptive rate is derived if no limit is known.
+const ASSUMED_LIMIT_PER_S: f64 = 1.0;
+/// Factor by which a listed rate may be too low or too high; the concurrency limits guard against larger errors.
+const LISTED_RATE_ERROR_FACTOR: f64 = 1.5;
+/// Duration of rejections or of a Retry-After above which a route counts as unavailable: a rate limit, measured over a
+/// second or two, does not reject for so long.
+pub(super) const OUTAGE_THRESHOLD: Duration = ms(2_500);
+
+/// Estimates of a route's rate, in calls per second, for the token bucket and for slow start.
 #[derive(Clone, Copy)]
 pub(super) struct RateEstimate {
-    /// Taken for too low: what the bucket allows.
+    /// Rate that the token bucket allows, chosen high since a listed rate may be too low; `None` if no rate is known.
     pub(super) limit: Option<f64>,
-    /// Taken for too high, where the list is approximate: what the slow start goes by.
+    /// Rate from which slow start derives its budgets, chosen low if the list is approximate; `None` if no rate is known.
     pub(super) safe_rate: Option<f64>,
 }
 
 impl RateEstimate {
-    /// Of a listed rate, if there is one that means something.
-    pub(super) fn of_listed(rate: Option<f64>, is_approximate: bool) -> Self {
+    /// Creates the estimate for the rate in the endpoint list, if there is one and the list's rates are meaningful.
+    pub(super) fn from_listed(rate: Option<f64>, is_approximate: bool) -> Self {
         Self {
-            limit: rate.map(|rate| rate * LISTED_SLACK),
-            safe_rate: rate.map(|rate| if is_approximate { rate / LISTED_SLACK } else { rate }),
+            limit: rate.map(|rate| rate * LISTED_RATE_ERROR_FACTOR),
+            safe_rate: rate.map(|rate| if is_approximate { rate / LISTED_RATE_ERROR_FACTOR } else { rate }),
         }
     }
 }
 
-/// This instance's token bucket for one route, with an adaptive rate (additive increase, multiplicative decrease)
-/// below the known limit.
+/// Token bucket of this instance for one route.
+///
+/// After rejections it is refilled at an adaptive rate below the known limit, which each further rejection lowers and
+/// each delivery raises by a factor.
 pub(crate) struct TokenBucket {
     estimate: RateEstimate,
     adaptive_rate: Option<f64>,
     tokens: f64,
-    refilled: Duration,
+    refilled_at: Duration,
 }
 
 impl TokenBucket {
     pub(super) fn new(estimate: RateEstimate, now: Duration) -> Self {
-        Self { estimate, adaptive_rate: None, tokens: 1.0, refilled: now }
+        Self { estimate, adaptive_rate: None, tokens: 1.0, refilled_at: now }
     }
 
     pub(super) fn set_estimate(&mut self, estimate: RateEstimate) {
         self.estimate = estimate;
     }
 
-    /// A limit that the route itself reported.
+    /// Replaces the estimate by a limit that the route itself reported, in calls per second.
     pub(super) fn set_reported_limit(&mut self, limit: f64) {
         self.estimate = RateEstimate { limit: Some(limit), safe_rate: Some(limit) };
     }
 
-    /// Calls a second that the route takes when warm; what a destination of unknown rate is taken for otherwise.
+    /// Returns the rate, in calls per second, that the route is assumed to sustain when warm.
     pub(super) fn safe_rate(&self) -> f64 {
-        self.estimate.safe_rate.unwrap_or(FIRST_WARM_UP_RATE)
+        self.estimate.safe_rate.unwrap_or(ASSUMED_WARM_RATE_PER_S)
     }
 
+    /// Returns the refill rate in tokens per second, or `None` if calls are not limited.
     fn rate(&self) -> Option<f64> {
         self.adaptive_rate.into_iter().chain(self.estimate.limit).reduce(f64::min)
     }
 
-    /// Against limits that rejected calls use up too: `sent` calls a second by this instance were too much.
-    fn cut(&mut self, sent: f64, instances: u32) {
-        let least = self.estimate.limit.unwrap_or(UNKNOWN_LIMIT) * LEAST_PART / f64::from(instances);
-        let current = self.adaptive_rate.map_or(sent, |rate| rate.min(sent));
-        self.adaptive_rate = Some((current * ADAPTIVE_CUT).max(least));
+    /// Lowers the adaptive rate after a rejection of one of the `sent_per_s` calls per second by this instance.
+    ///
+    /// Prevents all instances together from using up a limit that counts rejected calls too.
+    fn cut_rate(&mut self, sent_per_s: f64, instances: u32) {
+        let min_rate =
+            self.estimate.limit.unwrap_or(ASSUMED_LIMIT_PER_S) * MIN_RATE_SHARE / f64::from(instances);
+        let current = self.adaptive_rate.map_or(sent_per_s, |rate| rate.min(sent_per_s));
+        self.adaptive_rate = Some((current * ADAPTIVE_DECREASE_FACTOR).max(min_rate));
     }
 
-    /// A call was delivered; `remaining_share` of the limit is left, where that is reported.
+    /// Raises the adaptive rate after a delivery, and drops it once it reaches the known limit; `remaining_share` is the
+    /// reported share of the limit that is left.
     pub(super) fn on_delivery(&mut self, remaining_share: Option<f64>) {
-        let growth = 1.0 + ADAPTIVE_GROWTH * remaining_share.unwrap_or(UNREPORTED_SHARE);
+        let growth = 1.0 + ADAPTIVE_GROWTH_SHARE * remaining_share.unwrap_or(ASSUMED_REMAINING_SHARE);
         let grown = self.adaptive_rate.map(|rate| rate * growth);
         self.adaptive_rate = grown.filter(|rate| *rate < self.estimate.limit.unwrap_or(f64::INFINITY));
     }
 
+    /// Adds the tokens earned since the last refill.
     pub(super) fn refill(&mut self, now: Duration) {
         if let Some(rate) = self.rate() {
-            let most = (rate * BURST.as_secs_f64()).max(1.0);
-            self.tokens = (self.tokens + rate * (now - self.refilled).as_secs_f64()).min(most);
+            let max_tokens = (rate * BURST_PERIOD.as_secs_f64()).max(1.0);
+            self.tokens = (self.tokens + rate * (now - self.refilled_at).as_secs_f64()).min(max_tokens);
         }
-        self.refilled = now;
+        self.refilled_at = now;
     }
 
-    /// The time until the next call may go.
-    pub(super) fn time_to_next(&self) -> Duration {
-        let lacking = self.rate().filter(|_| self.tokens < 1.0);
-        lacking.map_or(Duration::ZERO, |rate| time_to_earn(1.0 - self.tokens, rate))
+    /// Returns the time until a token is available, or zero if there is one or calls are not limited.
+    pub(super) fn time_to_next_token(&self) -> Duration {
+        let rate_if_empty = self.rate().filter(|_| self.tokens < 1.0);
+        rate_if_empty.map_or(Duration::ZERO, |rate| time_to_earn(1.0 - self.tokens, rate))
     }
 
+    /// Takes the token of a call that is started.
     pub(super) fn take(&mut self) {
         self.tokens -= 1.0;
     }
 }
 
-/// One rejection, as the route's rate limit sees it.
+/// Rejection of an attempt, with what the route's rate limit needs to know about it.
 #[derive(Clone, Copy)]
 pub(super) struct Rejection {
     pub(super) now: Duration,
-    /// When the rejected attempt started.
+    /// Start of the rejected attempt.
     pub(super) started: Duration,
+    /// Delay that the response requested; zero if none.
     pub(super) retry_after: Duration,
-    /// Attempts a second that this instance sent of late.
+    /// Recent attempts per second of this instance on the route.
     pub(super) attempt_rate: f64,
     pub(super) instances: u32,
 }
 
-/// The rate limit of one route: its token bucket, and the pauses after rejections.
+/// Rate limit of one route: its token bucket, and its pauses after rejections.
 pub(crate) struct RouteLimit {
     pub(super) bucket: TokenBucket,
-    /// Whether a response has reported the limit.
-    reported: bool,
-    /// The end of what Retry-After asked for.
-    retry_after: Duration,
-    /// The end of the pause, Retry-After and its random extension included.
+    /// `true` once a response has reported the limit.
+    is_reported: bool,
+    /// Latest end of the Retry-After periods requested so far.
+    retry_after_end: Duration,
+    /// Latest end of the pauses, including each Retry-After and its random extension.
     paused_until: Duration,
-    /// Rejections since the last delivery, and when the first of them came.
+    /// Rejections since the last delivery.
     rejections: u32,
+    /// Time of the first rejection since the last delivery.
     first_rejection: Duration,
-    /// Pauses since the last delivery, and when the last of them began.
+    /// Pauses since the last delivery; their random length grows with the number.
     pauses: u32,
+    /// Start of the last pause.
     last_pause: Duration,
 }
 
@@ -141,8 +156,8 @@
     pub(super) fn new(bucket: TokenBucket) -> Self {
         Self {
             bucket,
-            reported: false,
-            retry_after: Duration::ZERO,
+            is_reported: false,
+            retry_after_end: Duration::ZERO,
             paused_until: Duration::ZERO,
             rejections: 0,
             first_rejection: Duration::ZERO,
@@ -152,29 +167,29 @@
     }
 
     pub(super) fn is_reported(&self) -> bool {
-        self.reported
+        self.is_reported
     }
 
-    /// The end of the Retry-After in force.
-    pub(super) fn retry_after(&self) -> Duration {
-        self.retry_after
+    /// Returns the end of the Retry-After in force; it may have passed.
+    pub(super) fn retry_after_end(&self) -> Duration {
+        self.retry_after_end
     }
 
     pub(super) fn rejections(&self) -> u32 {
         self.rejections
     }
 
-    /// Takes in the load report of a response.
-    pub(super) fn on_report(&mut self, report: Option<LoadReport>) {
+    /// Adopts the limit in the load report of a response, if there is one.
+    pub(super) fn on_load_report(&mut self, report: Option<LoadReport>) {
         if let Some(report) = report.filter(|report| report.rate_limit > 0.0) {
             self.bucket.set_reported_limit(report.rate_limit);
-            self.reported = true;
+            self.is_reported = true;
         }
     }
 
-    /// A rate of the endpoint list; a reported limit goes before it.
+    /// Adopts the rate in the endpoint list, unless a response has reported the limit.
     pub(super) fn on_listed_rate(&mut self, estimate: RateEstimate) {
-        if !self.reported {
+        if !self.is_reported {
             self.bucket.set_estimate(estimate);
         }
     }
@@ -185,46 +200,47 @@
         self.bucket.on_delivery(remaining_share);
     }
 
-    /// Pauses the route, and cuts its rate.
+    /// Pauses the route and lowers its rate.
     ///
-    /// Against a herd of all that were rejected or told to wait together, where no response tells of the sum: a
-    /// Retry-After ends at random up to as long again, the bucket's next token is due within twice its gap. May leave
-    /// capacity unused after a wait.
+    /// Prevents instances that were rejected together from retrying together. Without a reported limit, which reflects
+    /// the load of all instances, a Retry-After is therefore extended at random by up to its own length, and the
+    /// bucket's next token is due at random within twice the usual interval. May leave capacity unused after a pause.
     pub(super) fn on_rejection(&mut self, rejection: Rejection, rng: &mut Pcg64Mcg) {
         let Rejection { now, retry_after, .. } = rejection;
-        let chance = if self.reported { 1.0 } else { 2.0 * rng.random::<f64>() };
+        let delay_factor = if self.is_reported { 1.0 } else { 2.0 * rng.random::<f64>() };
         self.bucket.tokens = self.bucket.tokens.min(0.0);
         if self.rejections == 0 {
             self.first_rejection = now;
         }
         self.rejections += 1;
-        // Attempts that were in flight together and are rejected make one pause.
+        // Rejected attempts that were in flight together cause only one pause.
         if rejection.started >= self.last_pause {
             self.pauses += 1;
             self.last_pause = now;
-            self.bucket.cut(rejection.attempt_rate, rejection.instances);
-            self.bucket.tokens = 1.0 - chance;
+            self.bucket.cut_rate(rejection.attempt_rate, rejection.instances);
+            self.bucket.tokens = 1.0 - delay_factor;
             let pause = full_jitter(rng, self.pauses, BASE, CAP);
             self.paused_until = self.paused_until.max(now + pause);
         }
-        self.retry_after = self.retry_after.max(now + retry_after);
-        let extension = if self.reported { 0.0 } else { chance / 2.0 };
-        self.paused_until = self.paused_until.max(self.retry_after + retry_after.mul_f64(extension));
+        self.retry_after_end = self.retry_after_end.max(now + retry_after);
+        let extension = if self.is_reported { 0.0 } else { delay_factor / 2.0 };
+        self.paused_until = self.paused_until.max(self.retry_after_end + retry_after.mul_f64(extension));
     }
 
-    /// Whether Retry-After asks for longer than a limit's span.
-    pub(super) fn is_shut(&self, now: Duration) -> bool {
-        self.retry_after > now + SHUT
+    /// Returns `true` if the rest of the Retry-After is longer than a rate limit explains.
+    pub(super) fn is_unavailable(&self, now: Duration) -> bool {
+        self.retry_after_end > now + OUTAGE_THRESHOLD
     }
 
-    /// Whether rejections with no delivery between have lasted for longer than a limit's span.
-    pub(super) fn rejects_for_long(&self, now: Duration) -> bool {
-        now > self.first_rejection + SHUT
+    /// Returns `true` if the route has rejected calls, without a delivery in between, for longer than a rate limit
+    /// explains.
+    pub(super) fn rejects_persistently(&self, now: Duration) -> bool {
+        now > self.first_rejection + OUTAGE_THRESHOLD
     }
 
-    /// When the next call may go, as far as the limit is concerned.
-    pub(super) fn opens(&self, now: Duration) -> Duration {
-        self.retry_after.max(self.paused_until).max(now + self.bucket.time_to_next())
+    /// Returns the earliest time at which the rate limit allows the next call.
+    pub(super) fn next_call_at(&self, now: Duration) -> Duration {
+        self.retry_after_end.max(self.paused_until).max(now + self.bucket.time_to_next_token())
     }
 }
 
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -67,7 +67,7 @@
     let GateInput { now, instances, slow_start, available_endpoints } = *input;
     route.limit.bucket.refill(now);
     let part = route.limit.bucket.safe_rate() / f64::from(instances) / available_endpoints as f64;
-    let retry_after = route.limit.retry_after();
+    let retry_after = route.limit.retry_after_end();
     endpoint.budget.skip_to(retry_after.min(now));
     let share = endpoint.health.allowed_share(endpoint.budget.middle(now), slow_start);
     let rate = (share * part).max(endpoint.health.min_check_rate(instances, available_endpoints));
@@ -76,7 +76,7 @@
     let is_ejected = endpoint.health.is_ejected();
     // Against many instances that each see too little to eject it. May slow an endpoint that loses some calls.
     let is_sound = endpoint.health.status() == Health::Healthy && !route.streak.is_suspect(now);
-    let mut opens = route.limit.opens(now);
+    let mut opens = route.limit.next_call_at(now);
     if !is_sound {
         opens = opens.max(now + until_earned);
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -8,7 +8,7 @@
 /// Share of the ramp that each message handed in earns: more may be asked for than the ramp takes.
 const SHARE_PER_MESSAGE: f64 = 0.9;
 /// Calls a second that a destination of unknown rate is taken for while it warms up: little.
-pub(super) const FIRST_WARM_UP_RATE: f64 = 1.0;
+pub(super) const ASSUMED_WARM_RATE_PER_S: f64 = 1.0;
 /// Part of the allowed overload that the ramp uses: the rest is for health checks and for other instances' parts.
 const OVERLOAD_PART: f64 = 0.75;
 /// The ramp's end in multiples of the warm part of the known rate: capacity lies over a limit, by a half or so.
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -52,7 +52,7 @@
     pub(super) fn drop_unused_routes(&mut self, now: Duration) {
         let used: BTreeSet<_> = self.endpoints.values().map(|endpoint| &endpoint.route).collect();
         self.routes.retain(|name, route| {
-            used.contains(name) || route.limit.retry_after() > now || route.streak.is_suspect(now)
+            used.contains(name) || route.limit.retry_after_end() > now || route.streak.is_suspect(now)
         });
     }
 }
@@ -335,7 +335,7 @@
 
     /// The end of the Retry-After in force for all routes of a destination.
     pub(super) fn retry_after(&self, destination: DestinationId) -> Duration {
-        self.routes_of(destination).map(|route| route.limit.retry_after()).min().unwrap_or_default()
+        self.routes_of(destination).map(|route| route.limit.retry_after_end()).min().unwrap_or_default()
     }
 
     /// What `message` is worth when delivered at `at`.
--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -204,7 +204,7 @@
     }
     assert!(let_in[1] as f64 > 0.5 * limit * 15.0, "{let_in:?}");
     assert!(buckets.iter().all(|bucket| {
-        let (rate, least) = bucket.rate_and_least(limit, instances);
+        let (rate, least) = bucket.rate_and_minimum(limit, instances);
         rate >= least
     }));
 }
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -130,7 +130,7 @@
         route.limit.on_rejection(rejection, &mut self.shared.rng);
         self.shared.retry_credit.on_rejection();
 
-        let is_unavailable = route.limit.is_shut(now);
+        let is_unavailable = route.limit.is_unavailable(now);
         let is_first_rejection = !is_reported && route.streak.on_rejection_without_limit();
         // Rejections count as failures if the route reports that it has no rate limit, or if there were many in a row:
         // the route is then unavailable, or its queue is full.
@@ -140,7 +140,7 @@
         if is_unavailable {
             route.streak.mark_suspect();
         }
-        let failure_weight = if route.limit.rejects_for_long(now) {
+        let failure_weight = if route.limit.rejects_persistently(now) {
             outlier::NO_RESPONSE_WEIGHT
         } else if self.attempt.started >= self.endpoint.health.last_failure() {
             outlier::MINOR_FAILURE_WEIGHT
@@ -300,7 +300,7 @@
         let Some(endpoint) = destination.endpoints.get_mut(&attempt.endpoint) else { return };
         let Some(route) = destination.routes.get_mut(&endpoint.route) else { return };
         route.limit.bucket.refill(now);
-        route.limit.on_report(result.load_report);
+        route.limit.on_load_report(result.load_report);
         let prior = PriorHealth { health: endpoint.health.status(), suspect: route.streak.is_suspect(now) };
         self.shared.connections.on_call(&endpoint.kind);
         let mut context = OutcomeContext {
@@ -346,7 +346,7 @@
         }
         let Some(endpoint) = self.endpoint(attempt.destination, &attempt.endpoint) else { return false };
         let route = &self.destinations[&attempt.destination].routes[&endpoint.route];
-        endpoint.state == EndpointState::Available && route.limit.retry_after() <= now
+        endpoint.state == EndpointState::Available && route.limit.retry_after_end() <= now
     }
 
     /// Handles gossip that a route has recovered: ejected and unresponsive endpoints of the route start to warm up.
