--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,40 +1,42 @@
-//! Retry budgets: retries are bounded by a share of first attempts, so that they cannot multiply an overload.
+//! Retry budgets: limit retries to a share of the first attempts, so that they cannot multiply an overload.
 
 use crate::ms;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Span over which first attempts and retries are compared: the design page's.
-const SPAN: Duration = ms(10_000);
-/// Retries for each first attempt: the design page's.
+/// Period before the present within which first attempts and retries are counted.
+const WINDOW: Duration = ms(10_000);
+/// Retries allowed per first attempt.
 const RETRY_SHARE: f64 = 0.1;
-/// Retries a second besides: the design page's.
-const RETRIES_PER_SECOND: f64 = 1.0;
-/// Retries in all while nothing is delivered on the route: the article's one quick retry.
-const RETRIES_UNANSWERED: f64 = 1.0;
-/// Retries after rejections that a delivery earns and a rejection costs: none are left once half are rejected.
+/// Retries per second allowed in addition, so that a route with few first attempts can still be retried.
+const RETRIES_PER_S: f64 = 1.0;
+/// Retries per window allowed in addition while nothing is delivered on the route: a single quick retry.
+const RETRIES_WITHOUT_DELIVERY: f64 = 1.0;
+/// Credit for retries after rejections that a delivery earns and a rejection costs; it runs out once half of the calls
+/// are rejected.
 const CREDIT_PER_DELIVERY: f64 = 0.25;
-/// What an instance may retry after rejections before it has delivered anything.
-const FIRST_CREDIT: f64 = 1.0;
-/// What one retry takes.
-const RETRY: f64 = 1.0;
+/// Credit for retries after rejections that an instance starts with, before it has delivered anything.
+const INITIAL_CREDIT: f64 = 1.0;
+/// Credit that one retry costs.
+const RETRY_COST: f64 = 1.0;
 
-/// The attempts of one second.
+/// Attempts started within one second of the clock.
 struct SecondOfAttempts {
     second: u64,
     first_attempts: u32,
     retries: u32,
 }
 
-/// The attempts of the span that is looked at.
+/// Sum of the attempts within the window.
 struct Totals {
-    /// The first second that counts.
-    since: u64,
+    /// First second in the window with an attempt, or the current second if there is none.
+    first_second: u64,
     first_attempts: u32,
     retries: u32,
 }
 
-/// Attempts on one route of late, by second; old seconds leave with each count.
+/// Retry budget of one route: its recent attempts by second. Seconds older than the window are dropped when an attempt
+/// is added.
 #[derive(Default)]
 pub(crate) struct RetryBudget {
     seconds: VecDeque<SecondOfAttempts>,
@@ -43,11 +45,11 @@
 impl RetryBudget {
     pub(super) fn on_attempt(&mut self, now: Duration, is_retry: bool) {
         let second = now.as_secs();
-        self.seconds.retain(|attempts| attempts.second + SPAN.as_secs() > second);
+        self.seconds.retain(|attempts| attempts.second + WINDOW.as_secs() > second);
         if self.seconds.back().is_none_or(|attempts| attempts.second != second) {
             self.seconds.push_back(SecondOfAttempts { second, first_attempts: 0, retries: 0 });
         }
-        let last = self.seconds.back_mut().expect("a second was pushed if there was none");
+        let last = self.seconds.back_mut().expect("the current second was appended if it was missing");
         if is_retry {
             last.retries += 1;
         } else {
@@ -56,48 +58,50 @@
     }
 
     fn totals(&self, now: Duration) -> Totals {
-        let live = self.seconds.iter().filter(|attempts| attempts.second + SPAN.as_secs() > now.as_secs());
-        let since = live.clone().next().map_or(now.as_secs(), |first| first.second);
-        let none = Totals { since, first_attempts: 0, retries: 0 };
-        live.fold(none, |sum, attempts| Totals {
-            since,
+        let recent =
+            self.seconds.iter().filter(|attempts| attempts.second + WINDOW.as_secs() > now.as_secs());
+        let first_second = recent.clone().next().map_or(now.as_secs(), |first| first.second);
+        let zero = Totals { first_second, first_attempts: 0, retries: 0 };
+        recent.fold(zero, |sum, attempts| Totals {
+            first_second,
             first_attempts: sum.first_attempts + attempts.first_attempts,
             retries: sum.retries + attempts.retries,
         })
     }
 
-    /// Attempts a second of late, over `span` at least.
-    pub(super) fn attempt_rate(&self, now: Duration, span: Duration) -> f64 {
-        let Totals { since, first_attempts, retries } = self.totals(now);
-        let seconds = (now.as_secs() - since + 1) as f64;
-        f64::from(first_attempts + retries) / seconds.max(span.as_secs_f64())
+    /// Returns the recent attempts per second, averaged over at least `min_period`.
+    pub(super) fn attempt_rate(&self, now: Duration, min_period: Duration) -> f64 {
+        let Totals { first_second, first_attempts, retries } = self.totals(now);
+        let seconds = (now.as_secs() - first_second + 1) as f64;
+        f64::from(first_attempts + retries) / seconds.max(min_period.as_secs_f64())
     }
 
-    /// Whether one more retry is within the budget; `unanswered` while the route's attempts fail with no delivery
-    /// between.
+    /// Returns `true` if the budget allows one more retry; `is_failing` while the route's attempts fail without a
+    /// delivery in between.
     ///
-    /// Against the sum of many instances' retries at a destination that returns. May hold back a message that was
+    /// Prevents the retries of many instances from overloading a recovering destination. May hold back a message that was
     /// lost twice.
-    pub(super) fn allows(&self, now: Duration, unanswered: bool) -> bool {
+    pub(super) fn allows(&self, now: Duration, is_failing: bool) -> bool {
         let totals = self.totals(now);
-        let besides = if unanswered { RETRIES_UNANSWERED } else { RETRIES_PER_SECOND * SPAN.as_secs_f64() };
-        f64::from(totals.retries) < RETRY_SHARE * f64::from(totals.first_attempts) + besides
+        let extra_retries =
+            if is_failing { RETRIES_WITHOUT_DELIVERY } else { RETRIES_PER_S * WINDOW.as_secs_f64() };
+        f64::from(totals.retries) < RETRY_SHARE * f64::from(totals.first_attempts) + extra_retries
     }
 }
 
-/// Retries after rejections, over all destinations: earned by deliveries where rejections have a cost.
+/// Credit for retries after rejections, over all destinations: deliveries earn it if rejected calls have a cost.
 ///
-/// Against limits that rejected calls use up: the sum of all instances' retries takes the capacity of first attempts.
-/// May end a message that a retry would have saved.
+/// Prevents the retries of all instances from taking the capacity of first attempts under limits that count rejected
+/// calls too. May give up a message that a retry would have delivered.
 pub(crate) struct RetryCredit {
-    earned: f64,
-    /// What rejections cost; 0 if nothing.
+    balance: f64,
+    /// Cost of rejected calls, from the settings; 0 if there is none, in which case the credit is not checked.
     rejection_cost: f64,
 }
 
 impl RetryCredit {
     pub(super) fn new() -> Self {
-        Self { earned: FIRST_CREDIT, rejection_cost: 0.0 }
+        Self { balance: INITIAL_CREDIT, rejection_cost: 0.0 }
     }
 
     pub(crate) fn set_rejection_cost(&mut self, cost: f64) {
@@ -105,20 +109,20 @@
     }
 
     pub(super) fn on_delivery(&mut self) {
-        self.earned = (self.earned + CREDIT_PER_DELIVERY).min(RETRIES_PER_SECOND * SPAN.as_secs_f64());
+        self.balance = (self.balance + CREDIT_PER_DELIVERY).min(RETRIES_PER_S * WINDOW.as_secs_f64());
     }
 
     pub(super) fn on_rejection(&mut self) {
-        self.earned = (self.earned - CREDIT_PER_DELIVERY).max(0.0);
+        self.balance = (self.balance - CREDIT_PER_DELIVERY).max(0.0);
     }
 
-    /// Whether a message that was rejected may be retried.
+    /// Returns `true` if a message that was rejected may be retried.
     pub(super) fn allows(&self) -> bool {
-        self.rejection_cost <= 0.0 || self.earned >= RETRY
+        self.rejection_cost <= 0.0 || self.balance >= RETRY_COST
     }
 
     pub(super) fn spend(&mut self) {
-        self.earned -= self.earned.min(RETRY);
+        self.balance -= self.balance.min(RETRY_COST);
     }
 }
 
