--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: when the endpoint list is polled, and what its entries change.
 
-use super::backoff::{CAP, full_jitter};
+use super::backoff::{MAX_DELAY, full_jitter};
 use super::outlier::{EndpointHealth, Health};
 use super::rate_limit::{RateEstimate, RouteLimit, TokenBucket};
 use super::slow_start::SlowStartBudget;
@@ -72,7 +72,7 @@
         self.failures += 1;
         let soon = now + FIRST_GAP.mul_f64(rng.random());
         let period = self.period.mul_f64(rng.random_range(PERIOD_SPREAD));
-        let later = now + full_jitter(rng, self.failures, FIRST_GAP, CAP) + period;
+        let later = now + full_jitter(rng, self.failures, FIRST_GAP, MAX_DELAY) + period;
         let last = self.began + POLL_WITHIN.mul_f64(rng.random_range(BOUND_SPREAD));
         self.next = if self.failures > 1 { later.min(last).max(soon) } else { soon };
     }
--- a/src/policy/rate_limit.rs
+++ b/src/policy/rate_limit.rs
@@ -1,6 +1,6 @@
 //! Rate limits: bounds the calls to a route by its known limit, and pauses the route after rejections.
 
-use super::backoff::{BASE, CAP, full_jitter, time_to_earn};
+use super::backoff::{BASE_DELAY, MAX_DELAY, full_jitter, time_to_earn};
 use super::slow_start::ASSUMED_WARM_RATE_PER_S;
 use crate::{LoadReport, ms};
 use rand::RngExt;
@@ -219,7 +219,7 @@
             self.last_pause = now;
             self.bucket.cut_rate(rejection.attempt_rate, rejection.instances);
             self.bucket.tokens = 1.0 - delay_factor;
-            let pause = full_jitter(rng, self.pauses, BASE, CAP);
+            let pause = full_jitter(rng, self.pauses, BASE_DELAY, MAX_DELAY);
             self.paused_until = self.paused_until.max(now + pause);
         }
         self.retry_after_end = self.retry_after_end.max(now + retry_after);
--- a/src/policy/tests/rate_limit.rs
+++ b/src/policy/tests/rate_limit.rs
@@ -85,7 +85,7 @@
     dispatcher.advance_to(ms(100));
     (0..12).for_each(|at| judge(&mut dispatcher, &attempt_at("a", ms(at)), rejected()));
     let limit = &route(&dispatcher).limit;
-    assert!(limit.paused_until <= ms(100) + BASE && limit.rejections == 12);
+    assert!(limit.paused_until <= ms(100) + BASE_DELAY && limit.rejections == 12);
     judge(&mut dispatcher, &attempt_at("a", ms(100)), rejected());
     assert_eq!(route(&dispatcher).limit.pauses, 2);
 }
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -4,7 +4,7 @@
 //! endpoint's health and the slow-start budgets of the route's endpoints are updated. Gossip about recoveries at other
 //! instances is handled here too.
 
-use super::backoff::{BASE, CAP, full_jitter};
+use super::backoff::{BASE_DELAY, MAX_DELAY, full_jitter};
 use super::latency::LatencyWindow;
 use super::outlier::{self, Health};
 use super::rate_limit::Rejection;
@@ -286,7 +286,8 @@
         message.in_flight -= 1;
         message.failures += u32::from(outcome != AttemptOutcome::NotSent);
         message.last_outcome = Some(outcome);
-        message.not_before = self.now + full_jitter(&mut self.shared.rng, message.failures, BASE, CAP);
+        message.not_before =
+            self.now + full_jitter(&mut self.shared.rng, message.failures, BASE_DELAY, MAX_DELAY);
         let is_first = message.first_execution.as_ref().is_none_or(|first| first.started > attempt.started);
         if !outcome.never_executed() && is_first {
             message.first_execution = Some(Execution { started: attempt.started, zone });
