--- a/src/policy/backoff.rs
+++ b/src/policy/backoff.rs
@@ -12,7 +12,8 @@
 pub(super) const BASE_DELAY: Duration = ms(200);
 /// Factor by which the upper bound of the delay grows with each failure.
 const MULTIPLIER: f64 = 3.0;
-/// Upper bound of the delay before retries, polls and calls after a rejection, well below the deadlines of messages in practice.
+/// Upper bound of the delay before retries, polls and calls after a rejection, well below the deadlines of messages in
+/// practice.
 pub(super) const MAX_DELAY: Duration = ms(4_000);
 /// Failures after which the delay grows no further, so that its exponential stays finite.
 const MAX_GROWTH_STEPS: u32 = 40;
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,98 +1,102 @@
-//! Latency: how long calls take of late, and from it the attempt timeout.
+//! Latency: recent durations of calls, and the attempt timeouts derived from them.
 
 use crate::ms;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A typical call where nothing recent is known: the design page's.
-pub(super) const UNKNOWN_CALL: Duration = ms(500);
-/// Calls whose median is typical: odd; a slow spell does not become typical at once.
-const SAMPLES: usize = 31;
-/// Age at which a sample says nothing of now.
-const RECENT: Duration = ms(40_000);
-/// Attempt timeout in multiples of the longest recent call: the tail of a healthy destination ends before it.
+/// Typical duration assumed for calls without recent samples.
+pub(super) const ASSUMED_LATENCY: Duration = ms(500);
+/// Maximum number of samples, whose median is the typical duration: odd, so that there is one middle sample, and large
+/// enough that a short slow period does not become typical at once.
+const MAX_SAMPLES: usize = 31;
+/// Age at which a sample no longer represents the present latency.
+const MAX_SAMPLE_AGE: Duration = ms(40_000);
+/// Attempt timeout in multiples of the longest recent call; the tail of a healthy destination's latency ends below it.
 const TIMEOUT_FACTOR: f64 = 2.0;
-/// The least attempt timeout while slots are free: time for a handshake and a queue.
-pub(super) const LEAST_TIMEOUT: Duration = ms(2_000);
-/// Samples below which a destination is little known: no median before.
-const FEW: usize = 3;
-/// Share of calls lost one by one from which the least attempt timeout goes by the free slots.
-const MANY_LOSSES: f64 = 0.05;
-/// Doublings of the attempt timeout after timeouts in a row, so that a slow destination gets to answer.
-const MOST_DOUBLINGS: u32 = 3;
-/// Typical calls after which one in flight marks its destination as slow.
+/// Minimum attempt timeout while slots are free, which leaves time for a handshake and for a queue at the endpoint.
+pub(super) const MIN_ATTEMPT_TIMEOUT: Duration = ms(2_000);
+/// Number of samples below which the latency of a destination is not considered known, as they have no useful median.
+const MIN_SAMPLES: usize = 3;
+/// Share of isolated losses from which on the minimum attempt timeout is proportional to the free slots.
+const HIGH_LOSS_SHARE: f64 = 0.05;
+/// Maximum number of doublings of the attempt timeout after consecutive timeouts.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 3;
+/// Multiple of the typical duration above which a call is slow.
 const SLOW_FACTOR: f64 = 4.0;
 
-/// The duration of one delivered call.
+/// Duration of one delivered call.
 #[derive(Clone, Copy)]
 struct Sample {
-    at: Duration,
+    delivered_at: Duration,
     duration: Duration,
 }
 
-/// Recent durations of the delivered calls of one destination and service class; bounded in number.
+/// Recent durations of delivered calls, of one service class at one destination or at all; bounded in number.
 #[derive(Default)]
 pub(crate) struct LatencyWindow {
     samples: VecDeque<Sample>,
     median: Option<Duration>,
-    timeouts_in_a_row: u32,
+    consecutive_timeouts: u32,
 }
 
 impl LatencyWindow {
     pub(super) fn on_delivery(&mut self, now: Duration, duration: Duration) {
-        self.samples.push_back(Sample { at: now, duration });
-        self.samples.retain(|sample| sample.at + RECENT > now);
-        if self.samples.len() > SAMPLES {
+        self.samples.push_back(Sample { delivered_at: now, duration });
+        self.samples.retain(|sample| sample.delivered_at + MAX_SAMPLE_AGE > now);
+        if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
         }
         let mut sorted: Vec<_> = self.samples.iter().map(|sample| sample.duration).collect();
         sorted.sort();
         self.median = Some(sorted[sorted.len() / 2]);
-        self.timeouts_in_a_row = 0;
+        self.consecutive_timeouts = 0;
     }
 
     pub(super) fn on_timeout(&mut self) {
-        self.timeouts_in_a_row += 1;
+        self.consecutive_timeouts += 1;
     }
 
-    /// How long a call typically takes.
+    /// Returns the median duration of recent calls, or a default if there are none.
     pub(super) fn typical(&self, now: Duration) -> Duration {
-        let recent = self.samples.back().is_some_and(|sample| sample.at + RECENT > now);
-        self.median.filter(|_| recent).unwrap_or(UNKNOWN_CALL)
+        let recent = self.samples.back().is_some_and(|sample| sample.delivered_at + MAX_SAMPLE_AGE > now);
+        self.median.filter(|_| recent).unwrap_or(ASSUMED_LATENCY)
     }
 
-    /// The duration of the call that was delivered last.
+    /// Returns the duration of the call that was delivered last, if any.
     pub(super) fn last_duration(&self) -> Option<Duration> {
         self.samples.back().map(|sample| sample.duration)
     }
 
-    /// A duration that healthy calls of this kind stay below.
+    /// Returns a duration that the calls of a healthy destination stay below.
     pub(super) fn tail_bound(&self) -> Duration {
         let longest = self.samples.iter().map(|sample| sample.duration).max();
-        longest.unwrap_or(UNKNOWN_CALL).mul_f64(TIMEOUT_FACTOR)
+        longest.unwrap_or(ASSUMED_LATENCY).mul_f64(TIMEOUT_FACTOR)
     }
 
-    /// How long an attempt may take: longer after each timeout in a row, so that a slow destination gets to answer.
+    /// Returns the timeout of an attempt, which doubles with consecutive timeouts so that a slow destination has time
+    /// to respond.
     ///
-    /// `elsewhere`, what calls of its class take at other destinations, counts while little is known here;
-    /// `least_share` is the part of the least timeout that the free slots leave room for.
-    pub(super) fn attempt_timeout(&self, elsewhere: Duration, least_share: f64) -> Duration {
-        let little_known = self.samples.len() < FEW;
-        let least = if little_known { elsewhere.max(LEAST_TIMEOUT) } else { LEAST_TIMEOUT };
-        let timeout = self.tail_bound().max(least.mul_f64(least_share));
-        timeout * 2u32.pow(self.timeouts_in_a_row.min(MOST_DOUBLINGS))
+    /// While the window has few samples, the timeout is at least `fallback_tail_bound`, usually that of the service
+    /// class over all destinations. The minimum timeout is scaled by `minimum_share`, which is below 1 if slots are
+    /// short.
+    pub(super) fn attempt_timeout(&self, fallback_tail_bound: Duration, minimum_share: f64) -> Duration {
+        let has_few_samples = self.samples.len() < MIN_SAMPLES;
+        let min_timeout =
+            if has_few_samples { fallback_tail_bound.max(MIN_ATTEMPT_TIMEOUT) } else { MIN_ATTEMPT_TIMEOUT };
+        let timeout = self.tail_bound().max(min_timeout.mul_f64(minimum_share));
+        timeout * 2u32.pow(self.consecutive_timeouts.min(MAX_TIMEOUT_DOUBLINGS))
     }
 }
 
-/// Whether `duration` is that of a slow call where one typically takes `typical`.
+/// Returns `true` if a call that takes `duration` is slow, where calls typically take `typical`.
 pub(super) fn is_slow(duration: Duration, typical: Duration) -> bool {
     duration > typical.mul_f64(SLOW_FACTOR)
 }
 
-/// About the share of calls that got no response while others at their endpoint did.
+/// Approximate share of isolated losses: calls that got no response while others at their endpoint did.
 ///
-/// Against lost responses that hold all slots. May give up a call at a destination that turns slow in the midst of
-/// that.
+/// Prevents calls whose responses are lost from holding all slots, by shortening the attempt timeout. May time out a
+/// call to a destination that becomes slow at the same time.
 #[derive(Default)]
 pub(crate) struct IsolatedLosses {
     share: f64,
@@ -100,16 +104,17 @@
 
 impl IsolatedLosses {
     pub(super) fn on_delivery(&mut self) {
-        self.share *= 1.0 - MANY_LOSSES;
+        self.share *= 1.0 - HIGH_LOSS_SHARE;
     }
 
     pub(super) fn on_isolated_timeout(&mut self) {
-        self.share += MANY_LOSSES;
+        self.share += HIGH_LOSS_SHARE;
     }
 
-    /// The share of the least attempt timeout that counts while `free` of the slots are free.
-    pub(super) fn least_timeout_share(&self, free: f64) -> f64 {
-        free.max(1.0 - self.share / MANY_LOSSES)
+    /// Returns the share of the minimum attempt timeout that applies while `free_slot_share` of the slots is free: 1
+    /// without losses, and down to `free_slot_share` as they become frequent.
+    pub(super) fn min_timeout_share(&self, free_slot_share: f64) -> f64 {
+        free_slot_share.max(1.0 - self.share / HIGH_LOSS_SHARE)
     }
 }
 
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,7 +1,7 @@
 //! Outlier detection: the health of endpoints, the failure streaks of routes, and the schedule of health checks.
 
 use super::backoff::equal_jitter;
-use super::latency::LEAST_TIMEOUT;
+use super::latency::MIN_ATTEMPT_TIMEOUT;
 use super::rate_limit::OUTAGE_THRESHOLD;
 use super::slow_start::SlowStart;
 use crate::ms;
@@ -25,7 +25,8 @@
 pub(super) const UNAVAILABLE_WEIGHT: f64 = 1.0;
 /// Failing share above which an endpoint is ejected: more than half of its calls fail.
 const EJECTION_FAILING_SHARE: f64 = 0.5;
-/// Maximum failing share of an endpoint that starts to warm up, so high that one or two further failures eject it again.
+/// Maximum failing share of an endpoint that starts to warm up, so high that one or two further failures eject it
+/// again.
 const MAX_RECOVERY_FAILING_SHARE: f64 = 0.4;
 /// Calls in flight that a failing share of 1 counts as when endpoints are compared by load, so that a retry prefers
 /// another endpoint.
@@ -126,7 +127,7 @@
 
     /// Returns `true` if nothing was delivered after `since` or within the minimum attempt timeout before `now`.
     pub(super) fn is_unresponsive(&self, now: Duration, since: Duration) -> bool {
-        !self.delivered_since(since) && self.last_delivery + LEAST_TIMEOUT <= now
+        !self.delivered_since(since) && self.last_delivery + MIN_ATTEMPT_TIMEOUT <= now
     }
 
     pub(super) fn start_warm_up(&mut self, now: Duration) {
@@ -148,8 +149,8 @@
         slow_start.share(Duration::ZERO)
     }
 
-    /// Returns the minimum rate of calls per second to this endpoint that one of `instances` may always make, for health
-    /// checks; the rate is divided among the `endpoints` of the destination. It is 0 during a warm-up.
+    /// Returns the minimum rate of calls per second to this endpoint that one of `instances` may always make, for
+    /// health checks; the rate is divided among the `endpoints` of the destination. It is 0 during a warm-up.
     pub(super) fn min_check_rate(&self, instances: u32, endpoints: usize) -> f64 {
         if matches!(self.status, Health::WarmingUp { .. }) {
             return 0.0;
@@ -206,11 +207,11 @@
         self.failures >= SUSPECT_FAILURES && self.is_prolonged(now)
     }
 
-    /// Returns `true` if the route is suspect: after two failures, or after prolonged rejections without a reported rate
-    /// limit.
+    /// Returns `true` if the route is suspect: after two failures, or after prolonged rejections without a reported
+    /// rate limit.
     ///
-    /// Counting the rejections covers instances that call too seldom to observe two failures. May hold back calls that a
-    /// rate limit would have accepted.
+    /// Counting the rejections covers instances that call too seldom to observe two failures. May hold back calls that
+    /// a rate limit would have accepted.
     pub(super) fn is_suspect(&self, now: Duration) -> bool {
         self.failures >= SUSPECT_FAILURES || self.rejected_without_limit && self.is_prolonged(now)
     }
@@ -242,7 +243,8 @@
         self.next = now + equal_jitter(rng, self.count, MAX_CHECK_INTERVAL);
     }
 
-    /// Postpones the next health check after a failed call to an ejected endpoint; it is never moved to an earlier time.
+    /// Postpones the next health check after a failed call to an ejected endpoint; it is never moved to an earlier
+    /// time.
     pub(super) fn on_failure(&mut self, now: Duration, never_executed: bool, rng: &mut Pcg64Mcg) {
         self.count += 1;
         let cap = if never_executed { MAX_CHECK_INTERVAL } else { MAX_COSTLY_CHECK_INTERVAL };
--- a/src/policy/rate_limit.rs
+++ b/src/policy/rate_limit.rs
@@ -32,7 +32,8 @@
 pub(super) struct RateEstimate {
     /// Rate that the token bucket allows, chosen high since a listed rate may be too low; `None` if no rate is known.
     pub(super) limit: Option<f64>,
-    /// Rate from which slow start derives its budgets, chosen low if the list is approximate; `None` if no rate is known.
+    /// Rate from which slow start derives its budgets, chosen low if the list is approximate; `None` if no rate is
+    /// known.
     pub(super) safe_rate: Option<f64>,
 }
 
@@ -91,8 +92,8 @@
         self.adaptive_rate = Some((current * ADAPTIVE_DECREASE_FACTOR).max(min_rate));
     }
 
-    /// Raises the adaptive rate after a delivery, and drops it once it reaches the known limit; `remaining_share` is the
-    /// reported share of the limit that is left.
+    /// Raises the adaptive rate after a delivery, and drops it once it reaches the known limit; `remaining_share` is
+    /// the reported share of the limit that is left.
     pub(super) fn on_delivery(&mut self, remaining_share: Option<f64>) {
         let growth = 1.0 + ADAPTIVE_GROWTH_SHARE * remaining_share.unwrap_or(ASSUMED_REMAINING_SHARE);
         let grown = self.adaptive_rate.map(|rate| rate * growth);
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -79,8 +79,8 @@
     /// Returns `true` if the budget allows one more retry; `is_failing` while the route's attempts fail without a
     /// delivery in between.
     ///
-    /// Prevents the retries of many instances from overloading a recovering destination. May hold back a message that was
-    /// lost twice.
+    /// Prevents the retries of many instances from overloading a recovering destination. May hold back a message that
+    /// was lost twice.
     pub(super) fn allows(&self, now: Duration, is_failing: bool) -> bool {
         let totals = self.totals(now);
         let extra_retries =
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -169,7 +169,7 @@
     fn attempt_timeout(&self, id: MessageId) -> Option<Duration> {
         let message = self.pending.get(&id)?;
         let calls = self.in_flight.values().filter(|attempt| !attempt.is_batched).count();
-        let least_share = self.shared.isolated_losses.least_timeout_share(self.slots.free_share(calls));
+        let least_share = self.shared.isolated_losses.min_timeout_share(self.slots.free_share(calls));
         let time_left = message.deadline.saturating_sub(self.now);
         let class_latency = self.shared.class_latency.get(&message.class);
         let elsewhere = class_latency.map_or(Duration::ZERO, LatencyWindow::tail_bound);
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -7,7 +7,7 @@
 use super::concurrency::{ConcurrencyLimit, Slots};
 use super::connections::IdleConnections;
 use super::discovery::{DiscoveryPolls, KnownDestinations};
-use super::latency::{IsolatedLosses, LatencyWindow, UNKNOWN_CALL};
+use super::latency::{ASSUMED_LATENCY, IsolatedLosses, LatencyWindow};
 use super::ordering::OrderingQueues;
 use super::outlier::{EndpointHealth, FailureStreak, HealthChecks};
 use super::rate_limit::RouteLimit;
@@ -330,7 +330,7 @@
 
     /// How long a call of a class typically takes at a destination.
     pub(super) fn typical_call(&self, destination: DestinationId, class: usize) -> Duration {
-        self.latency(destination, class).map_or(UNKNOWN_CALL, |latency| latency.typical(self.now))
+        self.latency(destination, class).map_or(ASSUMED_LATENCY, |latency| latency.typical(self.now))
     }
 
     /// The end of the Retry-After in force for all routes of a destination.
