--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -68,8 +68,8 @@
     route.limit.bucket.refill(now);
     let part = route.limit.bucket.safe_rate() / f64::from(instances) / available_endpoints as f64;
     let retry_after = route.limit.retry_after_end();
-    endpoint.budget.skip_to(retry_after.min(now));
-    let share = endpoint.health.allowed_share(endpoint.budget.middle(now), slow_start);
+    endpoint.budget.skip_earning_until(retry_after.min(now));
+    let share = endpoint.health.allowed_share(endpoint.budget.midpoint_since_refill(now), slow_start);
     let rate = (share * part).max(endpoint.health.min_check_rate(instances, available_endpoints));
     let until_earned = endpoint.budget.refill(now, rate);
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,100 +1,110 @@
-//! Slow start: what a destination that was out, is suspected or is warming up may get, by the sum of all instances.
+//! Slow start: limits the load on a destination that is recovering or suspect, summed over all instances.
 
 use super::backoff::time_to_earn;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Share of the ramp that each message handed in earns: more may be asked for than the ramp takes.
-const SHARE_PER_MESSAGE: f64 = 0.9;
-/// Calls a second that a destination of unknown rate is taken for while it warms up: little.
+/// Attempts that each accepted message earns, as a share of the load currently allowed; below 1 since messages may
+/// arrive faster than the recovery ramp allows.
+const EARNED_PER_MESSAGE: f64 = 0.9;
+/// Rate assumed for a warm destination of unknown rate, chosen low so that a recovery is not overloaded.
 pub(super) const ASSUMED_WARM_RATE_PER_S: f64 = 1.0;
-/// Part of the allowed overload that the ramp uses: the rest is for health checks and for other instances' parts.
-const OVERLOAD_PART: f64 = 0.75;
-/// The ramp's end in multiples of the warm part of the known rate: capacity lies over a limit, by a half or so.
-const MOST_OVERLOAD: f64 = 1.6;
-/// The least warm-up time that a ramp divides by, in seconds.
-const LEAST_WARM_UP: f64 = 0.001;
-/// What one attempt takes of a budget.
-const ATTEMPT: f64 = 1.0;
+/// Share of the allowed overload that the recovery ramp uses; the rest is left for health checks and for the other
+/// instances.
+const OVERLOAD_SHARE: f64 = 0.75;
+/// Maximum of the recovery ramp in multiples of the known rate of the warm destination; the capacity of a destination
+/// exceeds its rate limit by about a half.
+const MAX_OVERLOAD_FACTOR: f64 = 1.6;
+/// Minimum warm-up time in the ramp's division, which keeps it defined when the configured time is zero.
+const MIN_WARM_UP_SECS: f64 = 0.001;
+/// Part of a budget that one attempt costs; also the maximum of a budget.
+const ATTEMPT_COST: f64 = 1.0;
 
-/// What the settings say of a destination that returns.
+/// Settings for slow start of recovering destinations.
 #[derive(Clone, Copy)]
 pub(crate) struct SlowStart {
-    /// How far over its capacity of now a returning destination may be loaded.
+    /// Load that a recovering destination withstands, in multiples of its current capacity.
     pub(crate) overload_factor: f64,
-    /// The share of its capacity that it begins with.
+    /// Share of its full capacity that a destination has when it recovers.
     pub(crate) initial_share: f64,
-    /// How long it takes to full capacity.
+    /// Time from the recovery to full capacity, during which the capacity grows linearly.
     pub(crate) warm_up: Duration,
 }
 
 impl SlowStart {
-    /// Of what a warm destination takes, what it may get `age` after its return: a little over what it can do by then.
+    /// Returns the load, as a share of what a warm destination may receive, that is allowed `age` after a recovery: a
+    /// little more than its capacity at that time.
     pub(super) fn share(&self, age: Duration) -> f64 {
-        let warmth = (age.as_secs_f64() / self.warm_up.as_secs_f64().max(LEAST_WARM_UP)).min(1.0);
-        let capacity = self.initial_share + (1.0 - self.initial_share) * warmth;
-        (self.overload_factor * OVERLOAD_PART).min(MOST_OVERLOAD) * capacity
+        let progress = (age.as_secs_f64() / self.warm_up.as_secs_f64().max(MIN_WARM_UP_SECS)).min(1.0);
+        let capacity = self.initial_share + (1.0 - self.initial_share) * progress;
+        (self.overload_factor * OVERLOAD_SHARE).min(MAX_OVERLOAD_FACTOR) * capacity
     }
 }
 
-/// Attempts that one endpoint may get while it is not healthy, earned in two ways of which the larger counts: by the
-/// messages handed in for it, and by time as this instance's part of its known rate.
+/// Budget of attempts at one endpoint while it is not healthy or its route is suspect.
+///
+/// An attempt may start as soon as it is earned in one of two ways: by messages accepted for the destination, or by
+/// time at this instance's part of the endpoint's known rate.
 pub(crate) struct SlowStartBudget {
     by_messages: f64,
     by_time: f64,
-    refilled: Duration,
+    refilled_at: Duration,
 }
 
 impl SlowStartBudget {
-    /// The part earned by messages begins at a random point under one: of many instances with little work each, some
-    /// send at once.
-    pub(super) fn new(chance: f64, now: Duration) -> Self {
-        Self { by_messages: chance, by_time: 0.0, refilled: now }
+    /// Creates a budget whose part earned by messages starts at `random_fraction`, below 1, so that some of many
+    /// instances with few messages each send at once.
+    pub(super) fn new(random_fraction: f64, now: Duration) -> Self {
+        Self { by_messages: random_fraction, by_time: 0.0, refilled_at: now }
     }
 
-    /// Begins anew at a random point. Against a herd of all instances that begin to earn in one instant.
+    /// Sets both parts of the budget to a random fraction of an attempt.
+    ///
+    /// Prevents instances that start to earn at the same time from sending at the same time.
     pub(super) fn randomize(&mut self, rng: &mut Pcg64Mcg) {
-        let chance = rng.random();
-        self.by_messages = chance;
-        self.by_time = chance;
+        let random_fraction = rng.random();
+        self.by_messages = random_fraction;
+        self.by_time = random_fraction;
     }
 
-    /// The same, and time counts from `now` on.
+    /// Sets the budget to a random fraction of an attempt, and earns by time from `now` on.
     pub(super) fn restart(&mut self, rng: &mut Pcg64Mcg, now: Duration) {
         self.randomize(rng);
-        self.refilled = now;
+        self.refilled_at = now;
     }
 
     pub(super) fn is_ready(&self) -> bool {
-        self.by_messages >= ATTEMPT || self.by_time >= ATTEMPT
+        self.by_messages >= ATTEMPT_COST || self.by_time >= ATTEMPT_COST
     }
 
     pub(super) fn spend(&mut self) {
-        self.by_messages = (self.by_messages - ATTEMPT).max(0.0);
-        self.by_time = (self.by_time - ATTEMPT).max(0.0);
+        self.by_messages = (self.by_messages - ATTEMPT_COST).max(0.0);
+        self.by_time = (self.by_time - ATTEMPT_COST).max(0.0);
     }
 
-    /// Nothing is earned up to `until`, as long as a Retry-After is in force.
-    pub(super) fn skip_to(&mut self, until: Duration) {
-        self.refilled = self.refilled.max(until);
+    /// Excludes the time up to `until` from earning, for a Retry-After that is or was in force.
+    pub(super) fn skip_earning_until(&mut self, until: Duration) {
+        self.refilled_at = self.refilled_at.max(until);
     }
 
-    /// The middle of the time since the last refill: as the ramp is straight, its mean share.
-    pub(super) fn middle(&self, now: Duration) -> Duration {
-        (now + self.refilled) / 2
+    /// Returns the midpoint of the time since the last refill, at which the linear ramp has its mean share.
+    pub(super) fn midpoint_since_refill(&self, now: Duration) -> Duration {
+        (now + self.refilled_at) / 2
     }
 
-    /// Earns at `rate` calls a second since the last refill; the time until the next attempt may go.
+    /// Adds what was earned by time, at `rate` attempts per second, since the last refill, and returns the time until
+    /// an attempt is earned.
     pub(super) fn refill(&mut self, now: Duration, rate: f64) -> Duration {
-        self.by_time = (self.by_time + rate * (now - self.refilled).as_secs_f64()).min(ATTEMPT);
-        self.refilled = now;
-        if self.is_ready() { Duration::ZERO } else { time_to_earn(ATTEMPT - self.by_time, rate) }
+        self.by_time = (self.by_time + rate * (now - self.refilled_at).as_secs_f64()).min(ATTEMPT_COST);
+        self.refilled_at = now;
+        if self.is_ready() { Duration::ZERO } else { time_to_earn(ATTEMPT_COST - self.by_time, rate) }
     }
 
-    /// One message was handed in for the destination; `part` of it falls to this endpoint, which may get `share`.
+    /// Adds what a message accepted for the destination earns: `part` of it counts for this endpoint, whose allowed
+    /// load is `share`.
     pub(super) fn on_message(&mut self, share: f64, part: f64) {
-        self.by_messages = (self.by_messages + share * SHARE_PER_MESSAGE * part).min(ATTEMPT);
+        self.by_messages = (self.by_messages + share * EARNED_PER_MESSAGE * part).min(ATTEMPT_COST);
     }
 }
 
