--- a/src/policy/connections.rs
+++ b/src/policy/connections.rs
@@ -40,7 +40,7 @@
 }
 
 /// Destination and name of an endpoint.
-pub(crate) type EndpointKey = (DestinationId, String);
+pub(super) type EndpointKey = (DestinationId, String);
 
 /// Endpoints to which this instance has an idle connection, and idle timeouts by kind of destination.
 pub(crate) struct IdleConnections {
@@ -114,18 +114,18 @@
     }
 
     /// Returns the time left to a connection that has been idle since `since`; zero if its `kind` is unknown.
-    pub(super) fn time_left(&self, kind: Option<&str>, since: Duration, now: Duration) -> Duration {
+    fn time_left(&self, kind: Option<&str>, since: Duration, now: Duration) -> Duration {
         let timeout = kind.and_then(|kind| self.timeouts.get(kind));
         let timeout = timeout.map_or(Duration::ZERO, |timeout| timeout.current);
         since.saturating_add(timeout).saturating_sub(now)
     }
 
     /// Returns the shortest of the idle timeouts of all kinds, or `None` before the first call has ended.
-    pub(super) fn min_timeout(&self) -> Option<Duration> {
+    fn min_timeout(&self) -> Option<Duration> {
         self.timeouts.values().map(|timeout| timeout.current).min()
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (&EndpointKey, Duration)> {
+    fn iter(&self) -> impl Iterator<Item = (&EndpointKey, Duration)> {
         self.idle_since.iter().map(|(endpoint, since)| (endpoint, *since))
     }
 }
@@ -145,10 +145,10 @@
     /// Rule: if idle connections to an endpoint have exceeded their timeout, closes those of the first such endpoint.
     pub(crate) fn close_idle_connections(&mut self, driver: &mut dyn Driver) -> bool {
         let Some(min_timeout) = self.shared.connections.min_timeout() else { return false };
-        let is_expired = |key: &EndpointKey, since: Duration| {
+        let exceeds_timeout = |key: &EndpointKey, since: Duration| {
             since + min_timeout <= self.now && self.idle_time_left(key, since).is_zero()
         };
-        let expired = self.shared.connections.iter().find(|(key, since)| is_expired(key, *since));
+        let expired = self.shared.connections.iter().find(|(key, since)| exceeds_timeout(key, *since));
         let Some(key) = expired.map(|(key, _)| key.clone()) else { return false };
         self.shared.connections.remove(&key);
         let destination = self.destinations.get_mut(&key.0);
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -33,7 +33,7 @@
 
 /// Recent durations of delivered calls, of one service class at one destination or at all; bounded in number.
 #[derive(Default)]
-pub(crate) struct LatencyWindow {
+pub(super) struct LatencyWindow {
     samples: VecDeque<Sample>,
     median: Option<Duration>,
     consecutive_timeouts: u32,
@@ -98,7 +98,7 @@
 /// Prevents calls whose responses are lost from holding all slots, by shortening the attempt timeout. May time out a
 /// call to a destination that becomes slow at the same time.
 #[derive(Default)]
-pub(crate) struct IsolatedLosses {
+pub(super) struct IsolatedLosses {
     share: f64,
 }
 
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -72,7 +72,7 @@
 }
 
 /// Health of one endpoint, with the failures and deliveries that determine it.
-pub(crate) struct EndpointHealth {
+pub(super) struct EndpointHealth {
     status: Health,
     /// Moving average, from 0 to 1, of failed calls; each failure counts by its weight.
     failing_share: f64,
@@ -161,7 +161,7 @@
 
 /// Failures and rejections on a route since a call was last delivered.
 #[derive(Default)]
-pub(crate) struct FailureStreak {
+pub(super) struct FailureStreak {
     failures: u32,
     /// Time of the first failure or rejection, if any.
     since: Option<Duration>,
@@ -219,7 +219,7 @@
 
 /// Schedule of the health checks of a route's ejected endpoints.
 #[derive(Default)]
-pub(crate) struct HealthChecks {
+pub(super) struct HealthChecks {
     /// Health checks and failures since the last recovery; the delay grows with them.
     count: u32,
     /// Earliest time of the next health check.
--- a/src/policy/rate_limit.rs
+++ b/src/policy/rate_limit.rs
@@ -51,7 +51,7 @@
 ///
 /// After rejections it is refilled at an adaptive rate below the known limit, which each further rejection lowers and
 /// each delivery raises by a factor.
-pub(crate) struct TokenBucket {
+pub(super) struct TokenBucket {
     estimate: RateEstimate,
     adaptive_rate: Option<f64>,
     tokens: f64,
@@ -68,7 +68,7 @@
     }
 
     /// Replaces the estimate by a limit that the route itself reported, in calls per second.
-    pub(super) fn set_reported_limit(&mut self, limit: f64) {
+    fn set_reported_limit(&mut self, limit: f64) {
         self.estimate = RateEstimate { limit: Some(limit), safe_rate: Some(limit) };
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Returns the time until a token is available, or zero if there is one or calls are not limited.
-    pub(super) fn time_to_next_token(&self) -> Duration {
+    fn time_to_next_token(&self) -> Duration {
         let rate_if_empty = self.rate().filter(|_| self.tokens < 1.0);
         rate_if_empty.map_or(Duration::ZERO, |rate| time_to_earn(1.0 - self.tokens, rate))
     }
@@ -135,7 +135,7 @@
 }
 
 /// Rate limit of one route: its token bucket, and its pauses after rejections.
-pub(crate) struct RouteLimit {
+pub(super) struct RouteLimit {
     pub(super) bucket: TokenBucket,
     /// `true` once a response has reported the limit.
     is_reported: bool,
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -38,7 +38,7 @@
 /// Retry budget of one route: its recent attempts by second. Seconds older than the window are dropped when an attempt
 /// is added.
 #[derive(Default)]
-pub(crate) struct RetryBudget {
+pub(super) struct RetryBudget {
     seconds: VecDeque<SecondOfAttempts>,
 }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -46,7 +46,7 @@
 ///
 /// An attempt may start as soon as it is earned in one of two ways: by messages accepted for the destination, or by
 /// time at this instance's part of the endpoint's known rate.
-pub(crate) struct SlowStartBudget {
+pub(super) struct SlowStartBudget {
     by_messages: f64,
     by_time: f64,
     refilled_at: Duration,
