--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -31,7 +31,7 @@
     duration: Duration,
 }
 
-/// Recent durations of delivered calls, of one service class at one destination or at all; bounded in number.
+/// Recent durations of the delivered calls of one service class, at one destination or at all destinations.
 #[derive(Default)]
 pub(super) struct LatencyWindow {
     samples: VecDeque<Sample>,
@@ -77,13 +77,13 @@
     /// to respond.
     ///
     /// While the window has few samples, the timeout is at least `fallback_tail_bound`, usually that of the service
-    /// class over all destinations. The minimum timeout is scaled by `minimum_share`, which is below 1 if slots are
+    /// class over all destinations. The minimum timeout is scaled by `min_timeout_share`, which is below 1 if slots are
     /// short.
-    pub(super) fn attempt_timeout(&self, fallback_tail_bound: Duration, minimum_share: f64) -> Duration {
+    pub(super) fn attempt_timeout(&self, fallback_tail_bound: Duration, min_timeout_share: f64) -> Duration {
         let has_few_samples = self.samples.len() < MIN_SAMPLES;
         let min_timeout =
             if has_few_samples { fallback_tail_bound.max(MIN_ATTEMPT_TIMEOUT) } else { MIN_ATTEMPT_TIMEOUT };
-        let timeout = self.tail_bound().max(min_timeout.mul_f64(minimum_share));
+        let timeout = self.tail_bound().max(min_timeout.mul_f64(min_timeout_share));
         timeout * 2u32.pow(self.consecutive_timeouts.min(MAX_TIMEOUT_DOUBLINGS))
     }
 }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -107,6 +107,8 @@
         (self.failing_share * MAX_LOAD_PENALTY_CALLS) as i64
     }
 
+    /// Records a failure: raises the failing share by `weight`, from 0 to 1, and ejects the endpoint if the share is
+    /// too high; otherwise restarts a warm-up.
     pub(super) fn on_failure(&mut self, now: Duration, weight: f64) {
         self.failing_share += (1.0 - self.failing_share) * weight;
         self.last_failure = now;
@@ -117,6 +119,7 @@
         }
     }
 
+    /// Records a delivery: lowers the failing share, and starts the warm-up of an ejected endpoint.
     pub(super) fn on_delivery(&mut self, now: Duration) {
         self.failing_share *= 1.0 - FAILURE_WEIGHT;
         self.last_delivery = now;
@@ -130,6 +133,7 @@
         !self.delivered_since(since) && self.last_delivery + MIN_ATTEMPT_TIMEOUT <= now
     }
 
+    /// Starts a warm-up at `now`, whatever the status was before.
     pub(super) fn start_warm_up(&mut self, now: Duration) {
         self.failing_share = self.failing_share.min(MAX_RECOVERY_FAILING_SHARE);
         self.status = Health::WarmingUp { since: now };
@@ -238,6 +242,7 @@
         self.next = now;
     }
 
+    /// Schedules the next health check after one has started.
     pub(super) fn on_check(&mut self, now: Duration, rng: &mut Pcg64Mcg) {
         self.count += 1;
         self.next = now + equal_jitter(rng, self.count, MAX_CHECK_INTERVAL);
--- a/src/policy/rate_limit.rs
+++ b/src/policy/rate_limit.rs
@@ -11,8 +11,8 @@
 const BURST_PERIOD: Duration = ms(700);
 /// Factor by which a rejection lowers the rate at which this instance sent.
 const ADAPTIVE_DECREASE_FACTOR: f64 = 0.6;
-/// Growth of the adaptive rate with each delivery, as a share of it, if the whole limit is left; the growth is
-/// proportional to the remaining share of the limit.
+/// Growth of the adaptive rate with each delivery, as a share of the rate and per remaining share of the limit: the
+/// rate grows by half if the whole limit is left.
 const ADAPTIVE_GROWTH_SHARE: f64 = 0.5;
 /// Remaining share of the limit that is assumed for a response without a load report.
 const ASSUMED_REMAINING_SHARE: f64 = 0.2;
@@ -30,10 +30,10 @@
 /// Estimates of a route's rate, in calls per second, for the token bucket and for slow start.
 #[derive(Clone, Copy)]
 pub(super) struct RateEstimate {
-    /// Rate that the token bucket allows, chosen high since a listed rate may be too low; `None` if no rate is known.
+    /// Rate that the token bucket allows, above the listed rate as that may be too low; `None` if no rate is known.
     pub(super) limit: Option<f64>,
-    /// Rate from which slow start derives its budgets, chosen low if the list is approximate; `None` if no rate is
-    /// known.
+    /// Rate from which slow start derives its budgets, below the listed rate if that is approximate; `None` if no rate
+    /// is known.
     pub(super) safe_rate: Option<f64>,
 }
 
@@ -203,9 +203,9 @@
 
     /// Pauses the route and lowers its rate.
     ///
-    /// Prevents instances that were rejected together from retrying together. Without a reported limit, which reflects
-    /// the load of all instances, a Retry-After is therefore extended at random by up to its own length, and the
-    /// bucket's next token is due at random within twice the usual interval. May leave capacity unused after a pause.
+    /// Prevents instances that were rejected together from retrying together. Only a reported limit reflects the calls
+    /// of all instances: without one, a Retry-After is extended at random by up to its own length, and the bucket's
+    /// next token is due at random within twice the usual interval. May leave capacity unused after a pause.
     pub(super) fn on_rejection(&mut self, rejection: Rejection, rng: &mut Pcg64Mcg) {
         let Rejection { now, retry_after, .. } = rejection;
         let delay_factor = if self.is_reported { 1.0 } else { 2.0 * rng.random::<f64>() };
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -8,7 +8,7 @@
 /// Attempts that each accepted message earns, as a share of the load currently allowed; below 1 since messages may
 /// arrive faster than the recovery ramp allows.
 const EARNED_PER_MESSAGE: f64 = 0.9;
-/// Rate assumed for a warm destination of unknown rate, chosen low so that a recovery is not overloaded.
+/// Rate assumed for a warm destination of unknown rate, low so as not to overload a destination that recovers.
 pub(super) const ASSUMED_WARM_RATE_PER_S: f64 = 1.0;
 /// Share of the allowed overload that the recovery ramp uses; the rest is left for health checks and for the other
 /// instances.
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -24,7 +24,7 @@
     Recovered,
 }
 
-/// Assessment of one outcome.
+/// Effect of one outcome on the health of its endpoint and route.
 struct Assessment {
     /// Weight in the failing share of the endpoint, from 0 to 1; 0 if the outcome is no failure.
     failure_weight: f64,
@@ -119,12 +119,12 @@
         let is_reported = route.limit.is_reported();
         // Without a reported limit, the attempt rate is averaged over the overload tolerance at least: a single call
         // must not count as a rate of one per second.
-        let span = if is_reported { Duration::ZERO } else { self.overload_tolerance };
+        let min_period = if is_reported { Duration::ZERO } else { self.overload_tolerance };
         let rejection = Rejection {
             now,
             started: self.attempt.started,
             retry_after,
-            attempt_rate: route.retry_budget.attempt_rate(now, span),
+            attempt_rate: route.retry_budget.attempt_rate(now, min_period),
             instances: self.instances,
         };
         route.limit.on_rejection(rejection, &mut self.shared.rng);
