--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: polling of the endpoint list, and the changes that its entries make.
 
-use super::backoff::{CAP, full_jitter};
+use super::backoff::{MAX_DELAY, full_jitter};
 use super::outlier::{EndpointHealth, Health};
 use super::rate_limit::{RateEstimate, RouteLimit, TokenBucket};
 use super::slow_start::SlowStartBudget;
@@ -88,7 +88,7 @@
         self.failures += 1;
         let earliest = now + MAX_FIRST_RETRY_DELAY.mul_f64(rng.random());
         let period = self.period.mul_f64(rng.random_range(PERIOD_JITTER));
-        let desired = now + full_jitter(rng, self.failures, MAX_FIRST_RETRY_DELAY, CAP) + period;
+        let desired = now + full_jitter(rng, self.failures, MAX_FIRST_RETRY_DELAY, MAX_DELAY) + period;
         let latest =
             self.last_poll_started + MAX_POLL_INTERVAL.mul_f64(rng.random_range(MAX_INTERVAL_JITTER));
         self.next_poll = if self.failures > 1 { desired.min(latest).max(earliest) } else { earliest };
@@ -156,7 +156,7 @@
     fn rate_estimate(&self, listed_rate: Option<f64>) -> RateEstimate {
         let is_known = self.listed_rate_accuracy != ListedRateAccuracy::Absent;
         let rate = listed_rate.filter(|rate| *rate > 0.0 && is_known);
-        RateEstimate::of_listed(rate, self.listed_rate_accuracy == ListedRateAccuracy::Approximate)
+        RateEstimate::from_listed(rate, self.listed_rate_accuracy == ListedRateAccuracy::Approximate)
     }
 
     /// Handles the end of an endpoint list or of a series of changes; endpoints missing from a `snapshot` are removed.
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -53,7 +53,8 @@
         let Some(message) = self.pending.get(&id) else { return };
         if self.may_reject(message) {
             let routes = self.routes_of(message.destination);
-            let callable_from = routes.map(|route| route.limit.retry_after().max(route.checks.next())).min();
+            let callable_from =
+                routes.map(|route| route.limit.retry_after_end().max(route.checks.next())).min();
             let wait = callable_from.unwrap_or_default().saturating_sub(self.now).min(self.max_retry_after);
             driver.reject(id, (!wait.is_zero()).then_some(wait));
         } else {
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -89,7 +89,7 @@
     /// connection and its destination has an idle one.
     fn may_be_attempted_now(&self, message: &PendingMessage) -> bool {
         message.not_before <= self.now
-            || message.hit_connection_limit() && self.shared.connections.any_to(message.destination)
+            || message.hit_connection_limit() && self.shared.connections.has_any_to(message.destination)
     }
 
     /// Returns the priority of an attempt of `message` at `candidate`.
@@ -180,7 +180,7 @@
         let message = self.pending.get(&id)?;
         let calls_in_flight = self.in_flight.values().filter(|attempt| !attempt.is_batched).count();
         let min_timeout_share =
-            self.shared.isolated_losses.least_timeout_share(self.slots.free_share(calls_in_flight));
+            self.shared.isolated_losses.min_timeout_share(self.slots.free_share(calls_in_flight));
         let time_left = message.deadline.saturating_sub(self.now);
         let class_latency = self.shared.class_latency.get(&message.class);
         let class_bound = class_latency.map_or(Duration::ZERO, LatencyWindow::tail_bound);
@@ -196,7 +196,7 @@
     pub(crate) fn set_timer(&mut self, driver: &mut dyn Driver) {
         let any_waiting = self.pending.values().any(|message| message.in_flight == 0);
         let rules_wait = any_waiting.then(|| self.next_due.saturating_sub(self.now).min(MAX_TIMER_WAIT));
-        let idle_close_wait = || self.next_idle_close();
+        let idle_close_wait = || self.time_to_next_idle_close();
         let poll_wait = self.discovery.time_until_poll(self.now);
         let Some(wait) = rules_wait.or_else(idle_close_wait).into_iter().chain(poll_wait).min() else {
             return;
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -73,11 +73,11 @@
     let CallContext { now, instances, slow_start, available_endpoints } = *context;
     route.limit.bucket.refill(now);
     let endpoint_rate = route.limit.bucket.safe_rate() / f64::from(instances) / available_endpoints as f64;
-    let retry_after = route.limit.retry_after();
-    endpoint.budget.skip_to(retry_after.min(now));
-    let allowed_share = endpoint.health.allowed_share(endpoint.budget.middle(now), slow_start);
+    let retry_after = route.limit.retry_after_end();
+    endpoint.budget.skip_earning_until(retry_after.min(now));
+    let allowed_share = endpoint.health.allowed_share(endpoint.budget.midpoint_since_refill(now), slow_start);
     let rate =
-        (allowed_share * endpoint_rate).max(endpoint.health.least_check_rate(instances, available_endpoints));
+        (allowed_share * endpoint_rate).max(endpoint.health.min_check_rate(instances, available_endpoints));
     let budget_wait = endpoint.budget.refill(now, rate);
 
     let is_ejected = endpoint.health.is_ejected();
@@ -85,7 +85,7 @@
     // overload by many instances, each of which makes too few calls to eject the endpoint. May slow down an endpoint
     // that loses some calls.
     let is_healthy = endpoint.health.status() == Health::Healthy && !route.streak.is_suspect(now);
-    let mut earliest_start = route.limit.opens(now);
+    let mut earliest_start = route.limit.next_call_at(now);
     if !is_healthy {
         earliest_start = earliest_start.max(now + budget_wait);
     }
@@ -235,7 +235,7 @@
 fn rank(endpoint: &Endpoint, is_batched: bool, zone_cost: f64, own_zone: &str, now: Duration) -> Rank {
     let load = i64::from(endpoint.concurrency.in_flight())
         + OTHER_ZONE_LOAD * i64::from(endpoint.zone != own_zone)
-        + endpoint.health.suspicion_load();
+        + endpoint.health.load_penalty();
     Rank {
         is_health_check: endpoint.health.is_ejected(),
         zone_cost: (zone_cost * ZONE_COST_SCALE) as i64,
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -8,7 +8,7 @@
 use super::concurrency::{ConcurrencyLimit, Slots};
 use super::connections::IdleConnections;
 use super::discovery::{DiscoveryPolls, KnownDestinations};
-use super::latency::{IsolatedLosses, LatencyWindow, UNKNOWN_CALL};
+use super::latency::{ASSUMED_LATENCY, IsolatedLosses, LatencyWindow};
 use super::ordering::OrderingQueues;
 use super::outlier::{EndpointHealth, FailureStreak, HealthChecks};
 use super::rate_limit::RouteLimit;
@@ -55,7 +55,7 @@
     pub(super) fn drop_unused_routes(&mut self, now: Duration) {
         let used: BTreeSet<_> = self.endpoints.values().map(|endpoint| &endpoint.route).collect();
         self.routes.retain(|name, route| {
-            used.contains(name) || route.limit.retry_after() > now || route.streak.is_suspect(now)
+            used.contains(name) || route.limit.retry_after_end() > now || route.streak.is_suspect(now)
         });
     }
 }
@@ -355,12 +355,12 @@
 
     /// Returns the typical duration of a call of a service class at a destination.
     pub(super) fn typical_latency(&self, destination: DestinationId, class: usize) -> Duration {
-        self.latency(destination, class).map_or(UNKNOWN_CALL, |latency| latency.typical(self.now))
+        self.latency(destination, class).map_or(ASSUMED_LATENCY, |latency| latency.typical(self.now))
     }
 
     /// Returns the earliest end of the retry-after over the routes of a destination; zero if it has no routes.
     pub(super) fn retry_after(&self, destination: DestinationId) -> Duration {
-        self.routes_of(destination).map(|route| route.limit.retry_after()).min().unwrap_or_default()
+        self.routes_of(destination).map(|route| route.limit.retry_after_end()).min().unwrap_or_default()
     }
 
     /// Returns the value of `message` if it is delivered at `delivered`.
--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -218,7 +218,7 @@
     }
     assert!(accepted[1] as f64 > 0.5 * limit * 15.0, "{accepted:?}");
     assert!(buckets.iter().all(|bucket| {
-        let (rate, least) = bucket.rate_and_least(limit, instances);
+        let (rate, least) = bucket.rate_and_minimum(limit, instances);
         rate >= least
     }));
 }
