--- a/crates/quillhub-server/src/attempts/mod.rs
+++ b/crates/quillhub-server/src/attempts/mod.rs
@@ -1,7 +1,8 @@
-//! One attempt to deliver a message: from a connection to its endpoint to the response, or to the lack of one.
+//! One attempt to deliver a message: takes or opens a connection, sends the request and reads the response.
 //!
-//! Invariant: what ends before the request's last octet is out has not executed the message, and only then an attempt
-//! takes another connection. From the response's status line on, the status stands, whatever the rest is.
+//! Invariants: an attempt that ends before the last byte of its request is written has not executed the message, and
+//! an attempt only reconnects before that byte. Once the status line of the response is read, the status is final,
+//! even if the rest of the response is malformed or missing.
 
 mod response;
 mod verdict;
@@ -14,43 +15,45 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// How long the rest of a response may take once it has begun: it is written at once, and a quarter of a second
-/// covers a packet that must be sent again. Against responses that never end, which would hold their attempt.
-const RESPONSE_TIME: Duration = Duration::from_millis(250);
-/// Connections that may break under one attempt before its last octet: a pooled one, and a new one by chance.
+/// Time limit for the rest of a response after its first byte. Endpoints write a response at once, and a quarter of a
+/// second covers the retransmission of a packet. Guards against responses that never end, which would keep their
+/// attempt in flight.
+const RESPONSE_REST_TIMEOUT: Duration = Duration::from_millis(250);
+/// Number of times that an attempt reconnects when its connection breaks before the last byte of the request: once
+/// for a stale pooled connection, and once for a new connection that happens to break.
 const MAX_RECONNECTS: u32 = 2;
 
-/// What an attempt needs.
+/// Parameters of an attempt, which [`Attempt::run`] makes.
 pub struct Attempt<R, B> {
-    /// A pooled connection to the endpoint, if there is one.
+    /// Pooled connection to the endpoint, if there is one.
     pub pooled: Option<HttpConnection>,
-    /// The endpoint's address.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// Bounds the opening of a connection.
+    /// Time limit for opening a connection.
     pub connect_timeout: Duration,
-    /// Bounds the whole attempt.
+    /// Time limit for the whole attempt.
     pub timeout: Duration,
-    /// Writes the request, by how long the attempt will still wait, in whole milliseconds.
+    /// Function that builds the request from the time for which the attempt will still wait, in whole milliseconds.
     pub request: R,
-    /// Asked last, before the first octet is sent: whether the request may still go.
+    /// Function called just before the first byte is sent; if it returns `false`, the request is not sent.
     pub may_send_request: B,
 }
 
-/// How an attempt ended.
+/// End of an attempt: its result, and its connection if that can be reused.
 pub struct AttemptEnd {
-    /// The response, or how far the request came without one.
+    /// Response, or the error that shows how far the request came without one.
     pub result: Result<Response, CallError>,
-    /// The connection, if another attempt may use it.
+    /// Connection of the attempt, if another attempt may use it.
     pub reusable: Option<HttpConnection>,
 }
 
 impl AttemptEnd {
-    /// The end of an attempt that could not be made.
+    /// Returns the end of an attempt that could not be made.
     pub fn not_sent() -> Self {
         Self::failed(CallError::NotSent)
     }
 
-    /// The end of an attempt whose task panicked: the request may have been sent.
+    /// Returns the end of an attempt whose task panicked: the request may have been sent.
     pub fn connection_reset() -> Self {
         Self::failed(CallError::ConnectionReset)
     }
@@ -60,14 +63,14 @@
     }
 }
 
-/// A request that is out.
+/// Request whose last byte was written.
 struct SentRequest {
     connection: HttpConnection,
-    /// Whether the connection was opened for this attempt.
+    /// `true` if the connection was opened for this attempt.
     on_new_connection: bool,
 }
 
-/// A request that is not out, and the connection if it is still good.
+/// Request of which at least the last byte was not written, and the connection if it can be reused.
 struct UnsentRequest {
     error: CallError,
     reusable: Option<HttpConnection>,
@@ -79,9 +82,10 @@
     }
 }
 
-/// When an attempt times out.
+/// Time at which an attempt times out.
 struct Deadline {
     started: Instant,
+    /// Time from `started` to the timeout.
     after: Duration,
 }
 
@@ -90,24 +94,24 @@
         Self { started: Instant::now(), after: timeout }
     }
 
-    fn left(&self) -> Duration {
+    fn time_left(&self) -> Duration {
         self.after.saturating_sub(self.started.elapsed())
     }
 
-    /// How long a part of a response may take that is written at once.
-    fn left_for_response(&self) -> Duration {
-        RESPONSE_TIME.min(self.left())
+    /// Returns the time limit for a part of a response that endpoints write at once.
+    fn response_timeout(&self) -> Duration {
+        RESPONSE_REST_TIMEOUT.min(self.time_left())
     }
 
-    /// What is left, as an endpoint can be told.
+    /// Returns the time left, rounded down to the milliseconds in which a request states it to its endpoint.
     fn whole_milliseconds_left(&self) -> Duration {
-        Duration::from_millis(self.left().as_millis() as u64)
+        Duration::from_millis(self.time_left().as_millis() as u64)
     }
 
-    /// From now on there is only `left`, which the endpoint is told. Against an endpoint that works for longer than
-    /// the attempt waits, as its connection came up late.
-    fn shorten_to(&mut self, left: Duration) {
-        self.after = self.started.elapsed() + left;
+    /// Shortens the time left to `time_left`, the value that the request states. Prevents an endpoint from working on a
+    /// request for longer than the attempt waits if the connection was established late.
+    fn shorten_to(&mut self, time_left: Duration) {
+        self.after = self.started.elapsed() + time_left;
     }
 }
 
@@ -116,12 +120,12 @@
     R: Fn(Duration) -> Vec<u8>,
     B: Fn() -> bool,
 {
-    /// Makes the attempt: on the pooled connection if that still stands, otherwise on a new one.
+    /// Makes the attempt: on the pooled connection if that is still open, otherwise on a new one.
     ///
-    /// A response whose status line is read after the time that the endpoint was told is none: the endpoint may have
-    /// given the request up by then. Against responses in the moment before the timer goes off, which counts whole
-    /// milliseconds, and against ones that begin in time and go on. May time out an attempt that was answered while
-    /// this process stood still.
+    /// A response whose status line is read after the deadline that the request stated counts as none, since the
+    /// endpoint may have given the request up by then. This also covers responses that arrive just before the timer
+    /// fires, which has millisecond resolution, and responses that begin in time but do not end. It may time out an
+    /// attempt whose response arrived while this process was suspended.
     pub async fn run(mut self) -> AttemptEnd {
         let mut deadline = Deadline::after(self.timeout);
         let SentRequest { mut connection, on_new_connection } = match self.send(&mut deadline).await {
@@ -134,12 +138,12 @@
         };
         let mut response = Response::with_status(status, deadline.started.elapsed(), on_new_connection);
         let rest = response.read_rest(&mut connection);
-        let reusable = timeout(deadline.left_for_response(), rest).await.unwrap_or(false);
+        let reusable = timeout(deadline.response_timeout(), rest).await.unwrap_or(false);
         AttemptEnd { result: Ok(response), reusable: reusable.then_some(connection) }
     }
 
-    /// Sends the request. A connection that breaks before the last octet is out is replaced: nothing has been
-    /// executed by then.
+    /// Sends the request. A connection that breaks before the last byte is written is replaced, since the message
+    /// cannot have been executed by then.
     async fn send(&mut self, deadline: &mut Deadline) -> Result<SentRequest, UnsentRequest> {
         let mut reconnects = 0;
         loop {
@@ -154,7 +158,7 @@
                 return Err(UnsentRequest { error: CallError::NotSent, reusable: Some(connection) });
             }
             deadline.shorten_to(announced);
-            match timeout(deadline.left(), connection.write_request(&(self.request)(announced))).await {
+            match timeout(deadline.time_left(), connection.write_request(&(self.request)(announced))).await {
                 Ok(Ok(())) => return Ok(SentRequest { connection, on_new_connection }),
                 Ok(Err(_)) if reconnects < MAX_RECONNECTS => reconnects += 1,
                 _ => return Err(CallError::ConnectFailed.into()),
@@ -163,30 +167,30 @@
     }
 
     async fn connect(&self, deadline: &Deadline) -> Result<HttpConnection, CallError> {
-        let connect_timeout = self.connect_timeout.min(deadline.left());
+        let connect_timeout = self.connect_timeout.min(deadline.time_left());
         match timeout(connect_timeout, HttpConnection::open(self.address)).await {
             Ok(Ok(connection)) => Ok(connection),
-            Ok(Err(error)) => Err(CallError::of_connect(&error)),
+            Ok(Err(error)) => Err(CallError::from_connect_error(&error)),
             Err(_) => Err(CallError::ConnectFailed),
         }
     }
 }
 
-/// Reads the status of the response that counts; interim responses may come long before it.
+/// Reads the status of the final response. Interim responses are skipped; they may arrive long before it.
 async fn read_status(connection: &mut HttpConnection, deadline: &Deadline) -> Result<u16, CallError> {
     loop {
-        match timeout(deadline.left(), connection.response_begins()).await {
+        match timeout(deadline.time_left(), connection.response_begins()).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return Err(CallError::ConnectionReset),
             Err(_) => return Err(CallError::TimedOut),
         }
-        match timeout(deadline.left_for_response(), connection.status()).await {
-            _ if deadline.left().is_zero() => return Err(CallError::TimedOut),
+        match timeout(deadline.response_timeout(), connection.status()).await {
+            _ if deadline.time_left().is_zero() => return Err(CallError::TimedOut),
             Ok(Ok(100..200)) => {}
             Ok(Ok(status)) => return Ok(status),
             _ => return Err(CallError::ConnectionReset),
         }
-        let head = timeout(deadline.left_for_response(), connection.any_head()).await;
+        let head = timeout(deadline.response_timeout(), connection.any_head()).await;
         if !matches!(head, Ok(Ok(_))) {
             return Err(CallError::ConnectionReset);
         }
--- a/crates/quillhub-server/src/attempts/verdict.rs
+++ b/crates/quillhub-server/src/attempts/verdict.rs
@@ -1,36 +1,38 @@
-//! What the end of an attempt means for its message.
+//! Classification of an attempt's result: the outcome for the dispatcher, and whether the message is finished.
 
 use super::Response;
 use quillhub::AttemptOutcome;
 use std::io;
 
-/// The process has no descriptor left.
+/// System error: the process has no file descriptor left.
 const EMFILE: i32 = 24;
-/// The system has no descriptor left.
+/// System error: the system has no file descriptor left.
 const ENFILE: i32 = 23;
-/// The system has no buffer left.
+/// System error: the system has no buffer space left.
 const ENOBUFS: i32 = 105;
 
-/// How far a request came that got no response.
+/// Error of an attempt without a response; shows how far its request came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// No descriptor or address was free in this process, or the attempt was called off at the last moment.
+    /// The process had no free file descriptor or address, or the request was no longer to be sent once the connection
+    /// was open.
     #[error("the request never left this instance")]
     NotSent,
-    /// The connection did not come up, or broke before the request's last octet was out.
-    #[error("no connection stood until the request was out")]
+    /// The connection could not be established, or broke before the last byte of the request was written.
+    #[error("the connection could not be established or broke before the request was written")]
     ConnectFailed,
-    /// It broke after that, or what came was no response.
-    #[error("the connection broke after the request was out, or brought no response")]
+    /// The connection broke after the request was written, or the endpoint sent something that is no response.
+    #[error("the connection broke after the request was written, or the response was malformed")]
     ConnectionReset,
-    /// Nothing came in time after that.
-    #[error("no response came in time")]
+    /// No response arrived in time after the request was written.
+    #[error("no response arrived within the attempt timeout")]
     TimedOut,
 }
 
 impl CallError {
-    /// Why a connection did not open: for lack of something in this process, or otherwise by its endpoint.
-    pub fn of_connect(error: &io::Error) -> Self {
+    /// Classifies the error of opening a connection: [`CallError::NotSent`] if this process lacks a resource, otherwise
+    /// [`CallError::ConnectFailed`].
+    pub fn from_connect_error(error: &io::Error) -> Self {
         use io::ErrorKind::{AddrInUse, AddrNotAvailable, OutOfMemory, PermissionDenied};
         match error.kind() {
             AddrNotAvailable | AddrInUse | OutOfMemory | PermissionDenied => Self::NotSent,
@@ -40,17 +42,17 @@
     }
 }
 
-/// What an attempt's end means.
+/// Classified result of an attempt.
 #[derive(Debug, PartialEq)]
 pub struct Verdict {
-    /// The outcome, in the dispatcher's terms.
+    /// Outcome to report to the dispatcher.
     pub outcome: AttemptOutcome,
-    /// Whether the message is finished by it.
+    /// `true` if the message has its final outcome with this attempt.
     pub finished: bool,
 }
 
 impl Verdict {
-    /// Judges the end of an attempt; `load_reports` says whether responses hold load reports.
+    /// Classifies the result of an attempt; `load_reports` is `true` if endpoints send load reports in their responses.
     pub fn of(result: &Result<Response, CallError>, load_reports: bool) -> Self {
         let outcome = match result {
             Ok(response) => outcome_of(response, load_reports),
@@ -65,8 +67,10 @@
     }
 }
 
-/// What a response means. Where responses hold load reports, a rejection without one, to the first request of a
-/// connection, comes from the endpoint's connection table and not from its rate limit.
+/// Returns the outcome that a response stands for.
+///
+/// Where endpoints send load reports, a rejection without one of the first request on a connection is due to a full
+/// connection table of the endpoint and not to its rate limit.
 fn outcome_of(response: &Response, load_reports: bool) -> AttemptOutcome {
     let retry_after = response.retry_after;
     match response {
