--- a/crates/quillhub-server/src/clients/admission.rs
+++ b/crates/quillhub-server/src/clients/admission.rs
@@ -1,6 +1,6 @@
-//! Permits for connections and for large commands, and the choice of the connection to evict where they are short.
+//! Permits for connections and for large commands, and the choice of the connection to evict when none is free.
 //!
-//! Invariant: a connection is evicted at most once, since its entry is removed with that.
+//! Invariant: a connection is evicted at most once, since its eviction removes its entry.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,59 +10,59 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, watch};
 use tokio::time::{Instant, timeout};
 
-/// Large commands that may be read at the same time. Against many half-read commands: they take some megabytes at
-/// most.
+/// Maximum number of large commands that are read at the same time. Limits the memory for incomplete commands to a few
+/// megabytes.
 const LARGE_COMMAND_PERMITS: usize = 24;
-/// How old a connection that never sent a complete command must be to close before one that is idle: a usual client's first
-/// command arrives with it.
+/// Age from which a connection that never sent a complete command is evicted before idle ones. Ordinary clients send
+/// their first command as soon as they are connected.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(500);
-/// How long an evicted connection may take to close before the next is evicted.
+/// Time limit for an evicted connection to close, after which another one is evicted.
 pub(super) const EVICTION_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// How far the instance is with its shutdown.
+/// Phase of the instance's shutdown, as far as client connections depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub enum Phase {
     /// Connections are accepted and stay open.
     Serving,
-    /// Connections close between commands, but new ones still arrive, each with a command on its way.
+    /// Connections close between commands. New ones are still accepted, and each may send one command.
     Stopping,
-    /// No new connections, and those that still wait for a command close.
+    /// No connections are accepted, and all that wait for a command close.
     Closing,
 }
 
-/// What there may be only so many of at the same time.
+/// Resource that is limited by permits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Resource {
     Connection,
     LargeCommand,
 }
 
-/// What a connection is at, as far as eviction depends on it.
+/// Activity of a connection, as far as eviction depends on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Activity {
-    /// None of its commands has succeeded yet.
+    /// No command on the connection has succeeded yet.
     Unproven,
-    /// It waits between two commands.
+    /// All commands were answered, and no part of a further one was read.
     Idle,
-    /// Part of a further command has been read.
+    /// Part of a further command was read.
     Receiving,
-    /// Our side is closed, so that only the client's close is waited for.
+    /// The server's side is closed, and the client's is not.
     HalfClosed,
 }
 
-/// An open connection, as a candidate for eviction.
+/// Open connection that can be evicted.
 struct Entry {
-    /// When it was last answered, or else accepted.
+    /// Time of the last reply on the connection, or of its acceptance before the first reply.
     since: Instant,
     activity: Activity,
-    /// Whether it holds a permit for a large command.
-    large: bool,
+    /// `true` if the connection holds a permit for a large command.
+    holds_large_permit: bool,
     evicted: Rc<Notify>,
 }
 
 impl Entry {
-    /// Entries of a lower rank are evicted first: one whose client only has to close, then one that never sent a complete
-    /// command, then an idle one, then any.
+    /// Returns the rank of the entry; the lowest one is evicted first. Half-closed connections have the lowest, followed
+    /// by those without a successful command, idle ones, and all others.
     fn eviction_rank(&self, now: Instant) -> u8 {
         match self.activity {
             Activity::HalfClosed => 0,
@@ -73,18 +73,19 @@
     }
 }
 
-/// What connections need to know of each other and of the shutdown: when to close, and who holds a permit.
+/// State that all client connections share: the phase of the shutdown, the permits, and the candidates for eviction.
 pub struct Admission {
     phase: watch::Receiver<Phase>,
     connections: Arc<Semaphore>,
     large_commands: Arc<Semaphore>,
-    /// By number; an entry is removed with its connection, or when that is evicted.
+    /// Entries by connection number; an entry is removed when its connection ends or is evicted.
     entries: RefCell<BTreeMap<u64, Entry>>,
     next_number: Cell<u64>,
 }
 
 impl Admission {
-    /// `connections` has a permit for each connection that may be open.
+    /// Creates the shared state for the connections of one instance; `connections` has one permit for each connection
+    /// that may be open.
     pub fn new(phase: watch::Receiver<Phase>, connections: Arc<Semaphore>) -> Rc<Self> {
         Rc::new(Self {
             phase,
@@ -99,7 +100,7 @@
         self.phase.clone()
     }
 
-    /// Enters a connection that was just accepted.
+    /// Registers a connection that was just accepted.
     pub(super) fn register(self: &Rc<Self>) -> Registration {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -107,19 +108,19 @@
         let entry = Entry {
             since: Instant::now(),
             activity: Activity::Unproven,
-            large: false,
+            holds_large_permit: false,
             evicted: evicted.clone(),
         };
         self.entries.borrow_mut().insert(number, entry);
         Registration { admission: self.clone(), number, evicted }
     }
 
-    /// A permit for a new connection; others are evicted if there is none.
+    /// Returns a permit for a new connection, and evicts others if none is free. `None` if the semaphore is closed.
     pub(super) async fn connection_permit(&self) -> Option<OwnedSemaphorePermit> {
         self.permit(Resource::Connection).await
     }
 
-    /// A permit for a large command; others that hold one are evicted if there is none.
+    /// Returns a permit for a large command, and evicts connections that hold one if none is free.
     pub(super) async fn large_command_permit(&self) -> Option<OwnedSemaphorePermit> {
         self.permit(Resource::LargeCommand).await
     }
@@ -140,13 +141,14 @@
         }
     }
 
-    /// Evicts the first connection by rank that holds `resource`, of one rank the oldest.
+    /// Evicts the connection of the lowest rank that holds `resource`; among several of that rank, the one with the
+    /// oldest reply.
     pub(super) fn evict_one(&self, resource: Resource) {
         let now = Instant::now();
         let mut entries = self.entries.borrow_mut();
         let first = entries
             .iter()
-            .filter(|(_, entry)| resource == Resource::Connection || entry.large)
+            .filter(|(_, entry)| resource == Resource::Connection || entry.holds_large_permit)
             .min_by_key(|(_, entry)| (entry.eviction_rank(now), entry.since))
             .map(|(number, _)| *number);
         if let Some(entry) = first.and_then(|number| entries.remove(&number)) {
@@ -155,7 +157,7 @@
     }
 }
 
-/// A connection's entry in [`Admission`]. Changes to it do nothing once it is evicted.
+/// Handle of a connection's entry in [`Admission`]. Updates have no effect once the connection is evicted.
 pub(super) struct Registration {
     admission: Rc<Admission>,
     number: u64,
@@ -169,33 +171,34 @@
         }
     }
 
-    /// A command was answered; the connection is at `activity` now.
-    pub(super) fn answered(&self, activity: Activity, large: bool) {
+    /// Records that a command was answered. From now on the connection is in `activity`, and holds a permit for a large
+    /// command if `holds_large_permit` is set.
+    pub(super) fn answered(&self, activity: Activity, holds_large_permit: bool) {
         self.update(|entry| {
             entry.since = Instant::now();
             entry.activity = activity;
-            entry.large = large;
+            entry.holds_large_permit = holds_large_permit;
         });
     }
 
-    /// The first part of a command was read on an idle connection.
-    pub(super) fn command_begun(&self) {
+    /// Records that the first part of a command was read on an idle connection.
+    pub(super) fn command_started(&self) {
         self.update(|entry| entry.activity = Activity::Receiving);
     }
 
-    pub(super) fn large_command_begun(&self) {
-        self.update(|entry| entry.large = true);
+    pub(super) fn large_command_started(&self) {
+        self.update(|entry| entry.holds_large_permit = true);
     }
 
-    /// Our side of the connection is about to close.
+    /// Records that the server's side of the connection is about to close.
     pub(super) fn half_closed(&self) {
         self.update(|entry| {
             entry.activity = Activity::HalfClosed;
-            entry.large = false;
+            entry.holds_large_permit = false;
         });
     }
 
-    /// Returns once the connection is evicted.
+    /// Waits until the connection is evicted.
     pub(super) async fn evicted(&self) {
         self.evicted.notified().await;
     }
--- a/crates/quillhub-server/src/clients/admission_tests.rs
+++ b/crates/quillhub-server/src/clients/admission_tests.rs
@@ -4,7 +4,8 @@
     Admission::new(watch::channel(Phase::Serving).1, Arc::new(Semaphore::new(9)))
 }
 
-fn numbers(admission: &Admission) -> Vec<u64> {
+/// Returns the numbers of the connections that are neither closed nor evicted.
+fn registered_numbers(admission: &Admission) -> Vec<u64> {
     admission.entries.borrow().keys().copied().collect()
 }
 
@@ -12,7 +13,7 @@
 fn the_oldest_connection_without_a_command_is_evicted_first_and_then_the_one_longest_idle() {
     let admission = admission();
     let now = Instant::now();
-    for (seconds, activity, large) in [
+    for (seconds, activity, holds_large_permit) in [
         (9, Activity::Idle, false),
         (3, Activity::Idle, false),
         (8, Activity::Receiving, true),
@@ -22,16 +23,16 @@
     ] {
         let since = now - Duration::from_secs(seconds);
         admission.register().update(|entry| {
-            (entry.since, entry.activity, entry.large) = (since, activity, large);
+            (entry.since, entry.activity, entry.holds_large_permit) = (since, activity, holds_large_permit);
         });
     }
-    let mut gone = Vec::new();
+    let mut evicted = Vec::new();
     for resource in [[Resource::LargeCommand; 3].as_slice(), &[Resource::Connection; 4]].concat() {
-        let before = numbers(&admission);
+        let before = registered_numbers(&admission);
         admission.evict_one(resource);
-        gone.extend(before.into_iter().find(|number| !admission.entries.borrow().contains_key(number)));
+        evicted.extend(before.into_iter().find(|number| !admission.entries.borrow().contains_key(number)));
     }
-    assert_eq!(gone, [3, 2, 4, 0, 1, 5]);
+    assert_eq!(evicted, [3, 2, 4, 0, 1, 5]);
 }
 
 #[test]
@@ -43,5 +44,5 @@
     });
     half_closed.update(|entry| entry.activity = Activity::HalfClosed);
     admission.evict_one(Resource::Connection);
-    assert_eq!(numbers(&admission), [idle.number]);
+    assert_eq!(registered_numbers(&admission), [idle.number]);
 }
--- a/crates/quillhub-server/src/clients/commands.rs
+++ b/crates/quillhub-server/src/clients/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of clients: parses the parts of one into a typed command, executes it, and says what to reply.
+//! Commands of clients: parses the parts of a command into a typed one, executes it, and returns the reply.
 //!
 //! Invariant: a command that cannot be parsed changes nothing.
 
@@ -9,20 +9,21 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Bytes of an id or an idempotency key; they are forwarded as headers.
+/// Maximum length of a client id or an idempotency key, which are forwarded as headers.
 const MAX_ID_BYTES: usize = 256;
 
-/// What to reply to a command.
+/// Reply to a command.
 #[derive(Debug)]
 pub(super) enum Reply {
-    /// The octets of a reply.
+    /// Encoded reply.
     Octets(Vec<u8>),
-    /// The confirmation of a message, which is accepted only once that is written.
+    /// Confirmation that a message was accepted; if it cannot be written, the message must be withdrawn.
     Accepted(MessageId),
+    /// Error reply, before which the connection pauses.
     Error(CommandError),
 }
 
-/// Why a command has failed, in the words that its client reads.
+/// Error of a command; its text is sent to the client as an `-ERR` reply.
 #[derive(Clone, Debug, Error)]
 pub(super) enum CommandError {
     #[error("unknown command")]
@@ -39,7 +40,7 @@
     NoDestination,
     #[error("an id or key that cannot be passed on")]
     NotForwardable,
-    /// The instance cannot take it for a message.
+    /// The command is well-formed, but the instance does not accept its message.
     #[error(transparent)]
     InvalidMessage(#[from] InvalidSubmission),
     #[error("not a command, or too long")]
@@ -51,14 +52,16 @@
 }
 
 impl CommandError {
-    /// Whether the connection closes after it: what follows on it may not be what the client means.
+    /// Returns `true` if the connection must be closed after this error, since the input that follows may not start at
+    /// a command.
     pub(super) fn closes_connection(&self) -> bool {
         !matches!(self, Self::Unknown | Self::InvalidMessage(_))
     }
 }
 
+/// Command of a client, parsed.
 enum Command<'a> {
-    /// A command without any part, which is answered with nothing.
+    /// Command without any part, to which there is no reply.
     Empty,
     Ping {
         text: Option<&'a [u8]>,
@@ -80,29 +83,29 @@
     }
 }
 
-/// Reads a message from the arguments of `SUBMIT`.
+/// Parses the arguments of `SUBMIT` into the message that it submits.
 fn parse_submission<'a>(arguments: &[&'a [u8]]) -> Result<Submission<'a>, CommandError> {
-    let &[ordering_key, reference, list, body] = arguments else {
+    let &[ordering_key, client_id, list, body] = arguments else {
         return Err(CommandError::ArgumentCount);
     };
     let value = |name| resp::list_value(list, name);
     let ordering_key = parse_number(ordering_key, 16).ok_or(CommandError::OrderingKey)?;
     let service_class = value("c").and_then(|class| std::str::from_utf8(class).ok());
     let service_class = service_class.ok_or(CommandError::NoServiceClass)?;
-    let time_limit = value("d").and_then(|milliseconds| parse_number(milliseconds, 10));
-    let time_limit = time_limit.ok_or(CommandError::NoDeadline)?;
+    let time_to_live_ms = value("d").and_then(|milliseconds| parse_number(milliseconds, 10));
+    let time_to_live_ms = time_to_live_ms.ok_or(CommandError::NoDeadline)?;
     let destination = value("dest").and_then(|destination| parse_number(destination, 10));
     let destination = destination.ok_or(CommandError::NoDestination)?;
     let idempotency_key = value("k");
-    if !is_forwardable(reference) || !idempotency_key.is_none_or(is_forwardable) {
+    if !is_forwardable(client_id) || !idempotency_key.is_none_or(is_forwardable) {
         return Err(CommandError::NotForwardable);
     }
     Ok(Submission {
         service_class,
         ordering_key: (ordering_key != 0).then_some(ordering_key),
-        time_to_live: Duration::from_millis(time_limit.min(u64::from(u32::MAX))),
+        time_to_live: Duration::from_millis(time_to_live_ms.min(u64::from(u32::MAX))),
         destination,
-        client_id: reference,
+        client_id,
         idempotency_key,
         body,
     })
@@ -117,7 +120,7 @@
     }
 }
 
-/// Executes the command of these parts.
+/// Parses and executes the command that consists of `parts`, and returns the reply to it.
 pub(super) fn execute(instance: &RefCell<Instance>, parts: &[&[u8]]) -> Reply {
     match Command::parse(parts) {
         Ok(Command::Empty) => Reply::Octets(Vec::new()),
@@ -132,7 +135,7 @@
     u64::from_str_radix(std::str::from_utf8(octets).ok()?, radix).ok()
 }
 
-/// Whether an id or key can be forwarded as it is in a header.
+/// Returns `true` if an id or idempotency key can be forwarded unchanged in a header.
 fn is_forwardable(id: &[u8]) -> bool {
     (1..=MAX_ID_BYTES).contains(&id.len()) && id.iter().all(u8::is_ascii_graphic)
 }
--- a/crates/quillhub-server/src/clients/connection.rs
+++ b/crates/quillhub-server/src/clients/connection.rs
@@ -1,7 +1,7 @@
-//! One client's connection: reads commands and answers them, one after the other, until it is to close.
+//! Connection of one client: reads commands and answers them, one after the other, until the connection ends.
 //!
-//! Invariant: a message whose confirmation could not be written is withdrawn, as its client hands it in
-//! elsewhere.
+//! Invariant: a message whose confirmation could not be written is withdrawn, since its client submits it to another
+//! instance.
 
 use super::admission::{Activity, Admission, EVICTION_TIMEOUT, Phase, Registration};
 use super::commands::{self, CommandError, Reply};
@@ -17,71 +17,77 @@
 use tokio::sync::{OwnedSemaphorePermit, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Bytes of a part of a command, a body being the longest.
+/// Maximum length of a part of a command; the longest part is the body of a message.
 pub(super) const MAX_PART_BYTES: usize = 64 * 1024;
-/// Bytes of a complete command: a body and its small parts.
+/// Maximum length of a command: a body of the maximum length and the small parts.
 const MAX_COMMAND_BYTES: usize = MAX_PART_BYTES + 16 * 1024;
-/// Bytes of a command that any connection may have read; for more it needs a permit for a large command.
+/// Number of bytes from which a buffered command is large: to read on, the connection needs a permit for it.
 const SMALL_COMMAND_BYTES: usize = socket::READ_BYTES;
-/// How long a client may take over reading an answer of a few bytes before its connection is given up.
+/// Time limit for writing a reply, after which the connection is given up. Replies are only a few bytes long.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the rest of a command may take to arrive: clients themselves wait less than a second. A new connection
-/// has as long for its first, counted from its accept, so that one that sends nothing is closed soon.
+/// Time limit for the rest of a command after its first byte; clients themselves wait less than a second for a reply.
+/// Also limits the time from the acceptance of a connection to its first successful command, so that connections that
+/// send nothing are closed soon.
 pub(super) const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long what still arrives is discarded once our side is closed: the client gets to read our last answer and the
-/// end, instead of a reset.
+/// Time for which input is discarded after the server's side is closed, so that the client can read the last reply and
+/// the end of the stream instead of getting a reset.
 const LINGER: Duration = Duration::from_secs(1);
-/// Pause before an error. Against clients that reconnect as soon as they are rejected: they would take the time of all
-/// others. Costs the usual ones nothing, as they get none.
+/// Pause before an error reply. Prevents clients that reconnect as soon as they are rejected from using the processing
+/// time of all others. Does not delay well-behaved clients, since they get no errors.
 const ERROR_PAUSE: Duration = Duration::from_millis(50);
-/// Errors in a row after which a connection closes.
+/// Number of consecutive errors at which a connection is closed.
 pub(super) const MAX_CONSECUTIVE_ERRORS: u32 = 4;
 
-/// How serving a connection ended.
+/// Reason for the end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum End {
-    /// The client closed its side, or has gone.
+    /// The client closed its side, or the connection broke.
     ByClient,
-    /// This side closes it.
+    /// The server closes the connection after an error, on a timeout, or for its shutdown.
     ByServer,
-    /// This side closes it soon: its permit is wanted.
+    /// The server closes the connection to free its permit for another one.
     Evicted,
 }
 
-/// What to do next, by the input that was read.
+/// Next step of a connection, as determined by its buffered input.
 enum Step {
+    /// Write the reply to a command.
     Reply(Reply),
-    /// No command is complete yet.
+    /// Wait for more input, since no command is complete yet.
     Receive,
+    /// End the connection.
     End(End),
 }
 
-/// What ended the wait for input.
+/// Event that ended the wait for input.
 enum Wakeup {
-    /// So many bytes were read; 0 at the input's end.
+    /// That many bytes were read; 0 at the end of the stream.
     Read(usize),
     /// The rest of a command did not arrive in time.
     CommandTimeout,
+    /// The connection is to end, unless further input has already arrived.
     Ending(End),
 }
 
-/// A connection with what was read from it and not yet used.
+/// Client connection with its buffered input and its state.
 pub(super) struct Connection<'a> {
     instance: &'a RefCell<Instance>,
     admission: &'a Admission,
     registration: &'a Registration,
     stream: &'a mut TcpStream,
     phase: watch::Receiver<Phase>,
-    /// The phase from which on it closes between commands.
+    /// Phase of the shutdown from which on the connection closes between commands.
     closing_phase: Phase,
+    /// Input that was read and does not belong to an executed command.
     input: Vec<u8>,
+    /// Permit for a large command, while such a command is read.
     large_permit: Option<OwnedSemaphorePermit>,
-    /// Whether a command has succeeded.
+    /// `true` once a command on the connection has succeeded.
     proven: bool,
     consecutive_errors: u32,
-    /// Whether it closes once what was read of it is answered.
+    /// `true` if the connection closes once the complete commands in `input` are answered.
     evicted: bool,
-    /// When the command that is being read began.
+    /// Time at which the current command began; before the first byte of the first one, the time of the acceptance.
     command_started: Instant,
 }
 
@@ -93,7 +99,7 @@
         stream: &'a mut TcpStream,
     ) -> Self {
         let phase = admission.phase();
-        // A connection that arrives late brings a command: it is served before it closes.
+        // A connection that is accepted during the shutdown usually comes with a command, which is answered first.
         let serving = *phase.borrow() == Phase::Serving;
         Self {
             instance,
@@ -111,11 +117,11 @@
         }
     }
 
-    /// Serves the connection until it is to end.
+    /// Serves the connection until it ends, and returns the reason.
     ///
     /// # Errors
     ///
-    /// Only for reads and writes that failed.
+    /// Returns an error if reading or writing fails or if a reply cannot be written in time.
     pub(super) async fn serve(mut self) -> io::Result<End> {
         loop {
             let end = match self.next_step() {
@@ -129,11 +135,11 @@
         }
     }
 
-    /// Executes the first command of the input if it is complete.
+    /// Executes the first command of the input if it is complete, and returns the step that follows.
     fn next_step(&mut self) -> Step {
         match resp::command(&self.input, MAX_PART_BYTES) {
             Ok(Some((parts, used))) => {
-                // A client that closed its side has stopped waiting, and hands its message in elsewhere.
+                // A client that closed its side does not wait for a reply, and submits its message elsewhere.
                 if socket::closed_by_client(self.stream) {
                     return Step::End(End::ByClient);
                 }
@@ -150,7 +156,7 @@
         }
     }
 
-    /// Gives back what an executed command took.
+    /// Removes an executed command of `used` bytes from the input, and frees the permit and the memory that it needed.
     fn consume(&mut self, used: usize) {
         self.input.drain(..used);
         if self.input.len() < SMALL_COMMAND_BYTES {
@@ -161,7 +167,7 @@
         }
     }
 
-    /// Waits for more input, or for what ends the connection.
+    /// Waits for more input or for the end of the connection; returns the reason for the end, if it ends.
     async fn receive(&mut self) -> io::Result<Option<End>> {
         let was_idle = self.input.is_empty();
         match self.wait().await? {
@@ -177,7 +183,7 @@
         }
         if was_idle && self.proven {
             self.command_started = Instant::now();
-            self.registration.command_begun();
+            self.registration.command_started();
         }
         Ok(None)
     }
@@ -189,7 +195,7 @@
         let read = async {
             if self.input.len() >= SMALL_COMMAND_BYTES && self.large_permit.is_none() {
                 self.large_permit = self.admission.large_command_permit().await;
-                self.registration.large_command_begun();
+                self.registration.large_command_started();
             }
             socket::read(self.stream, |octets| self.input.extend_from_slice(octets)).await
         };
@@ -203,7 +209,7 @@
         })
     }
 
-    /// Writes a reply; the end, if the connection closes with it.
+    /// Writes a reply; returns the reason for the end, if the connection closes with it.
     async fn reply(&mut self, reply: Reply) -> io::Result<Option<End>> {
         let (octets, accepted): (Cow<[u8]>, _) = match &reply {
             Reply::Octets(octets) => (octets.into(), None),
@@ -237,24 +243,24 @@
         self.consecutive_errors + 1 >= MAX_CONSECUTIVE_ERRORS
     }
 
-    /// Goes on to the next command, of which part may have been read already.
+    /// Records that a command was answered, and prepares for the next one, part of which may already be read.
     async fn answered(&mut self) {
         self.closing_phase = Phase::Stopping;
         self.command_started = Instant::now();
-        let more = !self.input.is_empty();
-        let activity = match (self.proven, more) {
+        let has_further_input = !self.input.is_empty();
+        let activity = match (self.proven, has_further_input) {
             (false, _) => Activity::Unproven,
             (true, false) => Activity::Idle,
             (true, true) => Activity::Receiving,
         };
         self.registration.answered(activity, self.large_permit.is_some());
-        // One that hands in many commands at once alternates with the others.
-        if more {
+        // Prevents a connection with many pipelined commands from delaying all others.
+        if has_further_input {
             tokio::task::yield_now().await;
         }
     }
 
-    /// Writes an error after which the connection closes.
+    /// Writes an error reply after which the connection closes.
     async fn dismiss(&mut self, error: CommandError) -> io::Result<End> {
         sleep(ERROR_PAUSE).await;
         timeout(WRITE_TIMEOUT, self.stream.write_all(&resp::error(error))).await??;
@@ -262,9 +268,11 @@
     }
 }
 
-/// Closes our side, then discards what still arrives until the client closes its own. None of that is executed: the
-/// client hands it in again. Against a close over unread bytes, which resets the connection and may destroy an answer
-/// that the client has not read. A client that never closes keeps its permit a while.
+/// Closes the server's side, then discards input until the client closes its own side or a time limit is reached.
+///
+/// Discarded commands are not executed; the client submits its messages again. Prevents a close with unread input, which
+/// resets the connection and may destroy a reply that the client has not read. A client that never closes its side
+/// keeps its permit until the time limit.
 pub(super) async fn half_close(
     stream: &mut TcpStream,
     end: End,
@@ -275,9 +283,9 @@
     }
     stream.shutdown().await?;
     let discard = async { while matches!(socket::read(stream, |_| ()).await, Ok(1..)) {} };
-    let longest = if end == End::Evicted { EVICTION_TIMEOUT / 2 } else { LINGER };
+    let time_limit = if end == End::Evicted { EVICTION_TIMEOUT / 2 } else { LINGER };
     tokio::select! {
-        _ = timeout(longest, discard) => {}
+        _ = timeout(time_limit, discard) => {}
         () = registration.evicted() => {}
     }
     Ok(())
--- a/crates/quillhub-server/src/clients/mod.rs
+++ b/crates/quillhub-server/src/clients/mod.rs
@@ -1,7 +1,7 @@
-//! The clients' side: accepts connections and serves each in a task of its own.
+//! Client connections: accepts them and serves each in a task of its own.
 //!
-//! Invariant: every open connection holds one permit of [`Admission`], so that there are never more than the
-//! instance has descriptors for.
+//! Invariant: every open connection that is served holds one permit of [`Admission`], so that there are never more
+//! than the instance has file descriptors for.
 
 mod admission;
 mod commands;
@@ -22,10 +22,10 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Pause after a failure to accept, such as having no descriptor left: attempts that end free some.
+/// Pause after a failure to accept, such as a lack of file descriptors; attempts that end in the meantime free some.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts connections until the phase is [`Phase::Closing`], those that arrived before that included. Each is served
+/// Accepts connections until the phase is [`Phase::Closing`], including those that were pending by then. Each is served
 /// by a task of its own.
 pub async fn accept(instance: Rc<RefCell<Instance>>, listener: Rc<TcpListener>, admission: Rc<Admission>) {
     let mut phase = admission.phase();
@@ -38,7 +38,7 @@
         let (stream, from) = match accepted {
             Ok(accepted) => accepted,
             Err(error) => {
-                tracing::warn!(%error, "no connection could be accepted");
+                tracing::warn!(%error, "cannot accept a client connection");
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -48,7 +48,7 @@
     }
 }
 
-/// Serves a connection to its end, holding its `permit` as long.
+/// Serves a connection until it ends, and releases its `permit` then.
 async fn serve_connection(
     instance: Rc<RefCell<Instance>>,
     admission: Rc<Admission>,
@@ -60,7 +60,7 @@
     let served = serve_and_half_close(&instance, &admission, &registration, stream).await;
     registration.remove();
     if let Err(error) = served {
-        tracing::debug!(%from, %error, "a client's connection ended");
+        tracing::debug!(%from, %error, "client connection failed");
     }
     drop(permit);
 }
@@ -72,9 +72,9 @@
     mut stream: TcpStream,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let ended = Connection::new(instance, admission, registration, &mut stream).serve().await?;
+    let end = Connection::new(instance, admission, registration, &mut stream).serve().await?;
     registration.half_closed();
-    connection::half_close(&mut stream, ended, registration).await
+    connection::half_close(&mut stream, end, registration).await
 }
 
 #[cfg(test)]
--- a/crates/quillhub-server/src/clients/socket.rs
+++ b/crates/quillhub-server/src/clients/socket.rs
@@ -1,13 +1,15 @@
-//! What a client's connection needs of its socket beyond plain writes. Nothing here keeps state.
+//! Socket operations of client connections: reads without a permanent buffer, and checks for pending input and for the
+//! end of the stream. All are stateless.
 
 use std::io::{self, ErrorKind, Read};
 use std::mem::MaybeUninit;
 use tokio::net::TcpStream;
 
-/// Bytes that one read takes at most.
+/// Maximum number of bytes that one read returns.
 pub(super) const READ_BYTES: usize = 8 * 1024;
 
-/// Hands what has arrived to `take` and returns its length, 0 at the end. No buffer is held while nothing arrives.
+/// Waits for input, passes it to `take`, and returns its length, which is 0 at the end of the stream. No buffer is
+/// allocated while nothing arrives.
 pub(super) async fn read(stream: &TcpStream, mut take: impl FnMut(&[u8])) -> io::Result<usize> {
     loop {
         stream.readable().await?;
@@ -23,8 +25,10 @@
     }
 }
 
-/// Takes what has arrived by now, though the runtime may not know of it yet; whether there was any. A command that is
-/// complete before our side is closed must be answered.
+/// Appends input that has already arrived to `input`, and returns `true` if there was any.
+///
+/// Reads from the system even if the runtime has not seen the socket become readable yet: a command that arrives
+/// completely before the server's side is closed must be answered.
 pub(super) fn read_pending(stream: &TcpStream, input: &mut Vec<u8>) -> bool {
     let mut octets = [0; READ_BYTES];
     let Ok(length @ 1..) = (&*socket2::SockRef::from(stream)).read(&mut octets) else { return false };
@@ -32,8 +36,8 @@
     true
 }
 
-/// Whether the client has closed its side, with nothing more to read.
+/// Returns `true` if the client has closed its side and all its input was read.
 pub(super) fn closed_by_client(stream: &TcpStream) -> bool {
-    let mut one = [MaybeUninit::uninit()];
-    matches!(socket2::SockRef::from(stream).peek(&mut one), Ok(0))
+    let mut peeked = [MaybeUninit::uninit()];
+    matches!(socket2::SockRef::from(stream).peek(&mut peeked), Ok(0))
 }
