--- a/crates/quillhub-server/src/clients/tests.rs
+++ b/crates/quillhub-server/src/clients/tests.rs
@@ -1,7 +1,7 @@
 use super::admission::{EVICTION_TIMEOUT, Resource};
 use super::connection::{COMMAND_TIMEOUT, MAX_CONSECUTIVE_ERRORS, MAX_PART_BYTES};
 use super::*;
-use crate::test_support::{Folder, instance, on_one_thread};
+use crate::test_support::{StateDirectory, instance, on_one_thread};
 use quillhub_fakes::clients::command;
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -9,40 +9,51 @@
 
 const PING: &[u8] = b"*1\r\n$4\r\nping\r\n";
 
-fn submit(list: &str, body: usize) -> Vec<u8> {
+/// Returns a `SUBMIT` command with a body of `body_bytes`.
+fn submit(list: &str, body_bytes: usize) -> Vec<u8> {
     let id = format!("ab{}", list.len()); // lists differ in length
-    let body = "x".repeat(body);
+    let body = "x".repeat(body_bytes);
     command(&["SUBMIT", "0", &id, list, &body].map(str::as_bytes))
 }
 
-/// What a connection that is opened in phase `came` is answered until it closes. Once it has been accepted and
-/// has got `answer`, the phase is `then`; a client that has to `leave` closes its side before. No endpoint
-/// answers.
-fn exchange(input: &[u8], leave: bool, came: Phase, answer: &str, then: Phase) -> String {
-    let folder = Folder::new();
+/// Opens a connection in `initial_phase`, sends `input`, and reads `replies`; the phase then changes to `next_phase`.
+/// With `close_side`, the client closes its side after `input`. Returns what the client reads from then on until the
+/// server closes. No endpoint answers.
+fn exchange(
+    input: &[u8],
+    close_side: bool,
+    initial_phase: Phase,
+    replies: &str,
+    next_phase: Phase,
+) -> String {
+    let directory = StateDirectory::new();
     on_one_thread(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = listener.local_addr().unwrap();
-        let (phase, seen) = watch::channel(came);
+        let address = listener.local_addr().unwrap();
+        let (phase, phase_receiver) = watch::channel(initial_phase);
         let permits = Arc::new(Semaphore::new(2));
-        spawn_local(accept(instance(&folder, at), Rc::new(listener), Admission::new(seen, permits.clone())));
-        let mut client = TcpStream::connect(at).await.unwrap();
+        spawn_local(accept(
+            instance(&directory, address),
+            Rc::new(listener),
+            Admission::new(phase_receiver, permits.clone()),
+        ));
+        let mut client = TcpStream::connect(address).await.unwrap();
         client.write_all(input).await.unwrap();
-        if leave {
+        if close_side {
             client.shutdown().await.unwrap();
         }
-        let mut read = vec![0; answer.len()];
+        let mut read = vec![0; replies.len()];
         client.read_exact(&mut read).await.unwrap();
-        assert_eq!(std::str::from_utf8(&read), Ok(answer));
-        if answer.is_empty() && came != then {
+        assert_eq!(std::str::from_utf8(&read), Ok(replies));
+        if replies.is_empty() && initial_phase != next_phase {
             while permits.available_permits() == 2 {
                 tokio::task::yield_now().await;
             }
             for _ in 0..10 {
-                tokio::task::yield_now().await; // until the connection's task waits
+                tokio::task::yield_now().await; // until the task of the connection waits for input
             }
         }
-        phase.send_replace(then);
+        phase.send_replace(next_phase);
         read.clear();
         let _ = client.read_to_end(&mut read).await;
         String::from_utf8(read).unwrap()
@@ -64,11 +75,11 @@
 
 #[test]
 fn a_malformed_command_is_answered_with_an_error_and_closes_its_connection() {
-    let long = submit("c=free,d=8000,dest=9", MAX_PART_BYTES + 1);
+    let too_long = submit("c=free,d=8000,dest=9", MAX_PART_BYTES + 1);
     for input in [
         &b"PING\r\n"[..],
         b"*1\r\n$99999\r\n",
-        &long,
+        &too_long,
         &submit("c=free,d=x,dest=9", 1),
         &submit("c=free,d=5", 1),
         &submit("c=free,dest=9", 1),
@@ -96,21 +107,21 @@
 
 #[test]
 fn an_idle_connection_is_evicted_for_a_new_one() {
-    let folder = Folder::new();
+    let directory = StateDirectory::new();
     on_one_thread(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = listener.local_addr().unwrap();
-        let (_phase, seen) = watch::channel(Phase::Serving);
-        let admission = Admission::new(seen, Arc::new(Semaphore::new(1)));
-        spawn_local(accept(instance(&folder, at), Rc::new(listener), admission));
-        let mut answer = [0; 7];
-        let mut first = TcpStream::connect(at).await.unwrap();
+        let address = listener.local_addr().unwrap();
+        let (_phase, phase_receiver) = watch::channel(Phase::Serving);
+        let admission = Admission::new(phase_receiver, Arc::new(Semaphore::new(1)));
+        spawn_local(accept(instance(&directory, address), Rc::new(listener), admission));
+        let mut reply = [0; 7];
+        let mut first = TcpStream::connect(address).await.unwrap();
         first.write_all(PING).await.unwrap();
-        first.read_exact(&mut answer).await.unwrap();
-        let mut second = TcpStream::connect(at).await.unwrap();
+        first.read_exact(&mut reply).await.unwrap();
+        let mut second = TcpStream::connect(address).await.unwrap();
         second.write_all(PING).await.unwrap();
-        second.read_exact(&mut answer).await.unwrap();
-        assert_eq!(first.read(&mut answer).await.unwrap(), 0, "the first is closed");
+        second.read_exact(&mut reply).await.unwrap();
+        assert_eq!(first.read(&mut reply).await.unwrap(), 0, "the first connection is closed");
     });
 }
 
@@ -133,27 +144,29 @@
 }
 
 #[test]
-fn a_client_that_has_much_to_send_can_read_its_error() {
+fn a_client_that_is_still_sending_can_read_its_error() {
     let input = [b"*5\r\n$6\r\nSUBMIT\r\n$60000000\r\n".to_vec(), vec![b'x'; 8 << 20]].concat();
     let replies = exchange(&input, false, Phase::Serving, "", Phase::Serving);
     assert_eq!(replies, "-ERR not a command, or too long\r\n");
 }
 
-/// A connection of a client that was answered once, and what ends it; `at_once` is done by the client in the very
-/// moment in which `end` ends the connection, with no wait between. What the client reads until the server's
-/// end, whether it can write `late` after that, and whether a message is accepted from it.
-fn close_crossing(end: End, at_once: &[u8], late: &[u8]) -> (String, std::io::Result<()>, bool) {
-    let folder = Folder::new();
+/// Ends a connection by `end` at the moment in which its client writes `crossing`, with no await in between. Before
+/// that, the client has got the reply to a command, except with [`End::NoCommand`].
+///
+/// Returns what the client reads until the server closes its side, the result of writing `late` after that, and whether
+/// a message was accepted.
+fn close_crossing(end: End, crossing: &[u8], late: &[u8]) -> (String, std::io::Result<()>, bool) {
+    let directory = StateDirectory::new();
     on_one_thread(async {
         tokio::time::pause();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = listener.local_addr().unwrap();
-        let (phase, seen) = watch::channel(Phase::Serving);
+        let address = listener.local_addr().unwrap();
+        let (phase, phase_receiver) = watch::channel(Phase::Serving);
         let permits = Arc::new(Semaphore::new(1));
-        let admission = Admission::new(seen, permits.clone());
-        let instance = instance(&folder, at);
+        let admission = Admission::new(phase_receiver, permits.clone());
+        let instance = instance(&directory, address);
         spawn_local(accept(instance.clone(), Rc::new(listener), admission.clone()));
-        let mut client = TcpStream::connect(at).await.unwrap();
+        let mut client = TcpStream::connect(address).await.unwrap();
         if end != End::NoCommand {
             client.write_all(PING).await.unwrap();
             client.read_exact(&mut [0; 7]).await.unwrap();
@@ -162,11 +175,11 @@
             tokio::task::yield_now().await;
         }
         for _ in 0..10 {
-            tokio::task::yield_now().await; // until the connection's task waits
+            tokio::task::yield_now().await; // until the task of the connection waits for input
         }
-        // From here on nothing waits, so that the connection's task finds both at once.
+        // No await from here on, so that the task of the connection sees the input and its end together.
         let mut client = client.into_std().unwrap();
-        std::io::Write::write_all(&mut client, if end == End::Error { b"noise\r\n" } else { at_once })
+        std::io::Write::write_all(&mut client, if end == End::Error { b"noise\r\n" } else { crossing })
             .unwrap();
         match end {
             End::Stop => drop(phase.send_replace(Phase::Stopping)),
@@ -177,19 +190,20 @@
         let mut client = TcpStream::from_std(client).unwrap();
         let mut read = String::new();
         client.read_to_string(&mut read).await.unwrap();
-        // Of a connection that was closed in both directions the first half brings a reset, which the second finds.
-        let (begin, rest) = late.split_at(late.len() / 2);
-        client.write_all(begin).await.unwrap();
-        let after = client.write_all(rest).await;
+        // If the server had closed both directions, the first write would cause a reset, and the second one fail.
+        let (first_half, second_half) = late.split_at(late.len() / 2);
+        client.write_all(first_half).await.unwrap();
+        let late_write = client.write_all(second_half).await;
         drop(client);
         while permits.available_permits() == 0 {
             tokio::task::yield_now().await;
         }
         let accepted = !instance.borrow().is_idle();
-        (read, after, accepted)
+        (read, late_write, accepted)
     })
 }
 
+/// Reason for the server to close the connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum End {
     Stop,
@@ -198,25 +212,26 @@
     Error,
 }
 
-/// Whatever ends a connection: an answer that was written is read, no reset destroys it, and what arrives after the
-/// half-close is not executed, as its client hands it in again.
+/// A close with unread input resets the connection, which may destroy a reply that the client has not read; and a
+/// command that is executed after the half-close would run twice, since its client submits the message again.
 #[test]
-fn what_arrives_after_a_half_close_is_discarded_and_not_executed() {
+fn input_after_a_half_close_is_discarded_without_a_reset_and_not_executed() {
     let late = submit("c=free,d=8000,dest=9", 9);
-    for (end, answer) in [
+    for (end, reply) in [
         (End::Stop, ""),
         (End::Evict, ""),
         (End::NoCommand, ""),
         (End::Error, "-ERR not a command, or too long\r\n"),
     ] {
-        let (read, after, accepted) = close_crossing(end, b"", &late);
-        assert_eq!((&read[..], after.is_ok(), accepted), (answer, true, false), "{end:?}");
+        let (read, late_write, accepted) = close_crossing(end, b"", &late);
+        assert_eq!((&read[..], late_write.is_ok(), accepted), (reply, true, false), "{end:?}");
     }
 }
 
-/// A request whose last byte arrived before the close must be answered.
+/// The runtime may not have reported the input yet when the connection is about to close; a client whose command is
+/// discarded then gets no reply.
 #[test]
-fn a_command_that_is_whole_at_the_moment_of_the_close_is_answered_first() {
+fn a_command_that_is_complete_at_the_close_is_answered_first() {
     for end in [End::Stop, End::Evict] {
         assert_eq!(close_crossing(end, PING, b"").0, "+PONG\r\n", "{end:?}");
     }
