--- a/crates/quillhub-experiments/src/capacity/needs.rs
+++ b/crates/quillhub-experiments/src/capacity/needs.rs
@@ -5,7 +5,7 @@
 use crate::scale::short;
 use quillhub_scale::figure;
 use quillhub_scale::plan::Slope::{self, Backlog, Changes, Couriers, Destinations};
-use quillhub_server::MOST_LINE;
+use quillhub_server::MAX_LIST_BYTES;
 
 /// Microseconds of a second.
 const US: f64 = 1e6;
@@ -239,7 +239,7 @@
             .by(WATCH),
         need("control, packets a second", Couriers, figure::CONTROL_PACKETS, COURIERS)?.by(WATCH),
         need("the whole list, bytes of one line", Destinations, figure::LIST_BYTES, DESTINATIONS)?
-            .under(Limit { value: MOST_LINE as f64, source: "discovery.rs, MOST_LINE" })
+            .under(Limit { value: MAX_LIST_BYTES as f64, source: "discovery.rs, MAX_LIST_BYTES" })
             .by(PLACEMENT),
         need("the whole list, s of its control bytes", Destinations, figure::LIST_BYTES, DESTINATIONS)?
             .times(1.0 / CONTROL_BYTES_PER_S, "1 / 6,000 bytes a second")
--- a/crates/quillhub-scale/src/lightweight.rs
+++ b/crates/quillhub-scale/src/lightweight.rs
@@ -7,7 +7,7 @@
     AttemptOutcome, AttemptResult, Dispatcher, Driver, EndpointState, EndpointUpdate, LogEvent, MessageId,
     NewMessage,
 };
-use quillhub_server::MOST_LINE;
+use quillhub_server::MAX_LIST_BYTES;
 use quillhub_server::connection::{ConnectionError, HttpConnection};
 use quillhub_server::http::{self, Head};
 use serde_json::Value;
@@ -244,7 +244,7 @@
                 let mut link = HttpConnection::open(at).await?;
                 let head = ask(&mut link, at, "GET", "/registry/instances", &[]).await?;
                 let framing = head.framing().map_err(ConnectionError::from)?;
-                let body = timeout(SILENCE, link.body(framing, MOST_LINE)).await??;
+                let body = timeout(SILENCE, link.body(framing, MAX_LIST_BYTES)).await??;
                 let first = self.apply(&serde_json::from_slice(&body)?)?;
                 *revision = Some(first);
                 // Its one final outcome: a message whose deadline is over when it comes.
@@ -256,7 +256,7 @@
         ask(&mut link, at, "GET", &format!("/registry/instances?watch=1&after={after}"), &[]).await?;
         let mut text = Vec::new();
         loop {
-            let chunk = timeout(SILENCE, link.chunk(MOST_LINE)).await??;
+            let chunk = timeout(SILENCE, link.chunk(MAX_LIST_BYTES)).await??;
             if chunk.is_empty() {
                 return Ok(());
             }
--- a/crates/quillhub-server/src/discovery/mod.rs
+++ b/crates/quillhub-server/src/discovery/mod.rs
@@ -8,7 +8,7 @@
 mod watch;
 
 pub use entries::{Origin, check, update_endpoints};
-pub use watch::MOST_LINE;
+pub use watch::MAX_LIST_BYTES;
 
 use crate::instance::Instance;
 use std::cell::{Cell, RefCell};
--- a/crates/quillhub-server/src/discovery/return_tests.rs
+++ b/crates/quillhub-server/src/discovery/return_tests.rs
@@ -1,7 +1,7 @@
 //! Discovery that comes back, or is slow: what it has is known in time, whatever became of the requests before. Virtual
 //! time, real sockets.
 
-use super::watch::{MOST_LINE, PATH, REQUEST_TIMEOUT, SILENCE_TIMEOUT, request};
+use super::watch::{MAX_LIST_BYTES, PATH, REQUEST_TIMEOUT, SILENCE_TIMEOUT, request};
 use super::*;
 use crate::connection::ConnectionError;
 use crate::test_support::{Folder, answering, configuration, full, instance_with, on_one_thread};
@@ -245,7 +245,7 @@
     let last = json!({"id": "f", "host_port": "127.0.0.1:2", "cell": 9, "phase": "up"});
     let list = json!({"revision": 9, "complete": true, "members": rows.chain([last]).collect::<Vec<_>>()});
     let text: &str = serde_json::to_string_pretty(&list).unwrap().leak();
-    assert!((3 << 20..MOST_LINE).contains(&text.len()), "{}", text.len());
+    assert!((3 << 20..MAX_LIST_BYTES).contains(&text.len()), "{}", text.len());
     for complete in [false, true] {
         let folder = Folder::new();
         on_one_thread(async {
--- a/crates/quillhub-server/src/discovery/watch.rs
+++ b/crates/quillhub-server/src/discovery/watch.rs
@@ -24,7 +24,7 @@
 /// How long a list may take from its first byte to its last, if more of it keeps coming: the longest, at 140 KB/s.
 const LIST_TIMEOUT: Duration = Duration::from_secs(30);
 /// Bytes of a line that an instance takes from discovery: the complete list of a large deployment.
-pub const MOST_LINE: usize = 4 * 1024 * 1024;
+pub const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// Sends a request to discovery; its response as far as the head, and where its body ends.
 pub(super) async fn request(
@@ -77,7 +77,7 @@
     revision: &Cell<Option<u64>>,
 ) -> Result<(), ConnectionError> {
     let (mut connection, framing) = request(at, PATH).await?;
-    let body = connection.body(framing, MOST_LINE);
+    let body = connection.body(framing, MAX_LIST_BYTES);
     let body = timeout(LIST_TIMEOUT, body).await.map_err(|_| ConnectionError::Ended)??;
     let list = serde_json::from_slice(&body).map_err(|_| ConnectionError::Malformed)?;
     update(instance, &list, revision)
@@ -94,13 +94,13 @@
     let mut boundaries = ValueBoundaries::default();
     let mut began = Instant::now();
     loop {
-        let chunk = timeout(LIST_TIMEOUT, connection.chunk(MOST_LINE))
+        let chunk = timeout(LIST_TIMEOUT, connection.chunk(MAX_LIST_BYTES))
             .await
             .map_err(|_| ConnectionError::Ended)??;
         if text.is_empty() {
             began = Instant::now();
         }
-        if chunk.is_empty() || text.len() > MOST_LINE || began.elapsed() > LIST_TIMEOUT {
+        if chunk.is_empty() || text.len() > MAX_LIST_BYTES || began.elapsed() > LIST_TIMEOUT {
             return Err(ConnectionError::Ended);
         }
         text.extend_from_slice(&chunk);
--- a/crates/quillhub-server/src/lib.rs
+++ b/crates/quillhub-server/src/lib.rs
@@ -25,7 +25,7 @@
 mod wal;
 
 pub use configuration::ConfigurationError;
-pub use discovery::MOST_LINE;
+pub use discovery::MAX_LIST_BYTES;
 pub use error::{ReadError, ServeError};
 
 use quillhub_settings::Setting;
