--- a/crates/quillhub-server/src/discovery/entries.rs
+++ b/crates/quillhub-server/src/discovery/entries.rs
@@ -1,6 +1,6 @@
-//! Endpoint lists, as discovery and the configuration have them: parses one and applies it.
+//! Endpoint lists in the JSON format of discovery and of the configuration: parses a list and applies it.
 //!
-//! Invariant: a list of which anything cannot be read changes nothing.
+//! Invariant: a list with an invalid part changes nothing.
 
 use crate::instance::Instance;
 use quillhub::{EndpointState, EndpointUpdate};
@@ -9,29 +9,34 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Where a list is from.
+/// Origin of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Origin {
-    /// It was known at the start: what discovery has may be newer.
+    /// The configuration, which is read at the start; discovery may have a newer list.
     Configuration,
+    /// A response of discovery.
     Discovery,
 }
 
-/// An endpoint list, or changes of one.
+/// Endpoint list, or changes of one.
 struct EndpointList<'a> {
     revision: u64,
-    /// Whether it has all endpoints; otherwise it has those that changed.
+    /// `true` if the list contains all endpoints; otherwise it contains those that changed.
     complete: bool,
     entries: Vec<Entry<'a>>,
 }
 
+/// Endpoint in a list.
 struct Entry<'a> {
     name: &'a str,
     address: SocketAddr,
+    /// Zone in which the endpoint runs; empty if the list gives none.
     zone: &'a str,
+    /// Kind of the destination; empty if the list gives none.
     kind: &'a str,
     destination: u64,
     state: EndpointState,
+    /// Rate that the list gives for the endpoint, if any.
     rate: Option<f64>,
 }
 
@@ -67,20 +72,20 @@
     }
 }
 
-/// Reads a list and does nothing with it.
+/// Checks that a list can be parsed, without applying it.
 ///
 /// # Errors
 ///
-/// What cannot be read of it first.
+/// Returns the first error in the list.
 pub fn check(list: &Value) -> Result<(), SettingsError> {
     EndpointList::parse(list).map(|_| ())
 }
 
-/// Updates the instance's endpoints by a list or changes of it, and returns its revision.
+/// Applies a complete list or changes of one to the instance's endpoints, and returns its revision.
 ///
 /// # Errors
 ///
-/// What cannot be read of the list first; it changes nothing then.
+/// Returns the first error in the list, which changes nothing then.
 pub fn update_endpoints(instance: &mut Instance, list: &Value, origin: Origin) -> Result<u64, SettingsError> {
     let EndpointList { revision, complete, entries } = EndpointList::parse(list)?;
     for Entry { name, address, state, .. } in &entries {
--- a/crates/quillhub-server/src/discovery/mod.rs
+++ b/crates/quillhub-server/src/discovery/mod.rs
@@ -1,7 +1,8 @@
-//! Discovery: the list at first, then a watch on its changes, opened again whenever it ends or discovery has moved.
+//! Client of discovery: requests the endpoint list and then watches its changes. The watch is reopened when it ends and
+//! when the address of discovery changes.
 //!
-//! Invariant: the dispatcher is notified of the end of every request, after a panic too, but where discovery has moved
-//! and the next request goes at once. Otherwise it would never poll again.
+//! Invariant: the dispatcher is notified of the end of every request, even after a panic; without that, it would never
+//! poll again. The exception is a change of discovery's address, after which the next request is sent at once.
 
 mod entries;
 mod stream;
@@ -18,23 +19,24 @@
 use tokio::sync::{Notify, watch as watch_channel};
 use tokio::time::{Instant, sleep_until};
 
-/// Shortest time from one watch's opening to the next, where discovery sends changes unasked: one that lasted longer
-/// is opened again at once.
-const REOPEN_INTERVAL: Duration = Duration::from_millis(250);
+/// Minimum time from the opening of one watch to the next if discovery need not be polled. A watch that was open for
+/// longer is reopened at once.
+const MIN_REOPEN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How far [`follow`] is; outlives a panic of it.
+/// State of [`follow`], kept outside of it so that it survives a panic.
 #[derive(Default)]
 pub struct Progress {
-    /// The revision of the list that was applied last; none if the next must be a complete one.
+    /// Revision of the list that was applied last; `None` if a complete list must be requested next.
     revision: Cell<Option<u64>>,
-    /// Whether discovery has moved, and no request was sent to it there.
+    /// `true` if discovery's address has changed and no request was sent to the new one.
     moved: Cell<bool>,
-    /// Whether a request, or the watch that it opened, has begun and the dispatcher was not notified of its end.
+    /// `true` from the start of a request until the dispatcher is notified of its end, or of the end of the watch that
+    /// it opened.
     outstanding: Cell<bool>,
 }
 
 impl Progress {
-    /// Progress after the list of that revision, if there was any.
+    /// Creates the state after the list of `revision` was applied, or before any list with `None`.
     pub fn new(revision: Option<u64>) -> Rc<Self> {
         Rc::new(Self { revision: Cell::new(revision), ..Self::default() })
     }
@@ -51,52 +53,55 @@
     }
 }
 
-/// Takes back what was notified before now.
-async fn clear(wanted: &Notify) {
+/// Discards a notification that was not received yet, if there is one.
+async fn discard_notification(notify: &Notify) {
     tokio::select! {
         biased;
-        () = wanted.notified() => {}
+        () = notify.notified() => {}
         () = std::future::ready(()) => {}
     }
 }
 
-/// Keeps a watch open. Where discovery `must_be_polled`, the dispatcher decides when; but once discovery has moved it
-/// is watched there at once, and its complete list requested.
+/// Keeps a watch on discovery open, without end.
+///
+/// If discovery `must_be_polled`, the dispatcher determines when a watch is opened. When discovery's address changes,
+/// the complete list is requested and a watch opened there at once.
 pub async fn follow(
     instance: Rc<RefCell<Instance>>,
     mut discovery: watch_channel::Receiver<SocketAddr>,
     progress: Rc<Progress>,
     must_be_polled: bool,
 ) {
-    let wanted = instance.borrow().watch_requested();
+    let watch_requested = instance.borrow().watch_requested();
     loop {
-        // Here, so that the dispatcher is also notified of what a panic has ended: it would never poll again.
+        // At the start of the loop, so that a request that ended in a panic is reported too: otherwise the dispatcher
+        // would never poll again.
         if progress.outstanding.get() {
-            clear(&wanted).await;
+            discard_notification(&watch_requested).await;
             instance.borrow_mut().handle_event(|dispatcher| dispatcher.endpoint_list_failed());
             progress.outstanding.set(false);
         }
         if must_be_polled && !progress.moved.get() {
             tokio::select! {
-                () = wanted.notified() => {}
+                () = watch_requested.notified() => {}
                 Ok(()) = discovery.changed() => progress.discovery_moved(),
             }
         }
-        let at = *discovery.borrow_and_update();
+        let address = *discovery.borrow_and_update();
         let opened = Instant::now();
         progress.request_started();
-        let ended = tokio::select! {
-            ended = watch::watch(&instance, at, &progress.revision) => ended,
+        let result = tokio::select! {
+            result = watch::watch(&instance, address, &progress.revision) => result,
             Ok(()) = discovery.changed() => {
                 progress.discovery_moved();
                 continue;
             }
         };
-        if let Err(error) = ended {
+        if let Err(error) = result {
             tracing::info!(%error, revision = progress.revision.get(), "the watch on discovery ended");
         }
         if !must_be_polled {
-            sleep_until(opened + REOPEN_INTERVAL).await;
+            sleep_until(opened + MIN_REOPEN_INTERVAL).await;
         }
     }
 }
--- a/crates/quillhub-server/src/discovery/return_tests.rs
+++ b/crates/quillhub-server/src/discovery/return_tests.rs
@@ -1,10 +1,10 @@
-//! Discovery that comes back, or is slow: what it has is known in time, whatever became of the requests before. Virtual
-//! time, real sockets.
+//! Tests that changes are known in time once discovery returns from an outage or is slow, however earlier requests were
+//! lost. They use real sockets and virtual time.
 
 use super::watch::{MAX_LIST_BYTES, PATH, REQUEST_TIMEOUT, SILENCE_TIMEOUT, request};
 use super::*;
 use crate::connection::ConnectionError;
-use crate::test_support::{Folder, answering, configuration, full, instance_with, on_one_thread};
+use crate::test_support::{StateDirectory, answering, configuration, full, instance_with, on_one_thread};
 use quillhub_fakes::http::Served;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
@@ -13,7 +13,7 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{advance, sleep, timeout};
 
-/// When a change must be known, from the moment on in which discovery has it and can be reached.
+/// Time within which a change must be known, counted from when discovery has it and can be reached.
 const KNOWN_WITHIN: Duration = Duration::from_secs(6);
 const LIST: &str = r#"{"revision":9,"complete":true,"members":[{"id":"f","host_port":"127.0.0.1:2","cell":9,"phase":"up"}]}"#;
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -22,7 +22,7 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// What becomes of a connection to discovery that is out of reach. None of them recovers.
+/// Kind of failure of a connection to discovery during its outage. No such connection recovers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Loss {
     Refused,
@@ -30,7 +30,7 @@
     Closed,
     Silent,
     HalfHead,
-    /// The head comes just before the request times out, and nothing after it.
+    /// The head arrives just before the request times out, and nothing after it.
     LateHead,
     HalfList,
 }
@@ -45,6 +45,7 @@
     Loss::HalfList,
 ];
 
+/// Serves a connection to discovery during its outage.
 async fn lose(loss: Loss, stream: TcpStream) -> std::io::Result<()> {
     let mut stream = Served::new(stream);
     let Some(requested) = stream.next().await? else { return Ok(()) };
@@ -68,6 +69,7 @@
     std::future::pending().await
 }
 
+/// Serves a connection to discovery after its return: each request gets [`LIST`], and a watch goes on with empty lines.
 async fn answer(stream: TcpStream) -> std::io::Result<()> {
     let mut stream = Served::new(stream);
     while let Some(requested) = stream.next().await? {
@@ -84,23 +86,23 @@
     Ok(())
 }
 
-/// Discovery out of reach in this way until `back`.
-fn discovery(loss: Loss, back: Instant) -> SocketAddr {
+/// Starts a fake discovery whose connections fail by `loss` until `return_time`, and returns its address.
+fn discovery(loss: Loss, return_time: Instant) -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
-    let at = socket.local_addr().unwrap().as_socket().unwrap();
+    let address = socket.local_addr().unwrap().as_socket().unwrap();
     let mut queued = None;
     match loss {
         Loss::Refused => {}
         Loss::NeverConnected => {
             socket.listen(0).unwrap();
-            queued = Some(StdStream::connect(at).unwrap());
+            queued = Some(StdStream::connect(address).unwrap());
         }
         _ => socket.listen(64).unwrap(),
     }
     spawn_local(async move {
         if matches!(loss, Loss::Refused | Loss::NeverConnected) {
-            sleep_until(back).await;
+            sleep_until(return_time).await;
             socket.listen(64).unwrap();
         }
         socket.set_nonblocking(true).unwrap();
@@ -108,7 +110,7 @@
         loop {
             let (stream, _) = listener.accept().await.unwrap();
             drop(queued.take());
-            let loss = Some(loss).filter(|_| Instant::now() < back);
+            let loss = Some(loss).filter(|_| Instant::now() < return_time);
             spawn_local(async move {
                 let _ = match loss {
                     Some(loss) => lose(loss, stream).await,
@@ -117,7 +119,7 @@
             });
         }
     });
-    at
+    address
 }
 
 fn settings(must_be_polled: bool) -> Value {
@@ -127,62 +129,72 @@
     settings
 }
 
-async fn known(instance: &RefCell<Instance>) {
+/// Waits until the instance knows the endpoint in [`LIST`].
+async fn until_known(instance: &RefCell<Instance>) {
     while instance.borrow().endpoint_address("f").is_none() {
         sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// How long after its return what discovery has is known.
-fn known_after(seed: u64, loss: Loss, must_be_polled: bool, complete: bool, down: Duration) -> Duration {
-    let folder = Folder::new();
+/// Returns the time from the return of discovery, after an outage of `outage`, until its list is known. With
+/// `needs_complete_list`, no revision is known before.
+fn time_until_known(
+    seed: u64,
+    loss: Loss,
+    must_be_polled: bool,
+    needs_complete_list: bool,
+    outage: Duration,
+) -> Duration {
+    let directory = StateDirectory::new();
     on_one_thread(async {
         tokio::time::pause();
-        let back = Instant::now() + down;
-        let at = discovery(loss, back);
+        let return_time = Instant::now() + outage;
+        let address = discovery(loss, return_time);
         let instance =
-            instance_with(seed, &settings(must_be_polled), &folder, "127.0.0.1:1".parse().unwrap());
-        let (_at, seen) = watch_channel::channel(at);
-        let progress = Progress::new(Some(6).filter(|_| !complete));
-        spawn_local(follow(instance.clone(), seen, progress, must_be_polled));
+            instance_with(seed, &settings(must_be_polled), &directory, "127.0.0.1:1".parse().unwrap());
+        let (_address_sender, address_receiver) = watch_channel::channel(address);
+        let progress = Progress::new(Some(6).filter(|_| !needs_complete_list));
+        spawn_local(follow(instance.clone(), address_receiver, progress, must_be_polled));
         instance.borrow_mut().handle_event(|_| ());
-        timeout(down + 10 * KNOWN_WITHIN, known(&instance)).await.expect("it is never known");
-        back.elapsed()
+        timeout(outage + 10 * KNOWN_WITHIN, until_known(&instance)).await.expect("the list is never known");
+        return_time.elapsed()
     })
 }
 
-/// The sum of all waits, for each kind of loss and each moment of the return against that of the last lost request.
+/// Checks the time until the list is known for each kind of loss, and for returns at many moments between two lost
+/// requests: the waits of a lost request and of the next ones add up.
 fn assert_known_in_time(must_be_polled: bool) {
     for (loss, complete) in ALL.into_iter().flat_map(|loss| [(loss, false), (loss, true)]) {
-        let downs = (0..24).map(|nth| Duration::from_millis(8_000 + nth * 233));
-        let delays = downs.enumerate().map(|(seed, down)| {
-            let after = known_after(seed as u64, loss, must_be_polled, complete, down);
-            (after, down)
+        let outages = (0..24).map(|nth| Duration::from_millis(8_000 + nth * 233));
+        let delays = outages.enumerate().map(|(seed, outage)| {
+            let delay = time_until_known(seed as u64, loss, must_be_polled, complete, outage);
+            (delay, outage)
         });
-        let (longest, down) = delays.max().unwrap();
-        println!("{loss:?}, complete list {complete}: known {longest:?} after the return at {down:?}");
-        assert!(longest < KNOWN_WITHIN, "{loss:?}, complete list {complete}: {longest:?}, down for {down:?}");
+        let (longest, outage) = delays.max().unwrap();
+        println!("{loss:?}, complete list {complete}: known {longest:?} after an outage of {outage:?}");
+        assert!(longest < KNOWN_WITHIN, "{loss:?}, complete list {complete}: {longest:?}, outage {outage:?}");
     }
 }
 
 #[test]
-fn changes_at_the_return_of_discovery_that_pushes_are_known_within_six_seconds() {
+fn changes_are_known_within_six_seconds_of_the_return_of_discovery_that_pushes() {
     assert_known_in_time(false);
 }
 
 #[test]
-fn changes_at_the_return_of_discovery_that_is_polled_are_known_within_six_seconds() {
+fn changes_are_known_within_six_seconds_of_the_return_of_discovery_that_is_polled() {
     assert_known_in_time(true);
 }
 
-/// A connection that comes up late, with the system's second try, leaves its request no more time than any other.
+/// A connection that is established late, with the system's second try, must not prolong its request: the next one would
+/// come too late.
 #[test]
 fn a_request_has_one_timeout_for_its_connection_and_its_head() {
     on_one_thread(async {
         tokio::time::pause();
-        let (at, (socket, queued)) = full();
-        let began = Instant::now();
-        let response = spawn_local(request(at, PATH));
+        let (address, (socket, queued)) = full();
+        let started = Instant::now();
+        let response = spawn_local(request(address, PATH));
         yield_now().await;
         let late = Duration::from_millis(50);
         advance(REQUEST_TIMEOUT - late).await;
@@ -198,45 +210,49 @@
         };
         assert!(matches!(response.await.unwrap(), Err(ConnectionError::Ended)));
         assert!(
-            (REQUEST_TIMEOUT..REQUEST_TIMEOUT + late).contains(&began.elapsed()),
+            (REQUEST_TIMEOUT..REQUEST_TIMEOUT + late).contains(&started.elapsed()),
             "{:?}",
-            began.elapsed()
+            started.elapsed()
         );
         drop(silent);
     });
 }
 
-/// A panic in the midst of a list: it counts as the request's end, and discovery is polled again.
+/// Without a report of the request's end, the dispatcher waits for it and never polls discovery again.
 #[test]
-#[allow(clippy::await_holding_refcell_ref)] // that the instance is borrowed while the list is read is what panics
+#[allow(clippy::await_holding_refcell_ref)] // borrowing the instance while the list is applied causes the panic
 fn a_panic_in_reading_a_list_is_followed_by_another_request() {
     for must_be_polled in [false, true] {
-        let folder = Folder::new();
+        let directory = StateDirectory::new();
         on_one_thread(async {
             tokio::time::pause();
             let watched = format!("{CHUNKED}{}", chunk(&format!("{LIST}\n"))).leak().as_bytes();
-            let (at, mut requested) = answering(vec![watched; 2]).await;
+            let (address, mut requested) = answering(vec![watched; 2]).await;
             let instance =
-                instance_with(7, &settings(must_be_polled), &folder, "127.0.0.1:1".parse().unwrap());
-            let (_at, seen) = watch_channel::channel(at);
+                instance_with(7, &settings(must_be_polled), &directory, "127.0.0.1:1".parse().unwrap());
+            let (_address_sender, address_receiver) = watch_channel::channel(address);
             let (job, progress) = (instance.clone(), Progress::new(Some(6)));
             crate::startup::supervise(move || {
-                follow(job.clone(), seen.clone(), progress.clone(), must_be_polled)
+                follow(job.clone(), address_receiver.clone(), progress.clone(), must_be_polled)
             });
             instance.borrow_mut().handle_event(|_| ());
             requested.recv().await.unwrap();
-            let borrowed = instance.borrow_mut(); // so that the list, which has arrived, cannot be applied
+            let borrowed = instance.borrow_mut(); // applying the list, which has arrived, panics
             sleep(Duration::from_millis(10)).await;
             drop(borrowed);
             let failed = Instant::now();
-            assert!(instance.borrow().endpoint_address("f").is_none(), "it panicked before");
-            timeout(KNOWN_WITHIN, known(&instance)).await.expect("it is not polled again");
+            assert!(
+                instance.borrow().endpoint_address("f").is_none(),
+                "the list was applied before the panic"
+            );
+            timeout(KNOWN_WITHIN, until_known(&instance)).await.expect("discovery is not polled again");
             assert!(failed.elapsed() < KNOWN_WITHIN);
         });
     }
 }
 
-/// A list of 3 MiB over some seconds, complete at once or as a watch's line, indented: it is read as long as it comes.
+/// A list of 3 MiB takes several seconds over a slow connection. A limit that counts from the request, or a parser that
+/// starts anew at each line of indented JSON, would give the list up, as a response of its own or within a watch.
 #[test]
 fn a_long_list_over_a_slow_connection_is_read_to_its_end() {
     let rows = (0..22_000).map(|n| {
@@ -247,14 +263,19 @@
     let text: &str = serde_json::to_string_pretty(&list).unwrap().leak();
     assert!((3 << 20..MAX_LIST_BYTES).contains(&text.len()), "{}", text.len());
     for complete in [false, true] {
-        let folder = Folder::new();
+        let directory = StateDirectory::new();
         on_one_thread(async {
             tokio::time::pause();
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-            let at = listener.local_addr().unwrap();
-            let instance = instance_with(7, &settings(false), &folder, "127.0.0.1:1".parse().unwrap());
-            let (_at, seen) = watch_channel::channel(at);
-            spawn_local(follow(instance.clone(), seen, Progress::new(Some(6).filter(|_| !complete)), false));
+            let address = listener.local_addr().unwrap();
+            let instance = instance_with(7, &settings(false), &directory, "127.0.0.1:1".parse().unwrap());
+            let (_address_sender, address_receiver) = watch_channel::channel(address);
+            spawn_local(follow(
+                instance.clone(),
+                address_receiver,
+                Progress::new(Some(6).filter(|_| !complete)),
+                false,
+            ));
             let mut stream = Served::new(listener.accept().await.unwrap().0);
             stream.next().await.unwrap();
             let length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
@@ -265,7 +286,9 @@
                 stream.write(octets.as_bytes()).await.unwrap();
                 advance(Duration::from_millis(200)).await;
             }
-            timeout(SILENCE_TIMEOUT, known(&instance)).await.expect("it is given up in the midst of it");
+            timeout(SILENCE_TIMEOUT, until_known(&instance))
+                .await
+                .expect("the list is given up before its end");
         });
     }
 }
--- a/crates/quillhub-server/src/discovery/stream.rs
+++ b/crates/quillhub-server/src/discovery/stream.rs
@@ -1,11 +1,11 @@
-//! The JSON values of a stream that may be cut anywhere.
+//! Parser for a stream of JSON values that arrives in chunks, which may end anywhere.
 //!
-//! Invariant: each byte is looked at once before its value is complete.
+//! Invariant: each byte is scanned only once before the value that contains it is complete.
 
 use serde_json::Value;
 
-/// Where the JSON values of a stream may end. Against lists of some MiB over many lines, which would be parsed from
-/// their start again with each.
+/// Scanner that finds where the JSON values of a stream may end. Prevents lists of several MiB over many lines from
+/// being parsed from their start again with each line.
 #[derive(Default)]
 pub(super) struct ValueBoundaries {
     depth: u32,
@@ -14,8 +14,9 @@
 }
 
 impl ValueBoundaries {
-    /// Whether a value, or a line outside of any, ends within `octets`, which follow those looked at before.
-    pub(super) fn within(&mut self, octets: &[u8]) -> bool {
+    /// Scans the next `octets` of the stream, and returns `true` if a value may end within them, or a line outside of
+    /// any value.
+    pub(super) fn scan(&mut self, octets: &[u8]) -> bool {
         let mut found = false;
         for octet in octets {
             match octet {
@@ -36,12 +37,12 @@
     }
 }
 
-/// Takes the complete JSON values from the start of `text`, each of which may be written over several lines; empty lines
-/// are none.
+/// Removes the complete JSON values from the start of `text` and returns them. A value may span several lines; empty
+/// lines are skipped.
 ///
 /// # Errors
 ///
-/// If `text` cannot become JSON values, whatever follows it.
+/// Returns an error if `text` cannot be completed to JSON values, whatever follows it.
 pub(super) fn take_values(text: &mut Vec<u8>) -> Result<Vec<Value>, serde_json::Error> {
     let mut found = Vec::new();
     let mut used = 0;
--- a/crates/quillhub-server/src/discovery/stream_tests.rs
+++ b/crates/quillhub-server/src/discovery/stream_tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// A stream's values are looked for at their boundaries only, wherever they are cut.
+/// A list over many lines that is parsed from its start at each line takes time quadratic in its length.
 #[test]
-fn each_byte_of_a_list_over_many_lines_is_read_once() {
+fn values_are_only_found_at_their_ends_wherever_the_stream_is_cut() {
     let text = r#"
 { "revision": 9, "a": "}\n\"{[",
   "members": [
@@ -13,10 +13,10 @@
     for cut in 1..text.len() {
         let (begin, end) = text.as_bytes().split_at(cut);
         let mut boundaries = ValueBoundaries::default();
-        assert_eq!(boundaries.within(begin), cut >= 1, "the first line is empty: {cut}");
-        assert!(boundaries.within(end) && !boundaries.within(b" "), "{cut}");
+        assert_eq!(boundaries.scan(begin), cut >= 1, "the first line is empty: {cut}");
+        assert!(boundaries.scan(end) && !boundaries.scan(b" "), "{cut}");
     }
     let mut boundaries = ValueBoundaries::default();
-    let found = text.trim_start().bytes().filter(|octet| boundaries.within(&[*octet])).count();
-    assert_eq!((found, boundaries.within(b"noise"), boundaries.within(b"\n")), (1, false, true));
+    let found = text.trim_start().bytes().filter(|octet| boundaries.scan(&[*octet])).count();
+    assert_eq!((found, boundaries.scan(b"noise"), boundaries.scan(b"\n")), (1, false, true));
 }
--- a/crates/quillhub-server/src/discovery/tests.rs
+++ b/crates/quillhub-server/src/discovery/tests.rs
@@ -1,7 +1,7 @@
 use super::watch::watch;
 use super::*;
 use crate::connection::ConnectionError;
-use crate::test_support::{Folder, answering, instance, on_one_thread};
+use crate::test_support::{StateDirectory, answering, instance, on_one_thread};
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
 
@@ -13,11 +13,11 @@
     json!({"revision": 41, "complete": complete, "members": members})
 }
 
-/// Of endpoints `e`, `f` and `g`, the ports that are known after `lists`.
-fn ports(lists: &[Value]) -> [Option<u16>; 3] {
-    let folder = Folder::new();
+/// Returns the known ports of the endpoints `e`, `f` and `g` after `lists` are applied.
+fn ports_after(lists: &[Value]) -> [Option<u16>; 3] {
+    let directory = StateDirectory::new();
     on_one_thread(async {
-        let instance = instance(&folder, "127.0.0.1:1".parse().unwrap());
+        let instance = instance(&directory, "127.0.0.1:1".parse().unwrap());
         let mut instance = instance.borrow_mut();
         for list in lists {
             assert_eq!(
@@ -25,24 +25,24 @@
                 Ok(41)
             );
         }
-        ["e", "f", "g"].map(|name| instance.endpoint_address(name).map(|at| at.port()))
+        ["e", "f", "g"].map(|name| instance.endpoint_address(name).map(|address| address.port()))
     })
 }
 
 #[test]
 fn a_complete_list_replaces_what_was_known_and_changes_add_to_it() {
     let two = list(true, &[member("f", 2, "up"), member("g", 3, "draining")]);
-    assert_eq!(ports(std::slice::from_ref(&two)), [None, Some(2), Some(3)]);
-    assert_eq!(ports(&[list(false, &[member("f", 2, "up")])]), [Some(1), Some(2), None]);
+    assert_eq!(ports_after(std::slice::from_ref(&two)), [None, Some(2), Some(3)]);
+    assert_eq!(ports_after(&[list(false, &[member("f", 2, "up")])]), [Some(1), Some(2), None]);
     let change = list(false, &[member("f", 4, "up"), member("g", 3, "removed")]);
-    assert_eq!(ports(&[two, change]), [None, Some(4), None]);
+    assert_eq!(ports_after(&[two, change]), [None, Some(4), None]);
 }
 
 #[test]
 fn a_list_that_cannot_be_read_changes_nothing() {
-    let folder = Folder::new();
+    let directory = StateDirectory::new();
     on_one_thread(async {
-        let instance = instance(&folder, "127.0.0.1:1".parse().unwrap());
+        let instance = instance(&directory, "127.0.0.1:1".parse().unwrap());
         for bad in [
             json!([]),
             json!({"revision": 1}),
@@ -63,15 +63,15 @@
 
 #[test]
 fn a_watch_reads_lines_wherever_they_are_split() {
-    let folder = Folder::new();
+    let directory = StateDirectory::new();
     on_one_thread(async {
         let answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n\
             1f\r\n{\"revision\":7,\"complete\":true,\"\r\n10\r\nmembers\":[]}\n{\"r\r\n\
             26\r\nevision\":8,\"members\":[],\"more\":[null]}\r\n1\r\n\n\r\n0\r\n\r\n";
-        let (at, mut requests) = answering(vec![answer]).await;
-        let instance = instance(&folder, at);
+        let (address, mut requests) = answering(vec![answer]).await;
+        let instance = instance(&directory, address);
         let revision = Cell::new(Some(6));
-        assert!(matches!(watch(&instance, at, &revision).await, Err(ConnectionError::Ended)));
+        assert!(matches!(watch(&instance, address, &revision).await, Err(ConnectionError::Ended)));
         assert_eq!((revision.get(), instance.borrow().endpoint_address("e")), (Some(8), None));
         let request = requests.recv().await.unwrap();
         assert!(request.starts_with("GET /registry/instances?watch=1&after=6 HTTP/1.1\r\n"), "{request}");
@@ -79,29 +79,30 @@
 }
 
 #[test]
-fn discovery_that_moved_is_watched_there_at_once_from_its_complete_list_on() {
-    let folder = Folder::new();
+fn discovery_at_a_new_address_is_watched_at_once_after_its_complete_list() {
+    let directory = StateDirectory::new();
     on_one_thread(async {
         let watched = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
         let listed = b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n{\"revision\":2,\"complete\":true,\
             \"members\":[{\"id\":\"f\",\"host_port\":\"127.0.0.1:2\",\"cell\":9,\"phase\":\"up\"}]}";
-        let (old, mut asked_old) = answering(vec![watched]).await;
-        let (new, mut asked_new) = answering(vec![listed, watched]).await;
-        let instance = instance(&folder, old);
-        let (at, seen) = watch_channel::channel(old);
-        spawn_local(follow(instance.clone(), seen, Progress::new(Some(6)), false));
-        assert!(asked_old.recv().await.unwrap().contains("after=6 "));
-        at.send_replace(new);
-        assert!(asked_new.recv().await.unwrap().starts_with("GET /registry/instances HTTP/1.1\r\n"));
-        assert!(asked_new.recv().await.unwrap().starts_with("GET /registry/instances?watch=1&after=2 "));
+        let (old, mut old_requests) = answering(vec![watched]).await;
+        let (new, mut new_requests) = answering(vec![listed, watched]).await;
+        let instance = instance(&directory, old);
+        let (address, address_receiver) = watch_channel::channel(old);
+        spawn_local(follow(instance.clone(), address_receiver, Progress::new(Some(6)), false));
+        assert!(old_requests.recv().await.unwrap().contains("after=6 "));
+        address.send_replace(new);
+        assert!(new_requests.recv().await.unwrap().starts_with("GET /registry/instances HTTP/1.1\r\n"));
+        assert!(new_requests.recv().await.unwrap().starts_with("GET /registry/instances?watch=1&after=2 "));
         let known = ["e", "f"].map(|name| instance.borrow().endpoint_address(name).is_some());
         assert_eq!(known, [false, true]);
     });
 }
 
-/// What a watch from revision 6 on leads to that writes `chunks` and then `ends`: its end, the revision, and whether `e` and `f` are known.
-fn watched(chunks: &[&str], ends: bool) -> (Result<(), ConnectionError>, Option<u64>, [bool; 2]) {
-    let folder = Folder::new();
+/// Watches a fake discovery from revision 6 on; it sends `chunks` and, if `ends` is set, the end of the response.
+/// Returns the result of the watch, the last revision, and whether `e` and `f` are known.
+fn watch_chunks(chunks: &[&str], ends: bool) -> (Result<(), ConnectionError>, Option<u64>, [bool; 2]) {
+    let directory = StateDirectory::new();
     on_one_thread(async {
         tokio::time::pause();
         let mut answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned();
@@ -109,22 +110,22 @@
             answer += &format!("{:x}\r\n{chunk}\r\n", chunk.len());
         }
         answer += if ends { "0\r\n\r\n" } else { "" };
-        let (at, _requests) = answering(vec![answer.leak().as_bytes()]).await;
-        let instance = instance(&folder, at);
+        let (address, _requests) = answering(vec![answer.leak().as_bytes()]).await;
+        let instance = instance(&directory, address);
         let revision = Cell::new(Some(6));
-        let ended = watch(&instance, at, &revision).await;
+        let ended = watch(&instance, address, &revision).await;
         let known = ["e", "f"].map(|name| instance.borrow().endpoint_address(name).is_some());
         (ended, revision.get(), known)
     })
 }
 
 #[test]
-fn an_indented_list_is_read_wherever_it_is_cut_and_the_next_behind_it() {
+fn an_indented_list_and_the_next_one_are_read_wherever_they_are_cut() {
     let text = serde_json::to_string_pretty(&list(true, &[member("f", 2, "up")])).unwrap();
     let next = "\n\n{\"revision\":42,\n\"members\":[]}\n";
     for cut in 0..=text.len() {
         let (begin, end) = text.split_at(cut);
-        let watched = watched(&[&format!("\n{begin}"), &format!("{end}{next}")], true);
+        let watched = watch_chunks(&[&format!("\n{begin}"), &format!("{end}{next}")], true);
         assert!(
             matches!(watched, (Err(ConnectionError::Ended), Some(42), [false, true])),
             "cut at {cut}: {watched:?}"
@@ -137,14 +138,15 @@
     let text = list(true, &[member("f", 2, "up")]).to_string();
     for (text, ends) in [(&text[..text.len() - 1], true), (&text[..40], false), ("noise", true), ("41", true)]
     {
-        let watched = watched(&[text, "\n"], ends);
+        let watched = watch_chunks(&[text, "\n"], ends);
         assert!(matches!(watched, (Err(_), Some(6), [true, false])), "{watched:?}");
     }
 }
 
-/// What discovery has applies, whatever it is: also no entries, or revisions that stay or go back.
+/// The list of discovery always applies. A check for an empty list or for an increasing revision would keep endpoints
+/// that discovery no longer has.
 #[test]
-fn a_complete_list_without_entries_is_applied_and_a_revision_may_stay_or_go_back() {
+fn a_complete_list_applies_even_without_entries_or_with_the_same_or_a_lower_revision() {
     let list = |revision: u64, rows: &str| {
         format!("{{\"revision\":{revision},\"complete\":true,\"members\":[{rows}]}}\n")
     };
@@ -154,29 +156,38 @@
         (vec![list(7, ""), list(7, &f)], 7, [false, true]),
         (vec![list(7, &f), list(3, "")], 3, [false, false]),
     ] {
-        let watched = watched(&lists.iter().map(|list| &list[..]).collect::<Vec<_>>(), true);
+        let watched = watch_chunks(&lists.iter().map(|list| &list[..]).collect::<Vec<_>>(), true);
         assert!(watched.1 == Some(revision) && watched.2 == known, "{watched:?}");
     }
 }
 
-/// What a silent watch misses must be known 6 s after it fell silent: there must be time for two in a row.
+/// A change that a silent watch misses must be known 6 s after the silence began, even if the next watch is silent too.
+/// A watch that ends at once, in contrast, must not be reopened without a pause.
 #[test]
 fn a_silent_watch_is_reopened_at_once_and_one_that_ends_at_once_after_a_pause() {
     let silent = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
     let headless = b"HTTP/1.1 100 x\r\n\r\n";
     for (answer, gap) in [(&silent[..], 2_500), (headless, 2_500), (b"", 250)] {
-        let folder = Folder::new();
+        let directory = StateDirectory::new();
         on_one_thread(async {
             tokio::time::pause();
-            let (at, mut requests) = answering(vec![answer; 4]).await;
-            let (_at, seen) = watch_channel::channel(at);
-            spawn_local(follow(instance(&folder, at), seen, Progress::new(Some(6)), false));
+            let (address, mut requests) = answering(vec![answer; 4]).await;
+            let (_address_sender, address_receiver) = watch_channel::channel(address);
+            spawn_local(follow(
+                instance(&directory, address),
+                address_receiver,
+                Progress::new(Some(6)),
+                false,
+            ));
             requests.recv().await.unwrap();
             let first = Instant::now();
             for nth in 1..4 {
                 requests.recv().await.unwrap();
                 let after = first.elapsed().as_millis();
-                assert!((gap * nth..gap * nth + 20).contains(&after), "{after} ms, not {nth} times {gap}");
+                assert!(
+                    (gap * nth..gap * nth + 20).contains(&after),
+                    "{after} ms instead of {nth} times {gap}"
+                );
             }
         });
     }
--- a/crates/quillhub-server/src/discovery/watch.rs
+++ b/crates/quillhub-server/src/discovery/watch.rs
@@ -1,6 +1,7 @@
-//! One watch on discovery: the list if none is known, then the stream of its changes until that ends.
+//! One watch on discovery: requests the complete list if no revision is known, then reads the stream of changes until
+//! it ends.
 //!
-//! Invariant: every wait is bounded, so that a watch always ends after discovery has fallen silent.
+//! Invariant: every wait is bounded, so that a watch always ends after discovery stops sending.
 
 use super::entries::{Origin, update_endpoints};
 use super::stream::{ValueBoundaries, take_values};
@@ -14,33 +15,42 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
+/// Path of the endpoint list and of the watch.
 pub(super) const PATH: &str = "/registry/instances";
-/// A watch sends a line every 2 s; one silent for so long has ended, whatever its connection says.
+/// Time without input after which a watch counts as ended, even if its connection is still open. Discovery sends a line
+/// every 2 s.
 pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a request may take from its begin to the end of its response's head: discovery answers at once, and this
-/// leaves time for a connection that comes up with its second try, after 1 s. One bound for all of it: a request that
-/// is lost as discovery comes back must leave time for the next (docs/discovery-timing.md).
+/// Time limit of a request from opening the connection to the end of the response's head. Discovery responds at once,
+/// and the limit leaves time for a connection that is established with the system's second try, after 1 s. Connection
+/// and head share one limit, since a request that is lost while discovery returns must leave time for the next one
+/// (docs/discovery-timing.md).
 pub(super) const REQUEST_TIMEOUT: Duration = SILENCE_TIMEOUT;
-/// How long a list may take from its first byte to its last, if more of it keeps coming: the longest, at 140 KB/s.
+/// Time limit for a list from its first byte to its last, while more of it keeps arriving: enough for the longest list
+/// at 140 KB/s.
 const LIST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes of a line that an instance takes from discovery: the complete list of a large deployment.
+/// Maximum length of a list from discovery, which it sends as one line: enough for the complete list of a large
+/// deployment.
 pub const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// Sends a request to discovery; its response as far as the head, and where its body ends.
+/// Sends a request to discovery and reads the head of the response; returns the connection and the framing of the body.
+///
+/// # Errors
+///
+/// Returns an error if no head arrives within [`REQUEST_TIMEOUT`], or one with a status other than 200.
 pub(super) async fn request(
-    at: SocketAddr,
+    address: SocketAddr,
     path: &str,
 ) -> Result<(HttpConnection, Framing), ConnectionError> {
     let head = async {
-        let mut connection = HttpConnection::open(at).await.map_err(ConnectionError::Failed)?;
-        let request = http::request("GET", path, &at.to_string(), &[], &[]);
+        let mut connection = HttpConnection::open(address).await.map_err(ConnectionError::Failed)?;
+        let request = http::request("GET", path, &address.to_string(), &[], &[]);
         connection.write(&request).await.map_err(ConnectionError::Failed)?;
         let head = connection.head().await?;
         Ok((connection, head))
     };
     let (mut connection, head) =
         timeout(REQUEST_TIMEOUT, head).await.unwrap_or(Err(ConnectionError::Ended))?;
-    tracing::debug!(path, status = head.status, "discovery answered");
+    tracing::debug!(path, status = head.status, "discovery responded");
     if head.status != 200 {
         return Err(ConnectionError::Malformed);
     }
@@ -48,81 +58,84 @@
     Ok((connection, head.framing()?))
 }
 
-/// Watches discovery at `at` from `revision` on, until the watch ends. Where there is none, the complete list is
-/// requested first: another discovery may number its changes otherwise.
+/// Watches discovery at `address` for changes after `revision`, until the watch ends.
+///
+/// Without a revision, the complete list is requested first: discovery at a new address may number its lists
+/// differently.
 pub(super) async fn watch(
     instance: &RefCell<Instance>,
-    at: SocketAddr,
+    address: SocketAddr,
     revision: &Cell<Option<u64>>,
 ) -> Result<(), ConnectionError> {
-    let heard = instance.borrow().discovery_responded();
+    let responded = instance.borrow().discovery_responded();
     let after = match revision.get() {
         Some(revision) => revision,
         None => {
-            request_list(instance, at, revision).await?;
-            heard.notify_one();
+            request_list(instance, address, revision).await?;
+            responded.notify_one();
             revision.get().unwrap_or_default()
         }
     };
-    let (connection, framing) = request(at, &format!("{PATH}?watch=1&after={after}")).await?;
+    let (connection, framing) = request(address, &format!("{PATH}?watch=1&after={after}")).await?;
     if framing != Framing::Chunked {
         return Err(ConnectionError::Malformed);
     }
-    read_changes(instance, connection, revision, &heard).await
+    read_changes(instance, connection, revision, &responded).await
 }
 
 async fn request_list(
     instance: &RefCell<Instance>,
-    at: SocketAddr,
+    address: SocketAddr,
     revision: &Cell<Option<u64>>,
 ) -> Result<(), ConnectionError> {
-    let (mut connection, framing) = request(at, PATH).await?;
+    let (mut connection, framing) = request(address, PATH).await?;
     let body = connection.body(framing, MAX_LIST_BYTES);
     let body = timeout(LIST_TIMEOUT, body).await.map_err(|_| ConnectionError::Ended)??;
     let list = serde_json::from_slice(&body).map_err(|_| ConnectionError::Malformed)?;
     update(instance, &list, revision)
 }
 
-/// Applies the changes that a watch's response streams, until it ends.
+/// Applies the changes in the response of a watch, until it ends.
 async fn read_changes(
     instance: &RefCell<Instance>,
     mut connection: HttpConnection,
     revision: &Cell<Option<u64>>,
-    heard: &Notify,
+    responded: &Notify,
 ) -> Result<(), ConnectionError> {
     let mut text = Vec::new();
     let mut boundaries = ValueBoundaries::default();
-    let mut began = Instant::now();
+    let mut list_started = Instant::now();
     loop {
         let chunk = timeout(LIST_TIMEOUT, connection.chunk(MAX_LIST_BYTES))
             .await
             .map_err(|_| ConnectionError::Ended)??;
         if text.is_empty() {
-            began = Instant::now();
+            list_started = Instant::now();
         }
-        if chunk.is_empty() || text.len() > MAX_LIST_BYTES || began.elapsed() > LIST_TIMEOUT {
+        if chunk.is_empty() || text.len() > MAX_LIST_BYTES || list_started.elapsed() > LIST_TIMEOUT {
             return Err(ConnectionError::Ended);
         }
         text.extend_from_slice(&chunk);
-        if boundaries.within(&chunk) {
+        if boundaries.scan(&chunk) {
             for list in take_values(&mut text).map_err(|_| ConnectionError::Malformed)? {
                 update(instance, &list, revision)?;
             }
         }
-        heard.notify_one();
+        responded.notify_one();
     }
 }
 
-/// Updates the instance's endpoints, and stores the list's revision.
+/// Applies a list to the instance's endpoints, and stores its revision in `revision`. An invalid list is logged, and
+/// changes nothing.
 fn update(
     instance: &RefCell<Instance>,
     list: &Value,
     revision: &Cell<Option<u64>>,
 ) -> Result<(), ConnectionError> {
     let updated = update_endpoints(&mut instance.borrow_mut(), list, Origin::Discovery);
-    tracing::debug!(revision = ?updated, "discovery sent an endpoint list");
+    tracing::debug!(revision = ?updated, "received an endpoint list from discovery");
     revision.set(Some(updated.map_err(|error| {
-        tracing::error!(%error, "discovery's endpoint list cannot be read");
+        tracing::error!(%error, "invalid endpoint list from discovery");
         ConnectionError::Malformed
     })?));
     Ok(())
