--- a/crates/quillhub-server/src/attempts/mod.rs
+++ b/crates/quillhub-server/src/attempts/mod.rs
@@ -179,7 +179,7 @@
 /// Reads the status of the final response. Interim responses are skipped; they may arrive long before it.
 async fn read_status(connection: &mut HttpConnection, deadline: &Deadline) -> Result<u16, CallError> {
     loop {
-        match timeout(deadline.time_left(), connection.response_begins()).await {
+        match timeout(deadline.time_left(), connection.response_started()).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return Err(CallError::ConnectionReset),
             Err(_) => return Err(CallError::TimedOut),
--- a/crates/quillhub-server/src/connection.rs
+++ b/crates/quillhub-server/src/connection.rs
@@ -1,6 +1,6 @@
-//! One HTTP connection to a server: a socket and what was read from it and not yet used.
+//! HTTP connection to a server: a socket, and a buffer with input that was read and not consumed.
 //!
-//! Invariant: what was read belongs to the response that is being read, or follows it.
+//! Invariant: the buffer starts with the part of the current response that was not consumed, or is empty.
 
 use crate::http::{self, Framing, Head};
 use socket2::SockRef;
@@ -13,17 +13,17 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Why nothing more can be read from a connection.
+/// Error after which a connection cannot be used any more.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
-    /// It was closed, or silent for too long.
-    #[error("it ended")]
+    /// The server closed the connection or ended a stream of changes, or a response exceeded a limit of time or size.
+    #[error("the server ended the response, or the response exceeded a limit of time or size")]
     Ended,
-    /// A read or a write failed.
+    /// The connection could not be opened, or a read or a write failed.
     #[error("{0}")]
     Failed(#[source] io::Error),
-    /// What came is no HTTP, or not what was asked for.
-    #[error("what came cannot be read")]
+    /// The server sent something that is no valid HTTP response, or not the response that the request calls for.
+    #[error("the server sent a malformed or unexpected response")]
     Malformed,
 }
 
@@ -43,61 +43,63 @@
     }
 }
 
-/// Bytes that a read has space for at least: more than most responses have.
+/// Minimum free space in the buffer before a read; most responses are smaller.
 const MIN_READ_BYTES: usize = 1024;
 
-/// How long a request's last byte is held back: more than a round trip inside a building, and little beside any
-/// attempt.
+/// Delay before the last byte of a request is sent: longer than a round trip within a data center, and short compared
+/// to an attempt.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(3);
 
-/// An open connection.
+/// Open connection to an HTTP server.
 pub struct HttpConnection {
     stream: TcpStream,
     buffer: Vec<u8>,
-    /// How long a read may wait for its first byte, where that is limited.
+    /// Time limit of each read; `None` if reads may wait without limit.
     silence_timeout: Option<Duration>,
 }
 
 impl HttpConnection {
-    /// Opens a connection to `at`.
+    /// Opens a connection to `address`.
     ///
     /// # Errors
     ///
-    /// If the connection does not come up.
-    pub async fn open(at: SocketAddr) -> io::Result<Self> {
-        let stream = TcpStream::connect(at).await?;
+    /// Returns an error if the connection cannot be established.
+    pub async fn open(address: SocketAddr) -> io::Result<Self> {
+        let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(Self { stream, buffer: Vec::new(), silence_timeout: None })
     }
 
-    /// From now on the connection counts as ended once nothing has come for `longest` while something is waited for,
-    /// however long all of it takes.
-    pub fn set_silence_timeout(&mut self, longest: Duration) {
-        self.silence_timeout = Some(longest);
+    /// Sets the time limit of each further read. A read that receives nothing for `max` fails with
+    /// [`ConnectionError::Ended`]; a response as a whole may take longer.
+    pub fn set_silence_timeout(&mut self, max: Duration) {
+        self.silence_timeout = Some(max);
     }
 
-    /// Writes `octets` as they are.
+    /// Writes `octets` unchanged.
     ///
     /// # Errors
     ///
-    /// If the connection is broken.
+    /// Returns an error if the connection is broken.
     pub async fn write(&mut self, octets: &[u8]) -> io::Result<()> {
         self.stream.write_all(octets).await
     }
 
-    /// Writes a request, its last byte only if the connection is still open a moment after the others and nothing
-    /// has come on it: what fails here was not executed. Against pooled connections that are dead without a sign, and
-    /// against copies of a response that come late. Costs each attempt the moment.
+    /// Writes a request. The last byte is written after a short delay, and only if the connection is still open then and
+    /// nothing was received on it, so that a request that fails here was not executed.
+    ///
+    /// Guards against pooled connections that broke without a sign, and against late copies of an earlier response. The
+    /// delay lengthens every attempt.
     ///
     /// # Errors
     ///
-    /// If the last byte was not written.
+    /// Returns an error if the last byte was not written.
     pub async fn write_request(&mut self, request: &[u8]) -> Result<(), ConnectionError> {
-        let (most, last) = request.split_at(request.len().saturating_sub(1));
-        self.write(most).await.map_err(ConnectionError::Failed)?;
+        let (all_but_last, last) = request.split_at(request.len().saturating_sub(1));
+        self.write(all_but_last).await.map_err(ConnectionError::Failed)?;
         match timeout(LAST_BYTE_DELAY, self.read_more()).await {
             Err(_) => self.write(last).await.map_err(ConnectionError::Failed),
-            Ok(came) => came.and(Err(ConnectionError::Malformed)),
+            Ok(read) => read.and(Err(ConnectionError::Malformed)),
         }
     }
 
@@ -105,7 +107,7 @@
         self.buffer.reserve(MIN_READ_BYTES);
         let read = self.stream.read_buf(&mut self.buffer);
         let read = match self.silence_timeout {
-            Some(longest) => timeout(longest, read).await.map_err(|_| ConnectionError::Ended)?,
+            Some(max) => timeout(max, read).await.map_err(|_| ConnectionError::Ended)?,
             None => read.await,
         };
         match read {
@@ -115,17 +117,20 @@
         }
     }
 
-    /// Waits until something of a response has come.
+    /// Waits for the first byte of a response.
     ///
     /// # Errors
     ///
-    /// If the connection is broken.
-    pub async fn response_begins(&mut self) -> Result<(), ConnectionError> {
+    /// Returns an error if the connection ends or fails before that.
+    pub async fn response_started(&mut self) -> Result<(), ConnectionError> {
         if self.buffer.is_empty() { self.read_more().await } else { Ok(()) }
     }
 
-    /// What `parse` finds at the start of what came, once enough has come; the bytes that it takes are consumed.
-    async fn parsed<T>(&mut self, parse: impl Fn(&[u8]) -> http::Parsed<T>) -> Result<T, ConnectionError> {
+    /// Reads until `parse` finds a value at the start of the buffer; consumes the bytes of the value and returns it.
+    async fn read_parsed<T>(
+        &mut self,
+        parse: impl Fn(&[u8]) -> http::Parsed<T>,
+    ) -> Result<T, ConnectionError> {
         loop {
             if let Some((found, used)) = parse(&self.buffer)? {
                 self.buffer.drain(..used);
@@ -135,30 +140,30 @@
         }
     }
 
-    /// The status of the response that has begun, as soon as its first line is complete. Nothing of it is consumed.
+    /// Reads the status of the next response as soon as its status line is complete, without consuming any of it.
     ///
     /// # Errors
     ///
-    /// If no first line comes.
+    /// Returns an error if no valid status line arrives.
     pub async fn status(&mut self) -> Result<u16, ConnectionError> {
-        self.parsed(|octets| Ok(http::status(octets)?.map(|status| (status, 0)))).await
+        self.read_parsed(|octets| Ok(http::status(octets)?.map(|status| (status, 0)))).await
     }
 
-    /// Whether nothing was read beyond the last response.
+    /// Returns `true` if nothing was read beyond the last response.
     pub fn has_no_surplus(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Whether what was read beyond a response can only be another.
+    /// Returns `true` if the input that was read beyond the last response starts like another response.
     pub fn surplus_is_response(&self) -> bool {
         self.buffer.starts_with(b"HTTP/1.")
     }
 
-    /// The next response's head; interim responses are skipped.
+    /// Reads the head of the next final response; interim responses are skipped.
     ///
     /// # Errors
     ///
-    /// If none comes.
+    /// Returns an error if no valid head arrives.
     pub async fn head(&mut self) -> Result<Head, ConnectionError> {
         loop {
             let head = self.any_head().await?;
@@ -168,33 +173,36 @@
         }
     }
 
-    /// The next head, an interim response's too.
+    /// Reads the head of the next response, which may be an interim one.
     ///
     /// # Errors
     ///
-    /// If none comes.
+    /// Returns an error if no valid head arrives.
     pub async fn any_head(&mut self) -> Result<Head, ConnectionError> {
-        self.parsed(http::head).await
+        self.read_parsed(http::head).await
     }
 
-    /// The next chunk of a chunked body; empty for the last.
+    /// Reads the next chunk of a chunked body; the last chunk is empty.
     ///
     /// # Errors
     ///
-    /// If none comes, or one longer than `most`.
-    pub async fn chunk(&mut self, most: usize) -> Result<Vec<u8>, ConnectionError> {
-        self.parsed(|octets| Ok(http::chunk(octets, most)?.map(|(chunk, used)| (chunk.to_vec(), used)))).await
+    /// Returns an error if no valid chunk arrives, or one longer than `max_bytes`.
+    pub async fn chunk(&mut self, max_bytes: usize) -> Result<Vec<u8>, ConnectionError> {
+        self.read_parsed(|octets| {
+            Ok(http::chunk(octets, max_bytes)?.map(|(chunk, used)| (chunk.to_vec(), used)))
+        })
+        .await
     }
 
-    /// A complete body of `most` bytes at most.
+    /// Reads a complete body of up to `max_bytes`.
     ///
     /// # Errors
     ///
-    /// If none comes, or a longer one.
-    pub async fn body(&mut self, framing: Framing, most: usize) -> Result<Vec<u8>, ConnectionError> {
+    /// Returns an error if the body is malformed, incomplete, or longer than `max_bytes`.
+    pub async fn body(&mut self, framing: Framing, max_bytes: usize) -> Result<Vec<u8>, ConnectionError> {
         let mut body = Vec::new();
         match framing {
-            Framing::Length(length) if length > most => return Err(ConnectionError::Malformed),
+            Framing::Length(length) if length > max_bytes => return Err(ConnectionError::Malformed),
             Framing::Length(length) => {
                 while self.buffer.len() < length {
                     self.read_more().await?;
@@ -202,17 +210,17 @@
                 body.extend(self.buffer.drain(..length));
             }
             Framing::Chunked => loop {
-                let octets = self.chunk(most).await?;
+                let octets = self.chunk(max_bytes).await?;
                 if octets.is_empty() {
                     break;
                 }
                 body.extend_from_slice(&octets);
-                if body.len() > most {
+                if body.len() > max_bytes {
                     return Err(ConnectionError::Malformed);
                 }
             },
             Framing::ToEnd => loop {
-                if self.buffer.len() > most {
+                if self.buffer.len() > max_bytes {
                     return Err(ConnectionError::Malformed);
                 }
                 match self.read_more().await {
@@ -224,8 +232,9 @@
         Ok(body)
     }
 
-    /// Whether the connection is still open with nothing read or to read, so that a request may use it. The system is
-    /// queried: the runtime does not know yet of what came since it last waited.
+    /// Returns `true` if the connection is open and there is no input, so that it can be used for a request.
+    ///
+    /// Queries the system, since the runtime learns only at its next wait what the socket has received.
     pub fn is_idle(&self) -> bool {
         let blocks = |e: io::Error| e.kind() == ErrorKind::WouldBlock;
         let peeked = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
