--- a/crates/quillhub-server/src/http.rs
+++ b/crates/quillhub-server/src/http.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1, as far as a client needs it: writes requests and parses responses.
+//! The client's part of HTTP/1.1: encodes requests and parses responses.
 //!
-//! Invariant: nothing here touches a socket, and nothing is parsed without a bound.
+//! Invariant: this module does no input or output, and everything that it parses has a maximum length.
 
-use crate::incremental::{Input, completed};
+use crate::incremental::{Input, parse_result};
 pub use crate::incremental::{Malformed, Parsed};
 use winnow::ascii::{crlf, hex_uint, space0, space1};
 use winnow::combinator::{opt, repeat, terminated};
@@ -10,52 +10,52 @@
 use winnow::token::{one_of, take, take_till, take_while};
 use winnow::{ModalResult, Parser};
 
-/// Bytes of a response's head: far more than any header here needs.
+/// Maximum length of a response's head, far more than the headers that this crate reads need.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Headers of a response.
+/// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 64;
-/// Bytes of a chunk's first line, extensions included.
+/// Maximum length of the line before a chunk, including extensions.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// How the body's end is found.
+/// Framing of a response's body, which determines where the body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// The body has the given length in bytes.
     Length(usize),
-    /// With an empty chunk.
+    /// The body consists of chunks, and ends with an empty one.
     Chunked,
-    /// With the connection.
+    /// The body ends when the server closes the connection.
     ToEnd,
 }
 
-/// A response's first line and headers.
+/// Status line and headers of a response.
 #[derive(Debug)]
 pub struct Head {
-    /// The status of the first line.
+    /// Status code in the status line.
     pub status: u16,
-    /// Whether connections persist by the version of the first line.
+    /// `true` if connections are persistent by default in the HTTP version of the status line.
     persistent: bool,
     headers: Vec<(String, String)>,
 }
 
 impl Head {
-    /// The value of the first header of that name, in whatever case.
+    /// Returns the value of the first header called `name`, in upper or lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1.as_str())
     }
 
-    /// Whether the connection may carry another request after this response.
+    /// Returns `true` if the connection can be used for another request after this response.
     pub fn keeps_alive(&self) -> bool {
         let options = self.header("connection").unwrap_or_default();
         let has = |option| options.split(',').any(|other| other.trim().eq_ignore_ascii_case(option));
         (self.persistent || has("keep-alive")) && !has("close")
     }
 
-    /// How the end of the response's body is found.
+    /// Returns the framing of the response's body.
     ///
     /// # Errors
     ///
-    /// If its headers do not say that without doubt.
+    /// Returns an error if the headers are invalid or contradict each other.
     pub fn framing(&self) -> Result<Framing, Malformed> {
         if self.status < 200 || matches!(self.status, 204 | 304) {
             return Ok(Framing::Length(0));
@@ -77,7 +77,7 @@
     }
 }
 
-fn first_line(input: &mut Input<'_>) -> ModalResult<(bool, u16)> {
+fn status_line(input: &mut Input<'_>) -> ModalResult<(bool, u16)> {
     let minor = one_of(b'0'..=b'9');
     let status = take_while(3..=3, AsChar::is_dec_digit).parse_to().verify(|status| *status >= 100);
     let reason = opt((b' ', take_till(0.., |byte| byte == b'\r' || byte == b'\n')));
@@ -86,21 +86,28 @@
         .parse_next(input)
 }
 
-/// What was `parsed` from `input` up to `rest`, as [`completed`] has it; what is longer than `most` must be complete.
-fn completed_within<T>(most: usize, input: &[u8], rest: &Input<'_>, parsed: ModalResult<T>) -> Parsed<T> {
-    let parsed = completed(input, rest, parsed)?;
-    if parsed.is_none() && input.len() > most { Err(Malformed) } else { Ok(parsed) }
+/// Converts the result of a parser as [`parse_result`] does, but refuses incomplete input that is longer than
+/// `max_bytes`.
+fn parse_result_within<T>(
+    max_bytes: usize,
+    input: &[u8],
+    rest: &Input<'_>,
+    parsed: ModalResult<T>,
+) -> Parsed<T> {
+    let parsed = parse_result(input, rest, parsed)?;
+    if parsed.is_none() && input.len() > max_bytes { Err(Malformed) } else { Ok(parsed) }
 }
 
-/// The status in the first line at the start of `input`, whatever follows it; nothing if more must come.
+/// Parses the status line at the start of `input`, whatever follows it. Returns its status code, or `None` if the line
+/// is incomplete.
 ///
 /// # Errors
 ///
-/// If there can be none.
+/// Returns an error if the input does not start with a status line, whatever follows it.
 pub fn status(input: &[u8]) -> Result<Option<u16>, Malformed> {
     let mut rest = Input::new(input);
-    let read = first_line(&mut rest);
-    Ok(completed_within(MAX_HEAD_BYTES, input, &rest, read)?.map(|((_, status), _)| status))
+    let read = status_line(&mut rest);
+    Ok(parse_result_within(MAX_HEAD_BYTES, input, &rest, read)?.map(|((_, status), _)| status))
 }
 
 fn header(input: &mut Input<'_>) -> ModalResult<(String, String)> {
@@ -112,34 +119,35 @@
         .parse_next(input)
 }
 
-/// The head at the start of `input` and how many bytes it takes; nothing if more must come.
+/// Parses the head of a response at the start of `input`. Returns the head and its length in bytes, or `None` if the
+/// head is incomplete.
 ///
 /// # Errors
 ///
-/// If there can be none.
+/// Returns an error if the input does not start with a valid head, whatever follows it.
 ///
 /// ```
 /// use quillhub_server::http::{Framing, head};
 ///
 /// let input = b"HTTP/1.1 200 OK\r\nX-Load: x0=0.4\r\nContent-Length: 2\r\n\r\nhi";
-/// let (answer, used) = head(input).unwrap().unwrap();
-/// assert_eq!((answer.status, answer.header("x-load"), used), (200, Some("x0=0.4"), input.len() - 2));
-/// assert_eq!(answer.framing(), Ok(Framing::Length(2)));
+/// let (response, used) = head(input).unwrap().unwrap();
+/// assert_eq!((response.status, response.header("x-load"), used), (200, Some("x0=0.4"), input.len() - 2));
+/// assert_eq!(response.framing(), Ok(Framing::Length(2)));
 /// assert!(head(&input[..30]).unwrap().is_none());
 /// assert!(head(b"SSH-2.0-").is_err());
 /// ```
 pub fn head(input: &[u8]) -> Parsed<Head> {
     let mut rest = Input::new(input);
-    let lines = repeat(0..=MAX_HEADERS, header);
-    let read = (first_line, terminated(lines, crlf)).parse_next(&mut rest);
-    let read = completed_within(MAX_HEAD_BYTES, input, &rest, read)?;
+    let headers = repeat(0..=MAX_HEADERS, header);
+    let read = (status_line, terminated(headers, crlf)).parse_next(&mut rest);
+    let read = parse_result_within(MAX_HEAD_BYTES, input, &rest, read)?;
     Ok(read.map(|(((persistent, status), headers), used)| (Head { status, persistent, headers }, used)))
 }
 
-fn parse_chunk<'a>(most: usize, input: &mut Input<'a>) -> ModalResult<&'a [u8]> {
+fn parse_chunk<'a>(max_bytes: usize, input: &mut Input<'a>) -> ModalResult<&'a [u8]> {
     let extension = take_till(0.., |byte| byte == b'\r' || byte == b'\n');
     let length = (hex_uint, extension, crlf).map(|(length, _, _): (u32, _, _)| length as usize);
-    match length.verify(|length| *length <= most).parse_next(input)? {
+    match length.verify(|length| *length <= max_bytes).parse_next(input)? {
         0 => {
             let trailer: ModalResult<Vec<_>> =
                 terminated(repeat(0..=MAX_HEADERS, header), crlf).parse_next(input);
@@ -149,19 +157,19 @@
     }
 }
 
-/// The chunk at the start of `input`, empty for the last, and how many bytes it takes; nothing if more must
-/// come. It may not be longer than `most`.
+/// Parses the chunk at the start of `input`, which may have up to `max_bytes`. Returns its data, which is empty for the
+/// last chunk, and its length in bytes including the framing, or `None` if the chunk is incomplete.
 ///
 /// # Errors
 ///
-/// If there can be none.
-pub fn chunk(input: &[u8], most: usize) -> Parsed<&[u8]> {
+/// Returns an error if the input does not start with a valid chunk, whatever follows it.
+pub fn chunk(input: &[u8], max_bytes: usize) -> Parsed<&[u8]> {
     let mut rest = Input::new(input);
-    let read = parse_chunk(most, &mut rest);
-    completed_within(most + MAX_CHUNK_LINE_BYTES + MAX_HEAD_BYTES, input, &rest, read)
+    let read = parse_chunk(max_bytes, &mut rest);
+    parse_result_within(max_bytes + MAX_CHUNK_LINE_BYTES + MAX_HEAD_BYTES, input, &rest, read)
 }
 
-/// A request with a body; header values must hold no line ends.
+/// Encodes a request. Header values must contain no line breaks; a `GET` request must have an empty body.
 pub fn request(method: &str, path: &str, host: &str, headers: &[(&str, &[u8])], body: &[u8]) -> Vec<u8> {
     let mut octets = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n").into_bytes();
     for (name, value) in headers {
--- a/crates/quillhub-server/src/http_tests.rs
+++ b/crates/quillhub-server/src/http_tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-const ANSWER: &[u8] = b"HTTP/1.1 503 \r\nX-Egress-Full:1\r\nTransfer-Encoding: chunked\r\n\r\n";
+const RESPONSE: &[u8] = b"HTTP/1.1 503 \r\nX-Egress-Full:1\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-fn read(text: &str) -> Head {
+fn parsed_head(text: &str) -> Head {
     head(text.as_bytes()).unwrap().unwrap().0
 }
 
 #[test]
 fn a_head_is_parsed_once_it_is_complete_and_not_before() {
-    for cut in 0..ANSWER.len() {
-        assert!(head(&ANSWER[..cut]).unwrap().is_none(), "cut at {cut}");
+    for cut in 0..RESPONSE.len() {
+        assert!(head(&RESPONSE[..cut]).unwrap().is_none(), "cut at {cut}");
     }
-    let (answer, used) = head(&[ANSWER, b"0\r\n"].concat()).unwrap().unwrap();
-    assert_eq!((answer.status, answer.header("x-egress-FULL"), used), (503, Some("1"), ANSWER.len()));
+    let (response, used) = head(&[RESPONSE, b"0\r\n"].concat()).unwrap().unwrap();
+    assert_eq!((response.status, response.header("x-egress-FULL"), used), (503, Some("1"), RESPONSE.len()));
 }
 
 #[test]
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn the_head_says_where_the_body_ends_and_whether_the_connection_stays_open() {
-    let framing = |text| read(text).framing();
+fn the_head_determines_where_the_body_ends_and_whether_the_connection_persists() {
+    let framing = |text| parsed_head(text).framing();
     assert_eq!(framing("HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\n"), Ok(Framing::Length(12)));
     assert_eq!(framing("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n"), Err(Malformed));
     assert_eq!(framing("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n"), Err(Malformed));
@@ -45,7 +45,7 @@
         ("HTTP/1.0 200 OK\r\n\r\n", false),
         ("HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n\r\n", true),
     ] {
-        assert_eq!(read(text).keeps_alive(), keeps_alive, "{text:?}");
+        assert_eq!(parsed_head(text).keeps_alive(), keeps_alive, "{text:?}");
     }
 }
 
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_request_carries_its_headers_and_body_as_they_are() {
+fn a_request_carries_its_headers_and_body_unchanged() {
     let written = request("POST", "/events", "h:1", &[("X-Request-Id", b"ab")], b"\0\r\n");
     assert_eq!(
         written,
--- a/crates/quillhub-server/src/incremental.rs
+++ b/crates/quillhub-server/src/incremental.rs
@@ -1,24 +1,26 @@
-//! What the HTTP and the RESP parser share: input that may go on, and what comes of parsing it.
+//! Types that the HTTP and the RESP parser share: partial input, and the result of parsing it.
 //!
-//! Invariant: input that lacks its end is never refused for that alone.
+//! Invariant: input is never refused merely because it is incomplete.
 
 use thiserror::Error;
 use winnow::ModalResult;
 use winnow::error::ErrMode;
 use winnow::stream::{Partial, Stream};
 
+/// Input of a parser, of which more may follow.
 pub(crate) type Input<'a> = Partial<&'a [u8]>;
 
-/// A value at the start of some input and how many bytes it takes; nothing if more input must come.
+/// Result of parsing a value at the start of some input: the value and its length in bytes, or `None` if the input is
+/// incomplete.
 pub type Parsed<T> = Result<Option<(T, usize)>, Malformed>;
 
-/// The input cannot become what is parsed, whatever follows.
+/// Error for input that is invalid, whatever follows it.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("what came cannot be read")]
+#[error("the input is malformed")]
 pub struct Malformed;
 
-/// What was `parsed` from `input` up to `rest`.
-pub(crate) fn completed<T>(input: &[u8], rest: &Input<'_>, parsed: ModalResult<T>) -> Parsed<T> {
+/// Converts the result of a parser that started at `input` and stopped at `rest`.
+pub(crate) fn parse_result<T>(input: &[u8], rest: &Input<'_>, parsed: ModalResult<T>) -> Parsed<T> {
     match parsed {
         Ok(value) => Ok(Some((value, input.len() - rest.eof_offset()))),
         Err(ErrMode::Incomplete(_)) => Ok(None),
--- a/crates/quillhub-server/src/resp.rs
+++ b/crates/quillhub-server/src/resp.rs
@@ -1,8 +1,8 @@
-//! RESP2, as far as clients use it: parses commands and writes replies.
+//! The part of RESP2 that clients use: parses commands and encodes replies.
 //!
-//! Invariant: nothing here touches a socket, and nothing is parsed without a bound.
+//! Invariant: this module does no input or output, and everything that it parses has a maximum length.
 
-use crate::incremental::{Input, completed};
+use crate::incremental::{Input, parse_result};
 pub use crate::incremental::{Malformed, Parsed};
 use std::fmt::Display;
 use std::time::Duration;
@@ -12,27 +12,29 @@
 use winnow::token::{take, take_while};
 use winnow::{ModalResult, Parser};
 
-/// Parts of a command: the longest known has five; a few more are parsed to be answered with an error.
+/// Maximum number of parts of a command. The longest known command has five; commands with some more are parsed so that
+/// they get a specific error.
 const MAX_PARTS: usize = 16;
-/// Digits of a count.
+/// Maximum number of digits of a count or a length.
 const MAX_DIGITS: usize = 9;
 
-/// The reply that confirms a message.
+/// Reply that confirms a message.
 pub const OK: &[u8] = b"+OK\r\n";
-/// The reply to a ping without a text.
+/// Reply to a ping without a text.
 pub const PONG: &[u8] = b"+PONG\r\n";
 
-fn count(prefix: u8, most: usize, input: &mut Input<'_>) -> ModalResult<usize> {
+/// Parses a line with `prefix` and a count of at most `max`.
+fn count(prefix: u8, max: usize, input: &mut Input<'_>) -> ModalResult<usize> {
     let digits = take_while(1..=MAX_DIGITS, AsChar::is_dec_digit).parse_to();
-    (prefix, digits, crlf).map(|(_, count, _): (_, usize, _)| count).verify(|n| *n <= most).parse_next(input)
+    (prefix, digits, crlf).map(|(_, count, _): (_, usize, _)| count).verify(|n| *n <= max).parse_next(input)
 }
 
-/// The parts of the first command in `input` and how many bytes it takes; nothing if more must come. No part
-/// may be longer than `most`.
+/// Parses the first command in `input`, none of whose parts may be longer than `max_part_bytes`. Returns its parts and
+/// its length in bytes, or `None` if the command is incomplete.
 ///
 /// # Errors
 ///
-/// If there can be none.
+/// Returns an error if the input does not start with a command, whatever follows it.
 ///
 /// ```
 /// use quillhub_server::resp::command;
@@ -42,39 +44,40 @@
 /// assert_eq!(command(&input[..20], 9), Ok(None));
 /// assert!(command(input, 3).is_err());
 /// ```
-pub fn command(input: &[u8], most: usize) -> Parsed<Vec<&[u8]>> {
+pub fn command(input: &[u8], max_part_bytes: usize) -> Parsed<Vec<&[u8]>> {
     let mut rest = Input::new(input);
     let mut read = || {
         let parts = count(b'*', MAX_PARTS, &mut rest)?;
         let mut part = || {
-            let length = count(b'$', most, &mut rest)?;
+            let length = count(b'$', max_part_bytes, &mut rest)?;
             terminated(take(length), crlf).parse_next(&mut rest)
         };
         (0..parts).map(|_| part()).collect::<ModalResult<Vec<&[u8]>>>()
     };
     let read = read();
-    completed(input, &rest, read)
+    parse_result(input, &rest, read)
 }
 
-/// The value of `name` in a list like `c=notice,d=8000`.
+/// Returns the value of `name` in a list such as `c=notice,d=8000`.
 pub fn list_value<'a>(list: &'a [u8], name: &str) -> Option<&'a [u8]> {
     list.split(|byte| *byte == b',').find_map(|pair| pair.strip_prefix(name.as_bytes())?.strip_prefix(b"="))
 }
 
-/// The reply to a rejected message, with the time after which it may be sent again.
+/// Encodes the reply to a message that the instance does not accept now, with the delay after which the client may
+/// submit it again, if there is one.
 pub fn busy(retry_after: Option<Duration>) -> Vec<u8> {
     match retry_after {
-        Some(wait) => format!("-BUSY {}\r\n", wait.as_millis()).into_bytes(),
+        Some(delay) => format!("-BUSY {}\r\n", delay.as_millis()).into_bytes(),
         None => b"-BUSY\r\n".to_vec(),
     }
 }
 
-/// The reply to a command that failed.
-pub fn error(what: impl Display) -> Vec<u8> {
-    format!("-ERR {what}\r\n").into_bytes()
+/// Encodes the reply to a command that failed; `reason` is the text of the error and contains no line break.
+pub fn error(reason: impl Display) -> Vec<u8> {
+    format!("-ERR {reason}\r\n").into_bytes()
 }
 
-/// A bulk string.
+/// Encodes a bulk string.
 pub fn bulk(octets: &[u8]) -> Vec<u8> {
     [format!("${}\r\n", octets.len()).as_bytes(), octets, b"\r\n"].concat()
 }
