--- a/crates/quillhub-server/src/outcomes.rs
+++ b/crates/quillhub-server/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! Sends final outcomes to the platform, oldest first; each is sent until the platform has confirmed it.
+//! Sends final outcomes to the platform, oldest first, and repeats each until the platform confirms it.
 
 use crate::connection::{ConnectionError, HttpConnection};
 use crate::http;
@@ -12,37 +12,39 @@
 use tokio::time::error::Elapsed;
 use tokio::time::{sleep, timeout};
 
+/// Path at which the platform accepts final outcomes.
 const PATH: &str = "/v2/finals";
-/// Outcomes in one request: some kilobytes.
-const MAX_OUTCOMES: usize = 64;
-/// The platform responds at once; a request without a response for so long is given up and made again, on a new
-/// connection: an outcome has to be there 300 ms after its message's deadline, also over a connection that has fallen
-/// silent.
-const TIMEOUT: Duration = Duration::from_millis(100);
-/// Up to which that doubles with each request in a row that gets none, for a platform that has become slow.
+/// Maximum number of outcomes in one request, which keeps it to a few kilobytes.
+const MAX_OUTCOMES_PER_REQUEST: usize = 64;
+/// Initial timeout of a request, after which it is repeated on a new connection. The platform responds at once, and an
+/// outcome must reach it within 300 ms after the deadline of its message, even if the open connection has broken
+/// without a sign.
+const INITIAL_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum timeout of a request. The timeout doubles with each consecutive request that gets no response, for a
+/// platform that has become slow.
 const MAX_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause after a request that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Octets of the response's body.
-const MAX_BODY: usize = 64 * 1024;
-/// All outcomes of the request are confirmed.
+/// Maximum length of the body of a response.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Status of a response that confirms all outcomes of its request.
 const CONFIRMED: u16 = 204;
-/// One of the request's outcomes cannot be read.
+/// Status of a response to a request with an outcome that the platform cannot read.
 const UNREADABLE: u16 = 400;
 
-/// The platform's response.
+/// Response of the platform.
 struct Reply {
     status: u16,
-    /// The connection, if it may be used again.
+    /// Connection of the request, if it can be reused.
     reusable: Option<HttpConnection>,
 }
 
-/// The line that tells the platform of one outcome.
-fn line(outcome: &FinalOutcome) -> String {
+/// Encodes one outcome as a line of JSON.
+fn json_line(outcome: &FinalOutcome) -> String {
     let reference = serde_json::Value::from(String::from_utf8_lossy(&outcome.client_id));
     match outcome.result {
-        FinalResult::Rejected { retry_after: Some(wait) } => {
-            format!("{{\"ref\":{reference},\"result\":\"bounced\",\"wait_ms\":{}}}\n", wait.as_millis())
+        FinalResult::Rejected { retry_after: Some(delay) } => {
+            format!("{{\"ref\":{reference},\"result\":\"bounced\",\"wait_ms\":{}}}\n", delay.as_millis())
         }
         FinalResult::Rejected { retry_after: None } => {
             format!("{{\"ref\":{reference},\"result\":\"bounced\"}}\n")
@@ -51,7 +53,7 @@
     }
 }
 
-/// Makes one request.
+/// Sends one request with the lines in `body` and reads the response, on `connection` if that is still idle.
 async fn post(
     connection: Option<HttpConnection>,
     address: SocketAddr,
@@ -65,59 +67,64 @@
     let request = http::request("POST", PATH, &address.to_string(), &headers, body);
     connection.write(&request).await.map_err(ConnectionError::Failed)?;
     let head = connection.head().await?;
-    connection.body(head.framing()?, MAX_BODY).await?;
+    connection.body(head.framing()?, MAX_BODY_BYTES).await?;
     Ok(Reply { status: head.status, reusable: head.keeps_alive().then_some(connection) })
 }
 
-/// The outcomes of one request.
+/// Outcomes of one request.
 struct Batch {
+    /// Number of outcomes.
     count: usize,
-    /// A line for each.
+    /// Lines of JSON, one for each outcome.
     body: String,
 }
 
-/// What stays from one request to the platform to the next.
+/// State that is kept between requests to the platform.
 struct Sender {
     instance: Rc<RefCell<Instance>>,
+    /// Idle connection to `address`, if there is one.
     connection: Option<HttpConnection>,
-    /// Where the last request went.
+    /// Address of the last request.
     address: SocketAddr,
-    /// Outcomes in the next request.
+    /// Maximum number of outcomes in the next request; 1 while the sender searches for an unreadable one.
     max_outcomes: usize,
+    /// Timeout of the next request.
     timeout: Duration,
 }
 
 impl Sender {
-    /// The outcomes of the next request.
+    /// Returns the outcomes for the next request; empty if all are confirmed.
     fn next_batch(&self) -> Batch {
         let instance = self.instance.borrow();
-        let lines: Vec<_> = instance.unconfirmed_outcomes().take(self.max_outcomes).map(line).collect();
+        let lines: Vec<_> = instance.unconfirmed_outcomes().take(self.max_outcomes).map(json_line).collect();
         Batch { count: lines.len(), body: lines.concat() }
     }
 
-    /// A connection to `address`, if there is one.
+    /// Returns the idle connection if it leads to `address`, and makes `address` that of the last request. A connection
+    /// to another address is closed.
     fn take_connection(&mut self, address: SocketAddr) -> Option<HttpConnection> {
         let same_address = address == std::mem::replace(&mut self.address, address);
         self.connection.take().filter(|_| same_address)
     }
 
-    /// The request of a batch has ended.
+    /// Handles the end of a batch's request: marks its outcomes as confirmed, or prepares the repetition.
     async fn request_ended(&mut self, batch: &Batch, end: Result<Result<Reply, ConnectionError>, Elapsed>) {
         let Batch { count, ref body } = *batch;
-        self.timeout = if end.is_ok() { TIMEOUT } else { (self.timeout * 2).min(MAX_TIMEOUT) };
+        self.timeout = if end.is_ok() { INITIAL_TIMEOUT } else { (self.timeout * 2).min(MAX_TIMEOUT) };
         match end {
             Ok(Ok(Reply { status: CONFIRMED, reusable })) => {
                 self.instance.borrow_mut().outcomes_confirmed(count);
-                (self.connection, self.max_outcomes) = (reusable, MAX_OUTCOMES);
+                (self.connection, self.max_outcomes) = (reusable, MAX_OUTCOMES_PER_REQUEST);
             }
-            // One that cannot be read would hold up all others for ever: it is found by itself and given up.
+            // An unreadable outcome would block all others forever. A request with only this outcome identifies it, and
+            // it is dropped.
             Ok(Ok(Reply { status: UNREADABLE, .. })) if self.max_outcomes == 1 => {
                 tracing::error!(body, "platform cannot read this final outcome, which is dropped");
                 self.instance.borrow_mut().outcomes_confirmed(count);
             }
             Ok(Ok(Reply { status, .. })) => {
                 tracing::warn!(status, count, "platform did not confirm final outcomes");
-                self.max_outcomes = if status == UNREADABLE { 1 } else { MAX_OUTCOMES };
+                self.max_outcomes = if status == UNREADABLE { 1 } else { MAX_OUTCOMES_PER_REQUEST };
                 sleep(RETRY_PAUSE).await;
             }
             Ok(Err(error)) => {
@@ -129,13 +136,20 @@
     }
 }
 
-/// Sends outcomes without end. Once the platform is elsewhere, a request that is out is made again there: one that
-/// the old address has not confirmed may never have been read.
+/// Sends the instance's final outcomes to the platform, without end.
+///
+/// If the address of the platform changes during a request, the request is repeated at the new address, since its
+/// outcomes may never have been read at the old one.
 pub async fn flush(instance: Rc<RefCell<Instance>>, mut platform: watch::Receiver<SocketAddr>) {
     let decided = instance.borrow().outcome_decided();
     let address = *platform.borrow();
-    let mut sender =
-        Sender { instance, connection: None, address, max_outcomes: MAX_OUTCOMES, timeout: TIMEOUT };
+    let mut sender = Sender {
+        instance,
+        connection: None,
+        address,
+        max_outcomes: MAX_OUTCOMES_PER_REQUEST,
+        timeout: INITIAL_TIMEOUT,
+    };
     loop {
         let batch = sender.next_batch();
         if batch.count == 0 {
@@ -148,7 +162,7 @@
             end = timeout(sender.timeout, post(connection, address, batch.body.as_bytes())) => {
                 sender.request_ended(&batch, end).await;
             }
-            Ok(()) = platform.changed() => sender.max_outcomes = MAX_OUTCOMES,
+            Ok(()) = platform.changed() => sender.max_outcomes = MAX_OUTCOMES_PER_REQUEST,
         }
     }
 }
--- a/crates/quillhub-server/src/outcomes_tests.rs
+++ b/crates/quillhub-server/src/outcomes_tests.rs
@@ -10,10 +10,10 @@
 #[test]
 fn each_kind_of_final_outcome_has_its_line() {
     let wait = Some(Duration::from_millis(500));
-    assert_eq!(line(&outcome(1, "ab", false, wait)), "{\"ref\":\"ab\",\"result\":\"dead\"}\n");
-    assert_eq!(line(&outcome(1, "ab", true, None)), "{\"ref\":\"ab\",\"result\":\"bounced\"}\n");
+    assert_eq!(json_line(&outcome(1, "ab", false, wait)), "{\"ref\":\"ab\",\"result\":\"dead\"}\n");
+    assert_eq!(json_line(&outcome(1, "ab", true, None)), "{\"ref\":\"ab\",\"result\":\"bounced\"}\n");
     assert_eq!(
-        line(&outcome(1, "a\"b", true, wait)),
+        json_line(&outcome(1, "a\"b", true, wait)),
         "{\"ref\":\"a\\\"b\",\"result\":\"bounced\",\"wait_ms\":500}\n"
     );
 }
@@ -29,8 +29,8 @@
         let instance = instance(&directory, address);
         instance.borrow_mut().add_outcome(outcome(1, "a", false, None));
         instance.borrow_mut().add_outcome(outcome(2, "b", false, None));
-        let (_platform, seen) = watch::channel(address);
-        spawn_local(flush(instance.clone(), seen));
+        let (_platform, address_receiver) = watch::channel(address);
+        spawn_local(flush(instance.clone(), address_receiver));
         let mut refs = Vec::new();
         for _ in 0..5 {
             let request = requests.recv().await.unwrap();
@@ -45,17 +45,17 @@
 }
 
 #[test]
-fn unconfirmed_outcomes_go_to_the_platforms_new_address() {
+fn unconfirmed_outcomes_are_sent_to_the_new_address_of_the_platform() {
     let directory = StateDirectory::new();
     on_one_thread(async {
         let (old, mut old_requests) = answering(vec![b"HTTP/1.1 100 Continue\r\n\r\n"]).await;
         let (new, mut new_requests) = answering(vec![b"HTTP/1.1 204 x\r\n\r\n"]).await;
         let instance = instance(&directory, old);
         instance.borrow_mut().add_outcome(outcome(1, "a", false, None));
-        let (at, seen) = watch::channel(old);
-        spawn_local(flush(instance.clone(), seen));
+        let (address_sender, address_receiver) = watch::channel(old);
+        spawn_local(flush(instance.clone(), address_receiver));
         assert!(old_requests.recv().await.unwrap().contains("\"a\""));
-        at.send_replace(new);
+        address_sender.send_replace(new);
         assert!(new_requests.recv().await.unwrap().contains("\"a\""));
         while !instance.borrow().all_outcomes_confirmed() {
             tokio::task::yield_now().await;
@@ -63,7 +63,8 @@
     });
 }
 
-/// An outcome has to be there 300 ms after its message's deadline, also where the open connection has fallen silent.
+/// An outcome must reach the platform within 300 ms after the deadline of its message, even if the open connection has
+/// broken without a sign.
 #[test]
 fn a_silent_platform_is_retried_soon_on_a_new_connection_and_then_with_backoff() {
     let directory = StateDirectory::new();
@@ -75,8 +76,8 @@
         let (address, mut requests) = answering(responses).await;
         let instance = instance(&directory, address);
         instance.borrow_mut().add_outcome(outcome(1, "a", false, None));
-        let (_platform, seen) = watch::channel(address);
-        spawn_local(flush(instance.clone(), seen));
+        let (_platform, address_receiver) = watch::channel(address);
+        spawn_local(flush(instance.clone(), address_receiver));
         let mut last = tokio::time::Instant::now();
         let mut gap = async || {
             requests.recv().await.unwrap();
@@ -86,13 +87,13 @@
         gap().await;
         for expected in [100, 200, 400, 800, 1_000, 1_000] {
             let gap = gap().await;
-            assert!((expected..expected + 5).contains(&gap), "{gap} ms, not {expected}");
+            assert!((expected..expected + 5).contains(&gap), "{gap} ms instead of {expected}");
         }
         while !instance.borrow().all_outcomes_confirmed() {
             tokio::task::yield_now().await;
         }
         instance.borrow_mut().add_outcome(outcome(2, "b", false, None));
         gap().await;
-        assert!((100..105).contains(&gap().await), "once one is confirmed it is soon again");
+        assert!((100..105).contains(&gap().await), "a confirmation resets the timeout");
     });
 }
