--- a/crates/quillhub-server/src/instance/mod.rs
+++ b/crates/quillhub-server/src/instance/mod.rs
@@ -146,12 +146,12 @@
 
     /// Discovery lists the endpoint `name` at `address`.
     pub fn endpoint_listed(&mut self, name: &str, address: SocketAddr) {
-        self.pool.listed(name, address);
+        self.pool.endpoint_listed(name, address);
     }
 
     /// Discovery lists the endpoint `name` no longer.
     pub fn endpoint_removed(&mut self, name: &str) {
-        self.pool.removed(name);
+        self.pool.endpoint_removed(name);
     }
 
     /// Discovery's list is complete: no endpoint but those that are `listed` is left.
--- a/crates/quillhub-server/src/pool.rs
+++ b/crates/quillhub-server/src/pool.rs
@@ -1,6 +1,7 @@
-//! The connection pool: the endpoints' addresses by discovery's list, and idle connections to them.
+//! Connection pool: the addresses of the endpoints that discovery lists, and idle connections to them.
 //!
-//! Invariant: only listed endpoints have idle connections. They go with their endpoint, and each with time.
+//! Invariant: only listed endpoints have idle connections. Removing an endpoint closes its connections, and each idle
+//! connection expires.
 
 use crate::connection::HttpConnection;
 use std::collections::BTreeMap;
@@ -8,74 +9,80 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Part of the idle time before its end in which an idle connection is not used: a request written then could
-/// reach an endpoint that has just closed. A tenth is more than the way there and back takes.
-const IDLE_MARGIN: u32 = 10;
+/// Divisor of the endpoints' idle timeout: a connection is not used in the last tenth of it, since the endpoint might
+/// close the connection before a request arrives. A tenth is longer than a round trip.
+const IDLE_MARGIN_DIVISOR: u32 = 10;
 
-/// An idle connection.
+/// Idle connection.
 struct Idle {
     connection: HttpConnection,
     since: Instant,
 }
 
 impl Idle {
-    fn is_good(&self, idle_timeout: Duration) -> bool {
+    /// Returns `true` if the connection is open and has been idle for less than `idle_timeout`.
+    fn is_usable(&self, idle_timeout: Duration) -> bool {
         self.since.elapsed() < idle_timeout && self.connection.is_idle()
     }
 }
 
-/// The addresses of endpoints and the idle connections to them.
+/// Addresses of the listed endpoints, and the idle connections to them.
 pub struct ConnectionPool {
     addresses: BTreeMap<String, SocketAddr>,
-    /// By endpoint, the one used last behind the others.
+    /// Idle connections by endpoint, the one used last at the end.
     idle: BTreeMap<String, Vec<Idle>>,
+    /// Time after which an idle connection is not used any more; shorter than the endpoints' own timeout.
     idle_timeout: Duration,
+    /// Maximum number of idle connections, to all endpoints together.
     max_idle: usize,
 }
 
 impl ConnectionPool {
-    /// Endpoints close what is idle for `idle_timeout`; `max_idle` connections are pooled, over all of them.
+    /// Creates an empty pool of up to `max_idle` connections, to all endpoints together. Endpoints close connections that
+    /// are idle for `idle_timeout`.
     pub fn new(idle_timeout: Duration, max_idle: usize) -> Self {
-        let idle_timeout = idle_timeout - idle_timeout / IDLE_MARGIN;
+        let idle_timeout = idle_timeout - idle_timeout / IDLE_MARGIN_DIVISOR;
         Self { addresses: BTreeMap::new(), idle: BTreeMap::new(), idle_timeout, max_idle }
     }
 
-    /// The endpoint is at `address`; its connections go if it was elsewhere.
-    pub fn listed(&mut self, endpoint: &str, address: SocketAddr) {
+    /// Sets the address of an endpoint. If it had another address, its idle connections are closed.
+    pub fn endpoint_listed(&mut self, endpoint: &str, address: SocketAddr) {
         if self.addresses.insert(endpoint.into(), address).is_some_and(|before| before != address) {
             self.idle.remove(endpoint);
         }
     }
 
-    /// The endpoint is no more.
-    pub fn removed(&mut self, endpoint: &str) {
+    /// Removes an endpoint and closes its idle connections.
+    pub fn endpoint_removed(&mut self, endpoint: &str) {
         self.addresses.remove(endpoint);
         self.idle.remove(endpoint);
     }
 
-    /// No endpoint but those that are `listed` is left.
+    /// Removes the endpoints for which `listed` returns `false`, and closes their idle connections.
     pub fn keep_only(&mut self, listed: impl Fn(&str) -> bool) {
         self.addresses.retain(|endpoint, _| listed(endpoint));
         self.idle.retain(|endpoint, _| listed(endpoint));
     }
 
-    /// Where the endpoint is, if it is listed.
+    /// Returns the address of the endpoint, or `None` if it is not listed.
     pub fn address(&self, endpoint: &str) -> Option<SocketAddr> {
         self.addresses.get(endpoint).copied()
     }
 
-    /// The connection used last that is still good; those that are not are closed.
+    /// Removes and returns the idle connection used last that is still usable. Connections used after it, which are not
+    /// usable, are closed.
     pub fn take(&mut self, endpoint: &str) -> Option<HttpConnection> {
         let idle = self.idle.get_mut(endpoint)?;
         while let Some(last) = idle.pop() {
-            if last.is_good(self.idle_timeout) {
+            if last.is_usable(self.idle_timeout) {
                 return Some(last.connection);
             }
         }
         None
     }
 
-    /// A connection is idle again.
+    /// Adds an idle connection, and closes the oldest ones if there are too many. The connection is closed instead if the
+    /// endpoint is not listed.
     pub fn put_back(&mut self, endpoint: &str, connection: HttpConnection) {
         if !self.addresses.contains_key(endpoint) || self.max_idle == 0 {
             return;
@@ -85,10 +92,10 @@
         self.idle.entry(endpoint.into()).or_default().push(idle);
     }
 
-    /// Closes the oldest idle connections until there are `max` at most.
+    /// Closes the oldest idle connections until at most `max` are left, to all endpoints together.
     pub fn close_oldest_beyond(&mut self, max: usize) {
         if max >= self.max_idle {
-            return; // there are no more than that
+            return; // the pool never holds more than `max_idle`
         }
         while self.idle.values().map(Vec::len).sum::<usize>() > max {
             let oldest =
@@ -104,11 +111,11 @@
         self.idle.remove(endpoint);
     }
 
-    /// Closes what the other side closed or soon will.
+    /// Closes the idle connections that their endpoint has closed, or may close soon.
     pub fn close_expired(&mut self) {
         let idle_timeout = self.idle_timeout;
         self.idle.retain(|_, idle| {
-            idle.retain(|idle| idle.is_good(idle_timeout));
+            idle.retain(|idle| idle.is_usable(idle_timeout));
             !idle.is_empty()
         });
     }
--- a/crates/quillhub-server/src/pool_tests.rs
+++ b/crates/quillhub-server/src/pool_tests.rs
@@ -8,7 +8,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let mut pool = ConnectionPool::new(LONG, 2);
-        pool.listed("e", address);
+        pool.endpoint_listed("e", address);
         pool.put_back("e", HttpConnection::open(address).await.unwrap());
         assert!(pool.take("e").is_some() && pool.take("e").is_none());
 
@@ -20,20 +20,21 @@
             pool.put_back("e", HttpConnection::open(address).await.unwrap());
         }
         assert_eq!(pool.idle["e"].len(), 2);
-        pool.listed("e", "127.0.0.1:1".parse().unwrap());
+        pool.endpoint_listed("e", "127.0.0.1:1".parse().unwrap());
         assert!(pool.take("e").is_none());
 
         pool.put_back("gone", HttpConnection::open(address).await.unwrap());
         assert!(!pool.idle.contains_key("gone"));
 
-        let mut brief = ConnectionPool::new(Duration::ZERO, 2);
-        brief.listed("e", address);
-        brief.put_back("e", HttpConnection::open(address).await.unwrap());
-        assert!(brief.take("e").is_none());
+        let mut short_lived = ConnectionPool::new(Duration::ZERO, 2);
+        short_lived.endpoint_listed("e", address);
+        short_lived.put_back("e", HttpConnection::open(address).await.unwrap());
+        assert!(short_lived.take("e").is_none());
     });
 }
 
-/// The runtime learns only at its next wait of what came; the operating system has it at once.
+/// The runtime learns only at its next wait what the socket has received; a request written before that would be lost on
+/// a closed connection, or take stray input for its response.
 #[test]
 fn a_pooled_connection_that_closed_or_received_octets_since_the_last_wait_is_not_reused() {
     on_one_thread(async {
@@ -41,13 +42,13 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let address = listener.local_addr().unwrap();
             let mut pool = ConnectionPool::new(LONG, 2);
-            pool.listed("e", address);
+            pool.endpoint_listed("e", address);
             pool.put_back("e", HttpConnection::open(address).await.unwrap());
             let mut peer = listener.accept().await.unwrap().0.into_std().unwrap();
-            // From here on nothing waits.
+            // No await from here on, so that the runtime does not learn of the input or of the close.
             std::io::Write::write_all(&mut peer, received).unwrap();
             let peer = Some(peer).filter(|_| !received.is_empty());
-            assert!(pool.take("e").is_none(), "{}", if peer.is_some() { "half a line" } else { "its end" });
+            assert!(pool.take("e").is_none(), "{}", if peer.is_some() { "stray input" } else { "closed" });
         }
     });
 }
