--- a/crates/quillhub-server/src/gossip.rs
+++ b/crates/quillhub-server/src/gossip.rs
@@ -1,6 +1,6 @@
-//! Gossip between instances, as datagrams; they may be lost.
+//! Gossip between instances, sent as datagrams, which may be lost.
 //!
-//! Invariant: nothing here waits to send, so that gossip never delays a message.
+//! Invariant: sending never waits, so that gossip never delays a message.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,33 +9,33 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-/// Bytes of a datagram.
+/// Maximum length of a datagram; longer ones are neither sent nor accepted.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// Pause after a failed read, such as of a datagram that could not be delivered.
+/// Pause after a failed read; a read fails, for example, if an earlier datagram could not be delivered.
 const READ_ERROR_PAUSE: Duration = Duration::from_millis(5);
 
-/// The socket on which an instance sends and receives gossip.
+/// Socket on which an instance sends and receives gossip.
 pub struct GossipSocket {
     socket: UdpSocket,
-    /// The address that reaches all instances.
+    /// Address that reaches all instances.
     all: SocketAddr,
-    /// What comes from here is this instance's own and is dropped.
+    /// Address from which this instance's own datagrams arrive, which are dropped; `None` if it is not known.
     own: Option<SocketAddr>,
 }
 
 impl GossipSocket {
-    /// Listens on `listen`, and sends to `all`.
+    /// Opens a socket that receives on `listen` and sends to `all`; datagrams from `own` are dropped.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// Returns an error if the socket cannot be bound to `listen`.
     pub async fn open(listen: SocketAddr, all: SocketAddr, own: Option<SocketAddr>) -> io::Result<Self> {
         let socket = UdpSocket::bind(listen).await?;
         socket.writable().await?;
         Ok(Self { socket, all, own })
     }
 
-    /// Sends a gossip message to all instances, if it goes at once.
+    /// Sends a gossip message to all instances, or drops it if that is not possible without waiting.
     pub fn broadcast(&self, message: &[u8]) {
         if message.len() > MAX_DATAGRAM_BYTES {
             tracing::error!(bytes = message.len(), "a gossip message is too long");
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Hands each gossip message of other instances to `handle`, without end.
+    /// Passes each gossip message from other instances to `handle`, without end.
     pub async fn receive(self: Rc<Self>, handle: impl Fn(&[u8])) {
         let mut octets = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
--- a/crates/quillhub-server/src/gossip_tests.rs
+++ b/crates/quillhub-server/src/gossip_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn gossip_messages_up_to_the_longest_datagram_are_sent_and_longer_ones_are_not() {
+fn gossip_messages_are_sent_up_to_the_maximum_length_and_longer_ones_are_dropped() {
     crate::test_support::on_one_thread(async {
         let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let listen = "127.0.0.1:0".parse().unwrap();
@@ -10,7 +10,7 @@
         gossip.broadcast(&[2; MAX_DATAGRAM_BYTES]);
         let mut octets = [0; 2 * MAX_DATAGRAM_BYTES];
         let (length, from) = other.recv_from(&mut octets).await.unwrap();
-        assert_eq!((length, octets[0]), (MAX_DATAGRAM_BYTES, 2), "the one that is too long never came");
+        assert_eq!((length, octets[0]), (MAX_DATAGRAM_BYTES, 2), "the message that is too long was not sent");
         assert_eq!(from, gossip.socket.local_addr().unwrap());
     });
 }
