--- a/crates/quillhub-server/tests/instance/mod.rs
+++ b/crates/quillhub-server/tests/instance/mod.rs
@@ -1,7 +1,6 @@
-//! An instance of this process, served on the current thread, for tests that look at it from outside.
-//! Each of them uses a part of it.
+//! Instance that runs on the current thread, and its configuration, for tests over its network interfaces.
 
-#![allow(dead_code)]
+#![allow(dead_code)] // each test uses only a part of this module
 
 use quillhub_fakes::scratch::Folder;
 use quillhub_server::ServeError;
@@ -13,70 +12,75 @@
 use tokio::sync::oneshot;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Far more than any of this takes.
-pub const LONG: Duration = Duration::from_secs(40);
-/// The destination whose endpoints the tests serve.
+/// Time limit for a whole test, far longer than any test takes.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(40);
+/// Destination to which the tests submit messages.
 pub const DESTINATION: u64 = 9;
 
-/// An instance that runs.
+/// Running instance.
 pub struct Instance {
+    /// Address at which clients connect.
     pub listen: SocketAddr,
     stop: oneshot::Sender<()>,
     ended: JoinHandle<Result<(), ServeError>>,
 }
 
 impl Instance {
-    /// Starts one with `configuration` on the state directory `state`, and waits until it serves.
+    /// Starts an instance with `configuration`, except for its address, on the state directory `state`, and waits until
+    /// it serves clients.
     pub async fn start(mut configuration: Value, state: &Path) -> Self {
         let listen = unused_address();
         configuration["listen"] = json!(listen.to_string());
         let (text, state) = (configuration.to_string(), state.to_owned());
         let (stop, stopped) = oneshot::channel();
         let ended = spawn_local(async move {
-            let told_to_stop = async { drop(stopped.await) };
-            quillhub_server::serve(&text, &state, told_to_stop, pending).await
+            let stop_requested = async { drop(stopped.await) };
+            quillhub_server::serve(&text, &state, stop_requested, pending).await
         });
-        assert!(quillhub_fakes::clients::ready(listen, LONG).await);
+        assert!(quillhub_fakes::clients::ready(listen, TEST_TIMEOUT).await);
         Self { listen, stop, ended }
     }
 
-    /// Stops it, and waits until what it still works on is finished.
+    /// Stops the instance, and waits until its shutdown is complete.
     pub async fn stop(self) {
         self.stop.send(()).unwrap();
         self.ended.await.unwrap().unwrap();
     }
 }
 
-/// An address that is nobody's now.
+/// Returns a loopback address that is not in use at the moment.
 fn unused_address() -> SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// A list of destination 9's endpoints, `e1` first.
-pub fn members(endpoints: &[SocketAddr]) -> Value {
-    let row = |(number, at): (usize, &SocketAddr)| json!({"id": format!("e{}", number + 1), "host_port": at.to_string(), "cell": DESTINATION, "phase": "up"});
+/// Returns a complete list of the endpoints of [`DESTINATION`], named `e1`, `e2` and so on.
+pub fn endpoint_list(endpoints: &[SocketAddr]) -> Value {
+    let row = |(number, address): (usize, &SocketAddr)| json!({"id": format!("e{}", number + 1), "host_port": address.to_string(), "cell": DESTINATION, "phase": "up"});
     let rows: Vec<_> = endpoints.iter().enumerate().map(row).collect();
     json!({"revision": 1, "complete": true, "members": rows})
 }
 
-/// A message class whose messages last a minute and lose nothing by then.
-pub fn class(name: &str, effect: &str, key_remembered_us: u64) -> Value {
-    let lasts = 60_000_000;
-    json!({"name": name, "effect": effect, "memorySpanUs": key_remembered_us, "aimUs": lasts, "giveUpUs": lasts})
+/// Returns the settings of a service class whose messages keep their full value until their deadline, a minute after
+/// their submission.
+pub fn class(name: &str, effect: &str, deduplication_window_us: u64) -> Value {
+    let deadline_us = 60_000_000;
+    json!({"name": name, "effect": effect, "memorySpanUs": deduplication_window_us, "aimUs": deadline_us, "giveUpUs": deadline_us})
 }
 
-/// A configuration with discovery and the platform at `discovery`, and at most `open` messages at once.
-pub fn configuration(discovery: SocketAddr, open: u64, classes: &[Value]) -> Value {
+/// Returns a configuration with discovery and the platform at `discovery`, and at most `max_open` messages pending at a
+/// time.
+pub fn configuration(discovery: SocketAddr, max_open: u64, classes: &[Value]) -> Value {
     json!({"discovery": discovery.to_string(), "seed": "7", "limits": {"sockets": 256, "disk_mb": 1},
         "settings": {"familyInfo": {"maxCalls": 4}, "classes": classes,
-        "limits": {"mostTries": 5, "maxOpen": open, "retryAfter": true, "maxRetryAfterUs": 1_500_000}}})
+        "limits": {"mostTries": 5, "maxOpen": max_open, "retryAfter": true, "maxRetryAfterUs": 1_500_000}}})
 }
 
-/// A century: a key that is remembered for so long is never forgotten here.
+/// Deduplication window that never expires during a test.
 const CENTURY_US: u64 = 100 * 365 * 24 * 3_600 * 1_000_000;
 const SECOND_US: u64 = 1_000_000;
 
-/// The classes of the messages in the state directory of the first version, but for one that is not known.
+/// Returns the service classes of the messages in the state directory of the first version, except for one that is
+/// meant to be unknown.
 pub fn classes() -> [Value; 4] {
     [
         class("free", "free", 0),
@@ -86,11 +90,11 @@
     ]
 }
 
-/// Copies the kept state directory of the first version, so that it stays as it is.
-pub fn first_state_directory() -> Folder {
-    let (kept, copy) = (Path::new("tests/fixtures/state-directory-v1"), Folder::new());
+/// Returns a copy of the state directory of the first version, so that the fixture stays unchanged.
+pub fn first_version_state_directory() -> Folder {
+    let (fixture, copy) = (Path::new("tests/fixtures/state-directory-v1"), Folder::new());
     for segment in ["wal-0000000000", "wal-0000000001"] {
-        std::fs::write(copy.0.join(segment), std::fs::read(kept.join(segment)).unwrap()).unwrap();
+        std::fs::write(copy.0.join(segment), std::fs::read(fixture.join(segment)).unwrap()).unwrap();
     }
     copy
 }
