--- a/crates/quillhub-server/tests/scenario.rs
+++ b/crates/quillhub-server/tests/scenario.rs
@@ -1,5 +1,5 @@
-//! A short scenario on loopback with the fakes: whatever the timing, every message has one outcome, and no idempotency
-//! key is executed twice.
+//! Short scenario with faults, played over loopback with the fakes: whatever the timing, every message gets one outcome,
+//! and almost no idempotency key is executed twice.
 
 use quillhub_fakes::clients::{self, RequestLog, ScheduledMessage};
 use quillhub_fakes::endpoints::{self, EndpointEventKind};
@@ -75,7 +75,7 @@
     Box::leak(Box::new(scenario))
 }
 
-/// Runs an instance on a thread of its own until it is stopped.
+/// Runs an instance on a separate thread until `stopped` completes.
 fn serve(
     configuration: String,
     state: PathBuf,
@@ -99,11 +99,11 @@
             (unbounded_channel(), unbounded_channel());
         let listed = endpoints::start(scenario, 7, started, event_sender).await.unwrap();
         let discovery = Discovery::new(&listed);
-        let at = platform::start(discovery.clone(), outcome_sender).await.unwrap();
+        let platform_address = platform::start(discovery.clone(), outcome_sender).await.unwrap();
         platform::play_faults(scenario, 7, started, &discovery);
         let listen = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let known = discovery.borrow().list();
-        let text = configuration::instance(scenario, 7, listen, at, known, 256).to_string();
+        let text = configuration::instance(scenario, 7, listen, platform_address, known, 256).to_string();
         quillhub_server::check(&text).unwrap();
         let (stop, stopped) = oneshot::channel::<()>();
         let instance = serve(text, state.0.clone(), stopped);
@@ -111,24 +111,24 @@
         let requests = RequestLog::new(scenario, 7, started);
         let messages: Vec<_> = arrivals(scenario, 7).into_iter().map(ScheduledMessage::from).collect();
         let count = messages.len();
-        let played = spawn_local(clients::play(requests.clone(), listen, messages, 16, 50));
-        let mut ran = BTreeMap::<String, u32>::new();
-        while !(played.is_finished() && requests.borrow().is_over()) {
+        let playback = spawn_local(clients::play(requests.clone(), listen, messages, 16, 50));
+        let mut executions = BTreeMap::<String, u32>::new();
+        while !(playback.is_finished() && requests.borrow().is_over()) {
             tokio::select! {
-                Some(one) = events.recv() => {
-                    let is_run = matches!(one.kind, EndpointEventKind::Delivered | EndpointEventKind::ExecutedUnheard);
-                    if let Some(key) = one.idempotency_key.filter(|_| is_run) {
-                        *ran.entry(key).or_default() += 1;
+                Some(event) = events.recv() => {
+                    let is_execution = matches!(event.kind, EndpointEventKind::Delivered | EndpointEventKind::ExecutedUnheard);
+                    if let Some(key) = event.idempotency_key.filter(|_| is_execution) {
+                        *executions.entry(key).or_default() += 1;
                     }
-                    if one.kind == EndpointEventKind::Delivered {
-                        requests.borrow_mut().finish(&one.id, one.at, FinalOutcome::Delivered);
+                    if event.kind == EndpointEventKind::Delivered {
+                        requests.borrow_mut().finish(&event.id, event.at, FinalOutcome::Delivered);
                     }
                 }
-                Some(last) = outcomes.recv() => {
-                    let order = requests.borrow().ids.get(&last.id).copied();
-                    match order.filter(|_| last.rejected) {
-                        Some(order) => clients::retry_rejected(requests.clone(), listen, order, last.retry_after, 50),
-                        None => drop(requests.borrow_mut().finish(&last.id, last.at, FinalOutcome::Abandoned)),
+                Some(outcome) = outcomes.recv() => {
+                    let order = requests.borrow().ids.get(&outcome.id).copied();
+                    match order.filter(|_| outcome.rejected) {
+                        Some(order) => clients::retry_rejected(requests.clone(), listen, order, outcome.retry_after, 50),
+                        None => drop(requests.borrow_mut().finish(&outcome.id, outcome.at, FinalOutcome::Abandoned)),
                     }
                 }
                 () = tokio::time::sleep(Duration::from_millis(50)) => {}
@@ -138,7 +138,7 @@
         let delivered = requests
             .requests
             .iter()
-            .filter(|o| matches!(o.outcome, Some((_, FinalOutcome::Delivered))))
+            .filter(|request| matches!(request.outcome, Some((_, FinalOutcome::Delivered))))
             .count();
         assert!(
             requests.requests.len() == count && delivered * 2 > count,
@@ -146,13 +146,13 @@
         );
         drop(stop);
         instance.join().unwrap().unwrap();
-        // Retries with the same key may come, as their destination drops them; of most there is none.
-        assert!(ran.values().filter(|runs| **runs > 1).count() * 10 < ran.len().max(10));
+        // A retry with the same key may be executed, since its destination discards it; most keys have none.
+        assert!(executions.values().filter(|times| **times > 1).count() * 10 < executions.len().max(10));
     });
 }
 
 #[test]
-fn a_fault_that_sockets_cannot_show_is_rejected_in_one_line() {
+fn a_fault_that_sockets_cannot_reproduce_is_rejected_with_a_single_line() {
     let text = SCENARIO.replace("what = 'refuse'", "what = { cut = {} }");
     let error = endpoints::check_supported(scenario(&text)).unwrap_err();
     assert!(
