--- a/crates/quillhub-server/src/connection.rs
+++ b/crates/quillhub-server/src/connection.rs
@@ -72,7 +72,7 @@
 
     /// Sets the time limit of each further read. A read that receives nothing for `max` fails with
     /// [`ConnectionError::Ended`]; a response as a whole may take longer.
-    pub fn set_silence_timeout(&mut self, max: Duration) {
+    pub(crate) fn set_silence_timeout(&mut self, max: Duration) {
         self.silence_timeout = Some(max);
     }
 
@@ -85,16 +85,16 @@
         self.stream.write_all(octets).await
     }
 
-    /// Writes a request. The last byte is written after a short delay, and only if the connection is still open then and
-    /// nothing was received on it, so that a request that fails here was not executed.
+    /// Writes a request. The last byte is written after a short delay, and only if the connection is still open then
+    /// and nothing was received on it, so that a request that fails here was not executed.
     ///
-    /// Guards against pooled connections that broke without a sign, and against late copies of an earlier response. The
-    /// delay lengthens every attempt.
+    /// Guards against pooled connections that broke without a sign, and against late copies of an earlier response.
+    /// The delay lengthens every attempt.
     ///
     /// # Errors
     ///
     /// Returns an error if the last byte was not written.
-    pub async fn write_request(&mut self, request: &[u8]) -> Result<(), ConnectionError> {
+    pub(crate) async fn write_request(&mut self, request: &[u8]) -> Result<(), ConnectionError> {
         let (all_but_last, last) = request.split_at(request.len().saturating_sub(1));
         self.write(all_but_last).await.map_err(ConnectionError::Failed)?;
         match timeout(LAST_BYTE_DELAY, self.read_more()).await {
@@ -122,7 +122,7 @@
     /// # Errors
     ///
     /// Returns an error if the connection ends or fails before that.
-    pub async fn response_started(&mut self) -> Result<(), ConnectionError> {
+    pub(crate) async fn response_started(&mut self) -> Result<(), ConnectionError> {
         if self.buffer.is_empty() { self.read_more().await } else { Ok(()) }
     }
 
@@ -145,17 +145,17 @@
     /// # Errors
     ///
     /// Returns an error if no valid status line arrives.
-    pub async fn status(&mut self) -> Result<u16, ConnectionError> {
+    pub(crate) async fn status(&mut self) -> Result<u16, ConnectionError> {
         self.read_parsed(|octets| Ok(http::status(octets)?.map(|status| (status, 0)))).await
     }
 
     /// Returns `true` if nothing was read beyond the last response.
-    pub fn has_no_surplus(&self) -> bool {
+    pub(crate) fn has_no_surplus(&self) -> bool {
         self.buffer.is_empty()
     }
 
     /// Returns `true` if the input that was read beyond the last response starts like another response.
-    pub fn surplus_is_response(&self) -> bool {
+    pub(crate) fn surplus_is_response(&self) -> bool {
         self.buffer.starts_with(b"HTTP/1.")
     }
 
@@ -178,7 +178,7 @@
     /// # Errors
     ///
     /// Returns an error if no valid head arrives.
-    pub async fn any_head(&mut self) -> Result<Head, ConnectionError> {
+    pub(crate) async fn any_head(&mut self) -> Result<Head, ConnectionError> {
         self.read_parsed(http::head).await
     }
 
@@ -235,7 +235,7 @@
     /// Returns `true` if the connection is open and there is no input, so that it can be used for a request.
     ///
     /// Queries the system, since the runtime learns only at its next wait what the socket has received.
-    pub fn is_idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         let blocks = |e: io::Error| e.kind() == ErrorKind::WouldBlock;
         let peeked = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
         self.buffer.is_empty() && peeked.is_err_and(blocks)
--- a/crates/quillhub-server/src/http.rs
+++ b/crates/quillhub-server/src/http.rs
@@ -104,7 +104,7 @@
 /// # Errors
 ///
 /// Returns an error if the input does not start with a status line, whatever follows it.
-pub fn status(input: &[u8]) -> Result<Option<u16>, Malformed> {
+pub(crate) fn status(input: &[u8]) -> Result<Option<u16>, Malformed> {
     let mut rest = Input::new(input);
     let read = status_line(&mut rest);
     Ok(parse_result_within(MAX_HEAD_BYTES, input, &rest, read)?.map(|((_, status), _)| status))
@@ -163,7 +163,7 @@
 /// # Errors
 ///
 /// Returns an error if the input does not start with a valid chunk, whatever follows it.
-pub fn chunk(input: &[u8], max_bytes: usize) -> Parsed<&[u8]> {
+pub(crate) fn chunk(input: &[u8], max_bytes: usize) -> Parsed<&[u8]> {
     let mut rest = Input::new(input);
     let read = parse_chunk(max_bytes, &mut rest);
     parse_result_within(max_bytes + MAX_CHUNK_LINE_BYTES + MAX_HEAD_BYTES, input, &rest, read)
