--- a/crates/quillhub-server/src/attempts/mod.rs
+++ b/crates/quillhub-server/src/attempts/mod.rs
@@ -123,9 +123,9 @@
     /// Makes the attempt: on the pooled connection if that is still open, otherwise on a new one.
     ///
     /// A response whose status line is read after the deadline that the request stated counts as none, since the
-    /// endpoint may have given the request up by then. This also covers responses that arrive just before the timer
-    /// fires, which has millisecond resolution, and responses that begin in time but do not end. It may time out an
-    /// attempt whose response arrived while this process was suspended.
+    /// endpoint may have given the request up by then. This guards against responses that arrive after the deadline but
+    /// before the timer fires, which has millisecond resolution, and against responses that begin in time but do not
+    /// end. It may time out an attempt whose response arrived while this process was suspended.
     pub async fn run(mut self) -> AttemptEnd {
         let mut deadline = Deadline::after(self.timeout);
         let SentRequest { mut connection, on_new_connection } = match self.send(&mut deadline).await {
--- a/crates/quillhub-server/src/attempts/tests.rs
+++ b/crates/quillhub-server/src/attempts/tests.rs
@@ -216,24 +216,26 @@
     }
 }
 
+/// A request that is written completely to a connection that the endpoint has closed, or on which a late duplicate
+/// arrives, ends with the attempt unresolved, although the message was not executed.
 #[test]
-fn a_pooled_connection_that_is_dead_or_receives_a_late_duplicate_costs_no_attempt() {
+fn a_pooled_connection_that_closes_or_receives_a_stray_response_is_replaced_before_the_last_byte() {
     on_one_thread(async {
         for stray in [&b""[..], b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let address = listener.local_addr().unwrap();
             let pooled = HttpConnection::open(address).await.unwrap();
-            let mut dying = listener.accept().await.unwrap().0;
+            let mut server_stream = listener.accept().await.unwrap().0;
             drop(listener);
             let peer = spawn_local(async move {
                 let mut first = [0; 1];
-                dying.read_exact(&mut first).await.unwrap();
-                dying.write_all(stray).await.unwrap(); // the peer closes or sends once the request begins to arrive
+                server_stream.read_exact(&mut first).await.unwrap();
+                server_stream.write_all(stray).await.unwrap(); // the peer closes or sends once the request begins to arrive
                 let mut rest = Vec::new();
                 if stray.is_empty() {
-                    drop(dying);
+                    drop(server_stream);
                 } else {
-                    dying.read_to_end(&mut rest).await.unwrap();
+                    server_stream.read_to_end(&mut rest).await.unwrap();
                 }
                 rest
             });
@@ -286,7 +288,7 @@
 }
 
 #[test]
-fn a_response_that_begins_in_time_and_never_ends_holds_its_attempt_no_longer_than_the_deadline() {
+fn a_response_that_begins_in_time_and_never_ends_does_not_prolong_its_attempt_beyond_the_deadline() {
     let attempt_timeout = Duration::from_millis(100);
     let interim = b"HTTP/1.1 100 x\r\n\r\n";
     let (begun, endless): (&[&[u8]], _) = (&[b"HTTP/1.1 2"], vec![&interim[..]; 400]);
@@ -302,8 +304,8 @@
     assert!(took <= attempt_timeout + Duration::from_millis(2), "{took:?}");
 }
 
-/// An endpoint that is told the time left at the start of the attempt works for too long if the connection was
-/// established late.
+/// If the request stated the time left at the start of the attempt, its endpoint would work for too long whenever the
+/// connection is established late.
 #[test]
 fn the_deadline_header_is_the_time_left_when_the_request_is_sent() {
     on_one_thread(async {
@@ -311,11 +313,11 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let pooled = HttpConnection::open(address).await.unwrap();
-        let mut dying = listener.accept().await.unwrap().0;
+        let mut server_stream = listener.accept().await.unwrap().0;
         let peer = spawn_local(async move {
-            dying.read_exact(&mut [0; 1]).await.unwrap();
+            server_stream.read_exact(&mut [0; 1]).await.unwrap();
             tokio::time::advance(Duration::from_millis(2)).await;
-            drop(dying); // before the request's last byte
+            drop(server_stream); // before the request's last byte
             let mut read = Vec::new();
             listener.accept().await.unwrap().0.read_to_end(&mut read).await.unwrap();
             String::from_utf8(read).unwrap()
--- a/crates/quillhub-server/src/clients/admission.rs
+++ b/crates/quillhub-server/src/clients/admission.rs
@@ -61,8 +61,8 @@
 }
 
 impl Entry {
-    /// Returns the rank of the entry; the lowest one is evicted first. Half-closed connections have the lowest, followed
-    /// by those without a successful command, idle ones, and all others.
+    /// Returns the rank of the entry; the lowest one is evicted first. Half-closed connections have the lowest rank,
+    /// followed by those without a successful command for [`FIRST_COMMAND_GRACE`], idle ones, and all others.
     fn eviction_rank(&self, now: Instant) -> u8 {
         match self.activity {
             Activity::HalfClosed => 0,
@@ -115,12 +115,14 @@
         Registration { admission: self.clone(), number, evicted }
     }
 
-    /// Returns a permit for a new connection, and evicts others if none is free. `None` if the semaphore is closed.
+    /// Returns a permit for a new connection, and evicts others if none is free. Returns `None` if the semaphore is
+    /// closed.
     pub(super) async fn connection_permit(&self) -> Option<OwnedSemaphorePermit> {
         self.permit(Resource::Connection).await
     }
 
-    /// Returns a permit for a large command, and evicts connections that hold one if none is free.
+    /// Returns a permit for a large command, and evicts connections that hold one if none is free. Returns `None` if
+    /// the semaphore is closed.
     pub(super) async fn large_command_permit(&self) -> Option<OwnedSemaphorePermit> {
         self.permit(Resource::LargeCommand).await
     }
--- a/crates/quillhub-server/src/clients/admission_tests.rs
+++ b/crates/quillhub-server/src/clients/admission_tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_oldest_connection_without_a_command_is_evicted_first_and_then_the_one_longest_idle() {
+fn connections_without_a_command_are_evicted_before_idle_ones_and_among_each_the_oldest_first() {
     let admission = admission();
     let now = Instant::now();
     for (seconds, activity, holds_large_permit) in [
--- a/crates/quillhub-server/src/clients/connection.rs
+++ b/crates/quillhub-server/src/clients/connection.rs
@@ -270,9 +270,9 @@
 
 /// Closes the server's side, then discards input until the client closes its own side or a time limit is reached.
 ///
-/// Discarded commands are not executed; the client submits its messages again. Prevents a close with unread input, which
-/// resets the connection and may destroy a reply that the client has not read. A client that never closes its side
-/// keeps its permit until the time limit.
+/// Discarded commands are not executed; the client submits its messages again. Prevents a close with unread input,
+/// which resets the connection and may destroy a reply that the client has not read. A client that never closes its
+/// side keeps its permit until the time limit.
 pub(super) async fn half_close(
     stream: &mut TcpStream,
     end: End,
--- a/crates/quillhub-server/src/discovery/return_tests.rs
+++ b/crates/quillhub-server/src/discovery/return_tests.rs
@@ -46,7 +46,7 @@
 ];
 
 /// Serves a connection to discovery during its outage.
-async fn lose(loss: Loss, stream: TcpStream) -> std::io::Result<()> {
+async fn serve_failing(loss: Loss, stream: TcpStream) -> std::io::Result<()> {
     let mut stream = Served::new(stream);
     let Some(requested) = stream.next().await? else { return Ok(()) };
     let is_watch = requested.path.contains("watch");
@@ -69,8 +69,8 @@
     std::future::pending().await
 }
 
-/// Serves a connection to discovery after its return: each request gets [`LIST`], and a watch goes on with empty lines.
-async fn answer(stream: TcpStream) -> std::io::Result<()> {
+/// Serves a connection to discovery after its return: each request gets [`LIST`], followed by empty lines in a watch.
+async fn serve(stream: TcpStream) -> std::io::Result<()> {
     let mut stream = Served::new(stream);
     while let Some(requested) = stream.next().await? {
         if !requested.path.contains("watch") {
@@ -87,7 +87,7 @@
 }
 
 /// Starts a fake discovery whose connections fail by `loss` until `return_time`, and returns its address.
-fn discovery(loss: Loss, return_time: Instant) -> SocketAddr {
+fn start_discovery(loss: Loss, return_time: Instant) -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
@@ -113,8 +113,8 @@
             let loss = Some(loss).filter(|_| Instant::now() < return_time);
             spawn_local(async move {
                 let _ = match loss {
-                    Some(loss) => lose(loss, stream).await,
-                    None => answer(stream).await,
+                    Some(loss) => serve_failing(loss, stream).await,
+                    None => serve(stream).await,
                 };
             });
         }
@@ -149,7 +149,7 @@
     on_one_thread(async {
         tokio::time::pause();
         let return_time = Instant::now() + outage;
-        let address = discovery(loss, return_time);
+        let address = start_discovery(loss, return_time);
         let instance =
             instance_with(seed, &settings(must_be_polled), &directory, "127.0.0.1:1".parse().unwrap());
         let (_address_sender, address_receiver) = watch_channel::channel(address);
@@ -186,8 +186,8 @@
     assert_known_in_time(true);
 }
 
-/// A connection that is established late, with the system's second try, must not prolong its request: the next one would
-/// come too late.
+/// A connection that is established late, with the system's second try, must not prolong its request, since the next
+/// request would then be sent too late.
 #[test]
 fn a_request_has_one_timeout_for_its_connection_and_its_head() {
     on_one_thread(async {
@@ -201,7 +201,7 @@
         socket.set_nonblocking(true).unwrap();
         let listener = std::net::TcpListener::from(socket);
         drop((listener.accept().unwrap(), queued));
-        // The clock stands while the system tries again: there is always something to do.
+        // The virtual clock does not advance while the system retries the connection, since this loop never waits.
         let silent = loop {
             match listener.accept() {
                 Ok(accepted) => break accepted,
--- a/crates/quillhub-server/src/pool.rs
+++ b/crates/quillhub-server/src/pool.rs
@@ -38,8 +38,8 @@
 }
 
 impl ConnectionPool {
-    /// Creates an empty pool of up to `max_idle` connections, to all endpoints together. Endpoints close connections that
-    /// are idle for `idle_timeout`.
+    /// Creates an empty pool of up to `max_idle` connections, to all endpoints together. Endpoints close connections
+    /// that are idle for `idle_timeout`.
     pub fn new(idle_timeout: Duration, max_idle: usize) -> Self {
         let idle_timeout = idle_timeout - idle_timeout / IDLE_MARGIN_DIVISOR;
         Self { addresses: BTreeMap::new(), idle: BTreeMap::new(), idle_timeout, max_idle }
@@ -81,8 +81,8 @@
         None
     }
 
-    /// Adds an idle connection, and closes the oldest ones if there are too many. The connection is closed instead if the
-    /// endpoint is not listed.
+    /// Adds an idle connection, and closes the oldest ones if there are too many. The connection is closed instead if
+    /// the endpoint is not listed.
     pub fn put_back(&mut self, endpoint: &str, connection: HttpConnection) {
         if !self.addresses.contains_key(endpoint) || self.max_idle == 0 {
             return;
--- a/crates/quillhub-server/src/pool_tests.rs
+++ b/crates/quillhub-server/src/pool_tests.rs
@@ -33,10 +33,10 @@
     });
 }
 
-/// The runtime learns only at its next wait what the socket has received; a request written before that would be lost on
-/// a closed connection, or take stray input for its response.
+/// The runtime learns only at its next wait what the socket has received. A request that is written before that would
+/// be lost on a closed connection, or take stray input for its response.
 #[test]
-fn a_pooled_connection_that_closed_or_received_octets_since_the_last_wait_is_not_reused() {
+fn a_pooled_connection_that_closed_or_received_input_since_the_last_wait_is_not_reused() {
     on_one_thread(async {
         for received in [&b""[..], b"HTTP/1.1 40"] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/quillhub-server/tests/scenario.rs
+++ b/crates/quillhub-server/tests/scenario.rs
@@ -1,5 +1,5 @@
-//! Short scenario with faults, played over loopback with the fakes: whatever the timing, every message gets one outcome,
-//! and almost no idempotency key is executed twice.
+//! Short scenario with faults, played over loopback with the fakes: whatever the timing, every message gets one
+//! outcome, and almost no idempotency key is executed twice.
 
 use quillhub_fakes::clients::{self, RequestLog, ScheduledMessage};
 use quillhub_fakes::endpoints::{self, EndpointEventKind};
