--- a/crates/quillhub-server/src/attempts/tests.rs
+++ b/crates/quillhub-server/src/attempts/tests.rs
@@ -112,6 +112,7 @@
     }
 }
 
+/// A rejection that is taken from a corrupted response would let a message be sent again that may have been executed.
 #[test]
 fn a_corrupted_response_proves_nothing_but_a_200_status_line_and_does_not_prolong_its_attempt() {
     let wait = Some(Duration::from_millis(1500));
--- a/crates/quillhub-server/src/clients/tests.rs
+++ b/crates/quillhub-server/src/clients/tests.rs
@@ -99,12 +99,14 @@
     assert_eq!(exchange(b"", false, Phase::Stopping, "", Phase::Closing), "");
 }
 
+/// A client that closed its side submits the message elsewhere; a message that is accepted here too is delivered twice.
 #[test]
 fn a_message_of_a_client_that_has_closed_its_side_is_not_accepted() {
     let input = submit("c=free,d=8000,dest=9", 9);
     assert_eq!(exchange(&input, true, Phase::Serving, "", Phase::Serving), "");
 }
 
+/// Without eviction, idle connections that use up all permits would keep new clients out.
 #[test]
 fn an_idle_connection_is_evicted_for_a_new_one() {
     let directory = StateDirectory::new();
@@ -125,6 +127,7 @@
     });
 }
 
+/// Without the limit, a client that sends only invalid messages uses processing time without end.
 #[test]
 fn a_connection_closes_after_too_many_errors_in_a_row() {
     let input = submit("c=free,d=8000,dest=404", 1).repeat(40);
@@ -132,17 +135,20 @@
     assert_eq!(replies, "-ERR unknown destination\r\n".repeat(MAX_CONSECUTIVE_ERRORS as usize));
 }
 
+/// A connection that never sends a command would otherwise keep its permit.
 #[test]
 fn a_connection_that_sends_nothing_is_closed_in_time() {
     assert_eq!(exchange(b"", false, Phase::Serving, "", Phase::Serving), "");
 }
 
+/// A client that stops within a command would otherwise keep its connection, and the memory for the command.
 #[test]
 fn half_a_command_is_answered_with_an_error_in_time() {
     let replies = exchange(&PING[..9], false, Phase::Serving, "", Phase::Serving);
     assert_eq!(replies, "-ERR the rest did not come\r\n");
 }
 
+/// A close with unread input resets the connection, and the reset may destroy an error that the client has not read.
 #[test]
 fn a_client_that_is_still_sending_can_read_its_error() {
     let input = [b"*5\r\n$6\r\nSUBMIT\r\n$60000000\r\n".to_vec(), vec![b'x'; 8 << 20]].concat();
--- a/crates/quillhub-server/src/discovery/tests.rs
+++ b/crates/quillhub-server/src/discovery/tests.rs
@@ -78,6 +78,7 @@
     });
 }
 
+/// Discovery at a new address may number its lists differently, so that a watch from the old revision misses changes.
 #[test]
 fn discovery_at_a_new_address_is_watched_at_once_after_its_complete_list() {
     let directory = StateDirectory::new();
@@ -133,6 +134,7 @@
     }
 }
 
+/// A complete list that is applied without its last entries would remove endpoints that discovery still lists.
 #[test]
 fn a_truncated_list_or_none_changes_nothing() {
     let text = list(true, &[member("f", 2, "up")]).to_string();
--- a/crates/quillhub-server/src/outcomes_tests.rs
+++ b/crates/quillhub-server/src/outcomes_tests.rs
@@ -18,6 +18,7 @@
     );
 }
 
+/// A request with an outcome that the platform cannot read is refused as a whole, and would be repeated forever.
 #[test]
 fn outcomes_are_resent_until_confirmed_and_an_unreadable_one_blocks_no_other() {
     let directory = StateDirectory::new();
@@ -44,6 +45,7 @@
     });
 }
 
+/// The platform at the old address may never have read a request that it did not confirm.
 #[test]
 fn unconfirmed_outcomes_are_sent_to_the_new_address_of_the_platform() {
     let directory = StateDirectory::new();
