--- a/crates/quillhub-server/src/instance/messages.rs
+++ b/crates/quillhub-server/src/instance/messages.rs
@@ -1,6 +1,7 @@
-//! The messages that an instance has accepted and not finished, and the client ids that must not come again.
+//! Pending messages of an instance, and the client ids that new messages must not reuse.
 //!
-//! Invariant: a client id is known from the acceptance of its message until a while after the message is finished.
+//! Invariant: a client id is known from the acceptance of its message until [`CLIENT_ID_RETENTION`] after the message
+//! is finished.
 
 use crate::wal::RecoveredMessage;
 use quillhub::MessageId;
@@ -8,31 +9,31 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the client id of a finished message is still known: a client that submits the message again by mistake,
-/// or another under the same id, does so soon.
-pub const CLIENT_ID_REMEMBERED: Duration = Duration::from_secs(5);
+/// Time for which the client id of a finished message stays known. A client that by mistake submits the message again,
+/// or another message with the same id, does so soon.
+pub const CLIENT_ID_RETENTION: Duration = Duration::from_secs(5);
 
-/// What the attempts and the final outcome of a pending message need.
+/// Data of a pending message that its attempts and its final outcome need.
 pub struct PendingMessage {
-    /// The client's own id for it.
+    /// Id that the client assigned to the message.
     pub client_id: Box<[u8]>,
-    /// The key by which endpoints recognise a retry.
+    /// Key by which endpoints recognize a retry of the message, if it has one.
     pub idempotency_key: Option<Box<[u8]>>,
-    /// What is delivered.
+    /// Body to deliver.
     pub body: Rc<[u8]>,
-    /// Attempts so far.
+    /// Number of attempts made so far.
     pub attempts: u32,
-    /// The record of its acceptance, until that is written.
+    /// Payload of the record of the message's acceptance; `None` once the record is written.
     pub unwritten_record: Option<Vec<u8>>,
 }
 
 impl PendingMessage {
-    /// A message that was accepted just now, whose record is to be written.
+    /// Creates a newly accepted message, whose `record` is not yet written to the log.
     pub fn accepted(message: RecoveredMessage, record: Vec<u8>) -> Self {
         Self { unwritten_record: Some(record), ..Self::recovered(message) }
     }
 
-    /// A message that the log holds.
+    /// Creates a message that the log already contains.
     pub fn recovered(message: RecoveredMessage) -> Self {
         Self {
             client_id: message.client_id.into(),
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Counts one more attempt, and gives its number.
+    /// Counts one more attempt and returns its number, counted from 0.
     pub fn begin_attempt(&mut self) -> u32 {
         let number = self.attempts;
         self.attempts += 1;
@@ -51,20 +52,20 @@
     }
 }
 
-/// The pending messages and the known client ids.
+/// Pending messages and known client ids.
 #[derive(Default)]
 pub struct Messages {
     pending: BTreeMap<MessageId, PendingMessage>,
-    /// Of pending messages, and of those finished since a short while.
+    /// Client ids of pending messages and of those finished less than [`CLIENT_ID_RETENTION`] ago.
     client_ids: BTreeSet<Box<[u8]>>,
-    /// Of finished messages, oldest first.
+    /// Client ids of finished messages that are still known, oldest first.
     finished: VecDeque<FinishedId>,
 }
 
-/// The client id of a finished message.
+/// Client id of a finished message.
 struct FinishedId {
     client_id: Box<[u8]>,
-    /// By the dispatcher's clock.
+    /// Time at which the message was finished, on the dispatcher's clock.
     finished: Duration,
 }
 
@@ -74,49 +75,50 @@
         self.pending.insert(id, message);
     }
 
-    /// Takes a message out; its client id stays known.
+    /// Removes and returns a pending message; its client id stays known.
     pub fn remove(&mut self, id: MessageId) -> Option<PendingMessage> {
         self.pending.remove(&id)
     }
 
-    /// A pending message.
+    /// Returns a pending message for modification, or `None` if `id` is not pending.
     pub fn get_mut(&mut self, id: MessageId) -> Option<&mut PendingMessage> {
         self.pending.get_mut(&id)
     }
 
-    /// Whether a message is pending.
+    /// Returns `true` if the message `id` is pending.
     pub fn contains(&self, id: MessageId) -> bool {
         self.pending.contains_key(&id)
     }
 
-    /// Whether no message is pending.
+    /// Returns `true` if no message is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Whether a message of this client id is pending or was finished a short while ago.
+    /// Returns `true` if a message with this client id is pending or was finished less than [`CLIENT_ID_RETENTION`]
+    /// ago.
     pub fn knows_client_id(&self, client_id: &[u8]) -> bool {
         self.client_ids.contains(client_id)
     }
 
-    /// A message of this client id is accepted.
+    /// Marks a client id as known when its message is accepted.
     pub fn reserve_client_id(&mut self, client_id: &[u8]) {
         self.client_ids.insert(client_id.into());
     }
 
-    /// The message of this client id is withdrawn: its client may submit it again.
+    /// Forgets the client id of a withdrawn message, so that its client may submit the message again.
     pub fn release_client_id(&mut self, client_id: &[u8]) {
         self.client_ids.remove(client_id);
     }
 
-    /// The message of this client id is finished: the id stays known for a while.
+    /// Keeps the client id of a message finished at `now` known for [`CLIENT_ID_RETENTION`].
     pub fn remember_client_id(&mut self, now: Duration, client_id: Box<[u8]>) {
         self.finished.push_back(FinishedId { client_id, finished: now });
     }
 
-    /// Forgets the client ids of messages that were finished long enough ago.
+    /// Forgets the client ids of messages that were finished at least [`CLIENT_ID_RETENTION`] before `now`.
     pub fn forget_old_client_ids(&mut self, now: Duration) {
-        let is_old = |id: &&FinishedId| id.finished + CLIENT_ID_REMEMBERED <= now;
+        let is_old = |id: &&FinishedId| id.finished + CLIENT_ID_RETENTION <= now;
         while let Some(old) = self.finished.front().filter(is_old) {
             self.client_ids.remove(&old.client_id);
             self.finished.pop_front();
@@ -126,18 +128,18 @@
 
 #[cfg(test)]
 impl Messages {
-    /// A pending message.
+    /// Returns a pending message, or `None` if `id` is not pending.
     pub fn get(&self, id: MessageId) -> Option<&PendingMessage> {
         self.pending.get(&id)
     }
 
-    /// How many messages are pending.
+    /// Returns the number of pending messages.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Client ids of finished messages that are still known.
-    pub fn remembered(&self) -> usize {
+    /// Returns the number of finished messages whose client ids are still known.
+    pub fn remembered_count(&self) -> usize {
         self.finished.len()
     }
 }
--- a/crates/quillhub-server/src/instance/tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -1,4 +1,4 @@
-use super::messages::CLIENT_ID_REMEMBERED;
+use super::messages::CLIENT_ID_RETENTION;
 use super::submission::{InvalidSubmission, SubmitFailure};
 use super::*;
 use crate::test_support::{
@@ -38,7 +38,7 @@
         assert_eq!(
             submit(&instance, "once"),
             SubmitOutcome::Busy { retry_after: None },
-            "the queue is short"
+            "the queue is nearly full"
         );
         assert!(instance.borrow().outcomes.is_empty());
     });
@@ -183,8 +183,8 @@
         second.borrow_mut().abandon(1);
         second.borrow_mut().outcomes_confirmed(1);
         assert_eq!(submit(&second, b"a", 9), duplicate, "and for a while");
-        second.borrow_mut().clock_offset += CLIENT_ID_REMEMBERED;
+        second.borrow_mut().clock_offset += CLIENT_ID_RETENTION;
         assert!(matches!(submit(&second, b"a", 9), SubmitOutcome::Accepted(_)));
-        assert_eq!(second.borrow().messages.remembered(), 0);
+        assert_eq!(second.borrow().messages.remembered_count(), 0);
     });
 }
