--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out what the dispatcher decides: starts attempts, finishes messages, sets timers.
+//! Implementation of [`Driver`]: starts attempts, finishes messages and sets timers as the dispatcher decides.
 
 use super::messages::PendingMessage;
 use super::{AttemptId, Instance, log_failed_write};
@@ -11,10 +11,11 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Where a delivery is requested of an endpoint.
+/// HTTP path at endpoints that messages are delivered to.
 const DELIVERY_PATH: &str = "/events";
 
-/// Writes the request that delivers `message`, by how long the attempt will still wait for its response.
+/// Returns a function that encodes the request to deliver `message`. Its argument is the time that the attempt will
+/// still wait for the response, which the request announces to the endpoint.
 fn delivery_request(
     message: &PendingMessage,
     address: Option<SocketAddr>,
@@ -32,7 +33,8 @@
 }
 
 impl Instance {
-    /// Runs an attempt in a task of its own, and hears of its end. `attempt` is none if it cannot be made.
+    /// Runs an attempt in a task of its own, which reports the attempt's end to the instance. `attempt` is `None` if
+    /// the attempt cannot be made; its end is then reported as not sent.
     fn spawn_attempt<R, B>(&mut self, id: AttemptId, started: Instant, attempt: Option<Attempt<R, B>>)
     where
         R: Fn(Duration) -> Vec<u8> + 'static,
@@ -47,7 +49,7 @@
                     None => AttemptEnd::not_sent(),
                 }
             });
-            // A panic there ends only that attempt; the message may have been executed.
+            // A panic in the attempt's task ends only that attempt. The message may have been executed.
             let end = call.await.unwrap_or_else(|_| AttemptEnd::connection_reset());
             if let Some(instance) = weak.upgrade() {
                 instance.borrow_mut().attempt_ended(&id, end, started.elapsed());
@@ -55,7 +57,7 @@
         });
     }
 
-    /// Records what an attempt's end says of its message.
+    /// Records in the log that an attempt finished its message or is known not to have executed it.
     pub(super) fn record_attempt(&mut self, id: &AttemptId, verdict: &Verdict) {
         if !self.messages.contains(id.message) {
             return;
@@ -87,8 +89,8 @@
         log_failed_write(id, RecordKind::Accepted, written);
         let pooled = self.pool.take(endpoint);
         if pooled.is_none() {
-            let others = self.attempts_in_flight + 1;
-            self.pool.close_oldest_beyond(self.max_connections.saturating_sub(others));
+            let in_use = self.attempts_in_flight + 1;
+            self.pool.close_oldest_beyond(self.max_connections.saturating_sub(in_use));
         }
         tracing::debug!(
             message_id = id,
@@ -99,9 +101,10 @@
             "attempt starts"
         );
         let id = AttemptId { message: id, attempt, endpoint: endpoint.to_owned() };
-        let (weak, asked) = (self.weak.clone(), id.clone());
-        let may_send_request =
-            move || weak.upgrade().is_some_and(|instance| instance.borrow_mut().may_send_request(&asked));
+        let (weak, attempt_id) = (self.weak.clone(), id.clone());
+        let may_send_request = move || {
+            weak.upgrade().is_some_and(|instance| instance.borrow_mut().may_send_request(&attempt_id))
+        };
         let connect_timeout = self.connect_timeout;
         let attempt = address.filter(|_| recorded).map(|address| Attempt {
             pooled,
@@ -152,7 +155,7 @@
                 tracing::info!(endpoint, destination, %before, %after, "endpoint health changed");
             }
             LogEvent::QueueNearlyFull { pending, in_flight } => {
-                tracing::info!(pending, in_flight, "queue is short");
+                tracing::info!(pending, in_flight, "queue is nearly full");
             }
         }
     }
