--- a/crates/quillhub-server/src/instance/outcome_queue.rs
+++ b/crates/quillhub-server/src/instance/outcome_queue.rs
@@ -1,4 +1,4 @@
-//! Final outcomes that the platform has not confirmed, oldest first.
+//! Queue of the final outcomes that the platform has not confirmed, oldest first.
 
 use crate::wal::FinalResult;
 use quillhub::MessageId;
@@ -6,17 +6,17 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The final outcome of a message that was not delivered, for the platform.
+/// Final outcome of a message that was not delivered, to be reported to the platform.
 pub struct FinalOutcome {
-    /// The message.
+    /// Id that this instance assigned to the message.
     pub message: MessageId,
-    /// The client's own id for it, by which the platform knows it.
+    /// Id that the client assigned to the message, by which the platform identifies it.
     pub client_id: Box<[u8]>,
-    /// How it ended.
+    /// Kind of the outcome: rejected or abandoned.
     pub result: FinalResult,
 }
 
-/// The final outcomes that wait for the platform's confirmation.
+/// Queue of the final outcomes that await confirmation by the platform.
 #[derive(Default)]
 pub struct OutcomeQueue {
     unconfirmed: VecDeque<FinalOutcome>,
@@ -24,28 +24,28 @@
 }
 
 impl OutcomeQueue {
-    /// Adds an outcome, and wakes whoever sends them.
+    /// Adds an outcome and notifies the task that sends outcomes to the platform.
     pub fn add(&mut self, outcome: FinalOutcome) {
         self.unconfirmed.push_back(outcome);
         self.added.notify_one();
     }
 
-    /// Notified when there is an outcome to send.
+    /// Returns the notification for an added outcome.
     pub fn added(&self) -> Rc<Notify> {
         self.added.clone()
     }
 
-    /// The outcomes, oldest first.
+    /// Returns the unconfirmed outcomes, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &FinalOutcome> {
         self.unconfirmed.iter()
     }
 
-    /// Takes the oldest `count` out.
+    /// Removes and returns the oldest `count` outcomes.
     pub fn take_oldest(&mut self, count: usize) -> Vec<FinalOutcome> {
         self.unconfirmed.drain(..count).collect()
     }
 
-    /// Whether every outcome is confirmed.
+    /// Returns `true` if no outcome awaits confirmation.
     pub fn is_empty(&self) -> bool {
         self.unconfirmed.is_empty()
     }
