--- a/crates/quillhub-server/src/instance/mod.rs
+++ b/crates/quillhub-server/src/instance/mod.rs
@@ -1,10 +1,10 @@
-//! The state of one gateway instance: its dispatcher, its messages and their log, its connections to endpoints.
+//! State of one gateway instance: its dispatcher, its messages, the write-ahead log, and its connections to endpoints.
 //!
-//! Everything on the server that shares state shares it as `Rc<RefCell<Instance>>`, and in no other way. The server
-//! runs on one thread; whoever handles an event borrows the instance for just that event and never across an `await`,
-//! so that a borrow cannot fail and no lock is needed.
+//! All tasks of the server share this state as `Rc<RefCell<Instance>>`, and in no other way. The server runs on one
+//! thread. A task borrows the instance while it handles one event and never across an `await`, so that a borrow cannot
+//! fail and no lock is needed.
 //!
-//! Invariant: an attempt sends its first octet only after the log holds the message and the start of the attempt.
+//! Invariant: an attempt sends its first byte only after the log contains the message and the start of the attempt.
 
 mod driver;
 mod messages;
@@ -30,59 +30,60 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What an instance is made of.
+/// Components from which [`Instance::new`] creates an instance.
 pub struct InstanceParts {
-    /// Makes the decisions.
+    /// Dispatcher that decides when and where messages are attempted.
     pub dispatcher: Dispatcher,
-    /// The log in the state directory.
+    /// Write-ahead log in the state directory.
     pub wal: Wal,
-    /// The connections to endpoints.
+    /// Addresses of the endpoints and idle connections to them.
     pub pool: ConnectionPool,
-    /// Bounds the opening of a connection.
+    /// Maximum time for opening a connection to an endpoint.
     pub connect_timeout: Duration,
-    /// The other instances, where they may be told anything.
+    /// Socket for gossip with the other instances; `None` if gossip is disabled.
     pub gossip: Option<Rc<GossipSocket>>,
-    /// Whether responses hold load reports.
+    /// `true` if the settings declare that responses contain load reports.
     pub load_reports: bool,
 }
 
-/// The state of one gateway instance.
+/// State of one gateway instance.
 pub struct Instance {
-    /// Itself, for the tasks that it spawns.
+    /// Reference to this instance, for the tasks that it spawns.
     weak: Weak<RefCell<Instance>>,
-    /// None only while it handles an event.
+    /// `None` only while the dispatcher handles an event.
     dispatcher: Option<Dispatcher>,
     started: Instant,
-    /// What the dispatcher's clock showed at `started`: it begins with the oldest recovered attempt.
+    /// Time of the dispatcher's clock at `started`. The clock begins at the oldest recovered attempt.
     clock_offset: Duration,
     messages: Messages,
-    /// How the submission that is being handled ended, if the dispatcher finished it at once.
+    /// Outcome of the submission being handled, if the dispatcher finished its message immediately.
     immediate_outcome: Option<SubmitOutcome>,
     wal: Wal,
     outcomes: OutcomeQueue,
     pool: ConnectionPool,
     connect_timeout: Duration,
-    /// Connections to endpoints, those of attempts and idle ones.
+    /// Maximum number of connections to endpoints, those of attempts and idle ones together.
     max_connections: usize,
     gossip: Option<Rc<GossipSocket>>,
     watch_requested: Rc<Notify>,
     discovery_responded: Rc<Notify>,
     load_reports: bool,
     attempts_in_flight: usize,
-    /// Set when the process is about to end: nothing new is decided then.
+    /// Set when the process is about to exit; the dispatcher makes no further decisions then.
     stopping: bool,
 }
 
-/// One attempt of a message.
+/// Identifies one attempt to deliver a message, with the endpoint that it is made at.
 #[derive(Clone)]
 struct AttemptId {
     message: MessageId,
-    /// Counted from 0.
+    /// Number of the attempt among those of the message, counted from 0.
     attempt: u32,
     endpoint: String,
 }
 
-/// Logs that a record could not be written. The instance goes on: what is only in memory is lost with the process.
+/// Logs an error if a record could not be written. The instance continues to work, but what the record says is known
+/// only in memory and is lost when the process exits.
 fn log_failed_write(message_id: MessageId, record: RecordKind, result: Result<(), AppendError>) {
     if let Err(error) = result {
         tracing::error!(message_id, ?record, %error, "record could not be written to the state directory");
@@ -90,7 +91,7 @@
 }
 
 impl Instance {
-    /// An instance without messages.
+    /// Creates an instance without messages.
     pub fn new(parts: InstanceParts) -> Rc<RefCell<Self>> {
         Rc::new_cyclic(|weak| {
             RefCell::new(Self {
@@ -115,17 +116,18 @@
         })
     }
 
-    /// Bounds the connections to endpoints, of which each attempt takes one. Against attempts that nobody answers,
-    /// which would take the descriptors of discovery, the platform and the state directory.
+    /// Limits the number of connections to endpoints, of which each attempt needs one. Prevents attempts without a
+    /// response from exhausting the file descriptors that discovery, the platform and the state directory need.
     pub fn limit_connections(&mut self, max: usize) {
         self.max_connections = max;
         self.handle_event(|dispatcher| dispatcher.cap_concurrency(max));
     }
 
-    /// Lets the dispatcher handle an event, and carries out what it decides by it. A panic in there ends only the
-    /// task that brought the event.
+    /// Passes an event to the dispatcher and executes the resulting decisions. A panic while doing so ends only the
+    /// task that reported the event.
     pub fn handle_event<T>(&mut self, event: impl FnOnce(&mut Dispatcher) -> T) -> T {
-        let mut dispatcher = self.dispatcher.take().expect("it is put back below, after a panic too");
+        let mut dispatcher =
+            self.dispatcher.take().expect("the dispatcher is restored after each event, even after a panic");
         let now = self.now();
         let handled = catch_unwind(AssertUnwindSafe(|| {
             dispatcher.advance_to(now);
@@ -139,64 +141,64 @@
         handled.unwrap_or_else(|panic| resume_unwind(panic))
     }
 
-    /// The dispatcher's time.
+    /// Returns the current time of the dispatcher's clock.
     fn now(&self) -> Duration {
         self.clock_offset + self.started.elapsed()
     }
 
-    /// Discovery lists the endpoint `name` at `address`.
+    /// Records that discovery lists the endpoint `name` at `address`.
     pub fn endpoint_listed(&mut self, name: &str, address: SocketAddr) {
         self.pool.listed(name, address);
     }
 
-    /// Discovery lists the endpoint `name` no longer.
+    /// Records that discovery no longer lists the endpoint `name`, and closes its idle connections.
     pub fn endpoint_removed(&mut self, name: &str) {
         self.pool.removed(name);
     }
 
-    /// Discovery's list is complete: no endpoint but those that are `listed` is left.
+    /// Removes all endpoints except those that are `listed`, after discovery sent a complete list.
     pub fn keep_only_endpoints(&mut self, listed: impl Fn(&str) -> bool) {
         self.pool.keep_only(listed);
     }
 
-    /// Notified when the dispatcher wants to hear of the endpoint list's changes.
+    /// Returns the notification for the dispatcher's request that discovery report changes of the endpoint list.
     pub fn watch_requested(&self) -> Rc<Notify> {
         self.watch_requested.clone()
     }
 
-    /// Notified whenever discovery has responded.
+    /// Returns the notification for a response of discovery.
     pub fn discovery_responded(&self) -> Rc<Notify> {
         self.discovery_responded.clone()
     }
 
-    /// Where an endpoint is, if it is listed.
+    /// Returns the address of an endpoint, or `None` if discovery does not list it.
     #[cfg(test)]
     pub fn endpoint_address(&self, name: &str) -> Option<SocketAddr> {
         self.pool.address(name)
     }
 
-    /// Closes idle connections that have expired or were closed by their endpoint.
+    /// Closes idle connections that expired or that were closed by their endpoint.
     pub fn close_expired_connections(&mut self) {
         self.pool.close_expired();
     }
 
-    /// Notified when a final outcome waits for the platform.
+    /// Returns the notification for a final outcome that the platform has yet to receive.
     pub fn outcome_decided(&self) -> Rc<Notify> {
         self.outcomes.added()
     }
 
-    /// The final outcomes that the platform has not confirmed, oldest first.
+    /// Returns the final outcomes that the platform has not confirmed, oldest first.
     pub fn unconfirmed_outcomes(&self) -> impl Iterator<Item = &FinalOutcome> {
         self.outcomes.iter()
     }
 
-    /// A final outcome as it stands after a decision of the dispatcher.
+    /// Adds a final outcome as a decision of the dispatcher does.
     #[cfg(test)]
     pub fn add_outcome(&mut self, outcome: FinalOutcome) {
         self.outcomes.add(outcome);
     }
 
-    /// The platform has the oldest `count` outcomes: nothing is left to do for their messages.
+    /// Finishes the messages of the oldest `count` final outcomes, which the platform confirmed.
     pub fn outcomes_confirmed(&mut self, count: usize) {
         for outcome in self.outcomes.take_oldest(count) {
             log_failed_write(outcome.message, RecordKind::Finished, self.wal.finished(outcome.message));
@@ -204,7 +206,7 @@
         }
     }
 
-    /// The client left before it heard that its message is accepted.
+    /// Withdraws a message whose client disconnected before it received the reply that the message is accepted.
     pub fn withdraw(&mut self, id: MessageId) {
         if let Some(message) = self.messages.remove(id) {
             self.messages.release_client_id(&message.client_id);
@@ -215,7 +217,7 @@
         self.handle_event(|dispatcher| dispatcher.finish(id));
     }
 
-    /// Writes the record of a message's acceptance, if that is still to be done.
+    /// Writes the record of a message's acceptance unless it is written already.
     fn write_record(&mut self, id: MessageId) -> Result<(), AppendError> {
         let Some(message) = self.messages.get_mut(id) else { return Ok(()) };
         if let Some(record) = &message.unwritten_record {
@@ -225,8 +227,8 @@
         Ok(())
     }
 
-    /// The dispatcher gives a message up. The client hears of it, if it still waits for the submission's outcome, or
-    /// else the platform.
+    /// Finishes a message that the dispatcher rejects or abandons. Reports the result to the client if the submission
+    /// is still being handled, and otherwise to the platform.
     fn finish(&mut self, id: MessageId, result: FinalResult) {
         let Some(message) = self.messages.remove(id) else { return };
         tracing::debug!(
@@ -243,13 +245,16 @@
         self.outcomes.add(FinalOutcome { message: id, client_id: message.client_id, result });
     }
 
-    /// Asked before an attempt's first octet: whether the dispatcher still wants it to be sent; if so, the log says
-    /// from now on that the message may have been executed. None begins once the process is about to end: it would be
-    /// cut off, and may have been executed; not begun, it is made by the next process.
+    /// Returns `true` if the attempt may send its request; to be called before its first byte. The log then records
+    /// that the message may have been executed.
+    ///
+    /// Returns `false` if the dispatcher no longer permits the attempt, if the record cannot be written, or if the
+    /// process is about to exit. In the last case, the exit would interrupt the attempt and leave unknown whether the
+    /// message was executed; the next process makes the attempt instead.
     fn may_send_request(&mut self, id: &AttemptId) -> bool {
         let now = self.now();
-        let wanted = |dispatcher: &Dispatcher| dispatcher.may_send_request(id.message, id.attempt, now);
-        if self.stopping || !self.dispatcher.as_ref().is_some_and(wanted) {
+        let is_permitted = |dispatcher: &Dispatcher| dispatcher.may_send_request(id.message, id.attempt, now);
+        if self.stopping || !self.dispatcher.as_ref().is_some_and(is_permitted) {
             return false;
         }
         let written = self.wal.attempt_started(id.message, id.attempt, SystemTime::now(), &id.endpoint);
@@ -258,7 +263,7 @@
         recorded
     }
 
-    /// An attempt has ended `elapsed` after its start.
+    /// Records the end of an attempt, `elapsed` after its start, and reports it to the dispatcher.
     fn attempt_ended(&mut self, id: &AttemptId, end: AttemptEnd, elapsed: Duration) {
         let AttemptId { message, attempt, ref endpoint } = *id;
         self.attempts_in_flight -= 1;
@@ -293,22 +298,23 @@
         });
     }
 
-    /// Whether no attempt is in flight, and no message or outcome is left.
+    /// Returns `true` if no attempt is in flight, no message is pending, and the platform has confirmed every final
+    /// outcome.
     pub fn is_idle(&self) -> bool {
         self.attempts_in_flight == 0 && self.messages.is_empty() && self.outcomes.is_empty()
     }
 
-    /// Whether the platform has confirmed every final outcome.
+    /// Returns `true` if the platform has confirmed every final outcome.
     pub fn all_outcomes_confirmed(&self) -> bool {
         self.outcomes.is_empty()
     }
 
-    /// Attempts that have not ended.
+    /// Returns the number of attempts that have not ended.
     pub fn attempts_in_flight(&self) -> usize {
         self.attempts_in_flight
     }
 
-    /// From now on nothing new is decided and no attempt begins; the ends of attempts are still recorded.
+    /// Stops all decisions and prevents attempts from starting. Attempts in flight may end, which is still recorded.
     pub fn stop_deciding(&mut self) {
         self.stopping = true;
     }
