--- a/crates/quillhub-server/src/instance/submission.rs
+++ b/crates/quillhub-server/src/instance/submission.rs
@@ -1,6 +1,6 @@
-//! Submission: a client hands in a message, and the instance accepts it or says why not.
+//! Submission of messages by clients, which the instance accepts, rejects or refuses as invalid.
 //!
-//! Invariant: a message is accepted only once the log holds it.
+//! Invariant: a message is reported as accepted only after the log contains it.
 
 use super::Instance;
 use super::messages::PendingMessage;
@@ -8,68 +8,69 @@
 use quillhub::{DestinationId, MessageId, NewMessage};
 use std::time::{Duration, SystemTime};
 
-/// A message as a client hands it in.
+/// Message as a client submits it.
 #[derive(Clone, Copy, Debug)]
 pub struct Submission<'a> {
-    /// The name of its service class.
+    /// Name of the message's service class in the settings.
     pub service_class: &'a str,
-    /// Messages with the same key are delivered one after the other.
+    /// Key whose messages are delivered one after the other; `None` if the order does not matter.
     pub ordering_key: Option<u64>,
-    /// How long its delivery may take.
+    /// Maximum time until the message is delivered, counted from its submission.
     pub time_to_live: Duration,
-    /// Whom it is for.
+    /// Destination of the message.
     pub destination: DestinationId,
-    /// The client's own id for it.
+    /// Id that the client assigned to the message.
     pub client_id: &'a [u8],
-    /// The key by which endpoints recognise a retry.
+    /// Key by which endpoints recognize a retry of the message, if it has one.
     pub idempotency_key: Option<&'a [u8]>,
-    /// What is delivered.
+    /// Body to deliver.
     pub body: &'a [u8],
 }
 
-/// How a submission ended.
+/// Outcome of a submission.
 #[derive(Debug, PartialEq)]
 pub enum SubmitOutcome {
-    /// The instance has the message, and it will have a final outcome.
+    /// The message is in the log and will have a final outcome, even if the process crashes. Carries the id that the
+    /// instance assigned to it.
     Accepted(MessageId),
-    /// Rejected for now: it may be submitted again, best after `retry_after`.
+    /// The message was rejected and may be submitted again, preferably after `retry_after`.
     Busy {
-        /// How long the client should wait, if that is known.
+        /// Time that the client should wait; `None` if unknown.
         retry_after: Option<Duration>,
     },
-    /// It could not be accepted.
+    /// The message is valid but could not be accepted.
     Failed(SubmitFailure),
-    /// What was handed in cannot be a message.
+    /// The submission is invalid.
     Invalid(InvalidSubmission),
 }
 
-/// Why a message could not be accepted; clients are told these texts.
+/// Reason why a valid message could not be accepted. Clients receive these texts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmitFailure {
-    /// Its record cannot be written; the cause is in the log.
+    /// The record of the message cannot be written to the state directory; the cause is logged.
     #[error("the lasting folder cannot be written")]
     StateDirectory,
-    /// The dispatcher gave it up at once, and its service class does not allow a rejection.
+    /// The dispatcher abandoned the message immediately, and its service class does not allow a rejection.
     #[error("written off")]
     Abandoned,
 }
 
-/// Why a submission cannot be a message; clients are told these texts.
+/// Reason why a submission is invalid. Clients receive these texts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidSubmission {
-    /// A message of the same client id is pending or was finished a short while ago.
+    /// A message with the same client id is pending or was finished recently.
     #[error("the id is held already")]
     DuplicateClientId,
     /// Discovery lists no endpoint of the destination.
     #[error("unknown destination")]
     UnknownDestination,
-    /// The settings have no such service class.
+    /// The settings define no service class of the given name.
     #[error("unknown grade")]
     UnknownServiceClass,
 }
 
 impl From<FinalResult> for SubmitOutcome {
-    /// The outcome of a submission whose message the dispatcher finished at once.
+    /// Converts the result of a message that the dispatcher finished while it was being submitted.
     fn from(result: FinalResult) -> Self {
         match result {
             FinalResult::Rejected { retry_after } => Self::Busy { retry_after },
@@ -82,27 +83,28 @@
     /// Accepts a message, unless it is invalid or the dispatcher rejects it at once.
     pub fn submit(&mut self, submission: Submission) -> SubmitOutcome {
         self.messages.forget_old_client_ids(self.now());
-        // Against ids of pending messages: two of one id could not be told apart at their endpoints.
+        // Refuses ids of pending messages: endpoints could not distinguish two messages with the same id.
         if self.messages.knows_client_id(submission.client_id) {
             return SubmitOutcome::Invalid(InvalidSubmission::DuplicateClientId);
         }
-        let knows = |destination| self.dispatcher.as_ref().is_some_and(|d| d.knows_destination(destination));
-        if !knows(submission.destination) {
+        let is_known =
+            |destination| self.dispatcher.as_ref().is_some_and(|d| d.knows_destination(destination));
+        if !is_known(submission.destination) {
             return SubmitOutcome::Invalid(InvalidSubmission::UnknownDestination);
         }
         let id = self.wal.next_id();
-        let recorded = recorded(&submission);
-        let record = wal::accepted_payload(&recorded);
+        let message = logged_message(&submission);
+        let record = wal::accepted_payload(&message);
         let capacity = self.wal.remaining_capacity().saturating_sub(record.len() as u64);
-        self.messages.insert(id, PendingMessage::accepted(recorded, record));
+        self.messages.insert(id, PendingMessage::accepted(message, record));
         if let Some(outcome) = self.dispatch(id, &submission, capacity) {
             return outcome;
         }
         self.commit(id, &submission)
     }
 
-    /// Hands the message to the dispatcher, with the octets that the state directory can then still take. The
-    /// outcome, if it is finished by that.
+    /// Passes the message to the dispatcher, with the `capacity` in bytes that the state directory has left besides it.
+    /// Returns the outcome of the submission if that finishes the message or shows that it is invalid.
     fn dispatch(&mut self, id: MessageId, submission: &Submission, capacity: u64) -> Option<SubmitOutcome> {
         self.immediate_outcome = None;
         let deadline = self.now() + submission.time_to_live;
@@ -124,7 +126,8 @@
         self.immediate_outcome.take()
     }
 
-    /// Makes the acceptance last: from here on the message has a final outcome, whatever happens to the process.
+    /// Writes the record of the message's acceptance. From then on the message has a final outcome, even if the process
+    /// crashes.
     fn commit(&mut self, id: MessageId, submission: &Submission) -> SubmitOutcome {
         let Submission { service_class, destination, time_to_live, client_id, .. } = *submission;
         let shown_id = String::from_utf8_lossy(client_id);
@@ -146,8 +149,8 @@
     }
 }
 
-/// The message as the log is to hold it.
-fn recorded(submission: &Submission) -> RecoveredMessage {
+/// Returns the message in the form in which the log stores it.
+fn logged_message(submission: &Submission) -> RecoveredMessage {
     RecoveredMessage {
         service_class: submission.service_class.into(),
         destination: submission.destination,
