--- a/crates/quillhub-server/src/instance/recovery.rs
+++ b/crates/quillhub-server/src/instance/recovery.rs
@@ -1,7 +1,7 @@
-//! Recovery: the messages that the log held when the process started become pending again.
+//! Recovery: makes the unfinished messages in the log pending again when the process starts.
 //!
-//! Invariant: every recovered message ends once. One whose outcome is decided is not attempted again, only its outcome
-//! is sent to the platform.
+//! Invariant: every recovered message gets one final outcome. If the outcome was decided before the restart, it is sent
+//! to the platform and the message is not attempted again.
 
 use super::Instance;
 use super::messages::PendingMessage;
@@ -13,31 +13,32 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
 
-/// Longer than any destination remembers an idempotency key.
-const LONG_AGO: Duration = Duration::from_secs(30 * 24 * 3_600);
+/// Age assumed for an attempt whose real age is unknown; longer than any deduplication window.
+const UNKNOWN_ATTEMPT_AGE: Duration = Duration::from_secs(30 * 24 * 3_600);
 
-/// A recovered message in the dispatcher's terms.
+/// Recovered message with its times converted to the dispatcher's clock.
 struct Recovered {
     id: MessageId,
     service_class: String,
     ordering_key: Option<u64>,
     destination: DestinationId,
-    /// By the dispatcher's clock.
+    /// Deadline on the dispatcher's clock; the current time if it already passed.
     deadline: Duration,
     attempts: u32,
     first_execution: Option<FirstExecution>,
 }
 
-/// The first attempt that may have executed a message.
+/// First attempt that may have executed a message.
 struct FirstExecution {
-    /// By the dispatcher's clock.
+    /// Start of the attempt on the dispatcher's clock.
     started: Duration,
     endpoint: String,
 }
 
 impl Recovered {
-    /// Hands it to the dispatcher; false if that does not know its service class.
-    fn hand_to(&self, dispatcher: &mut Dispatcher) -> bool {
+    /// Passes the message and its earlier attempts to the dispatcher. Returns `false` if the dispatcher does not know the
+    /// message's service class.
+    fn restore_in(&self, dispatcher: &mut Dispatcher) -> bool {
         let accepted = dispatcher.accept(NewMessage {
             id: self.id,
             service_class: &self.service_class,
@@ -55,15 +56,18 @@
     }
 }
 
-/// How long before `now` something happened. Against a clock that was set back meanwhile: how long ago that was is not
-/// known, so that no endpoint is counted on to remember an idempotency key. May abandon what a retry would have saved.
-fn elapsed_since(at: SystemTime, now: SystemTime) -> Duration {
-    now.duration_since(at).unwrap_or(LONG_AGO)
+/// Returns the time from `start` to `now`, or [`UNKNOWN_ATTEMPT_AGE`] if `start` is later.
+///
+/// Guards against a wall clock that was set back in the meantime. The real age of the attempt is then unknown, so that
+/// no endpoint may be expected to still know the idempotency key, and a retry could execute the message twice. May cause
+/// a message to be abandoned that a retry would have delivered.
+fn elapsed_since(start: SystemTime, now: SystemTime) -> Duration {
+    now.duration_since(start).unwrap_or(UNKNOWN_ATTEMPT_AGE)
 }
 
 impl Instance {
-    /// Takes over the messages that were pending when the last process ended. Decided outcomes go to the platform
-    /// first.
+    /// Restores the messages that were unfinished when the previous process exited. Outcomes that it had decided are
+    /// queued for the platform first.
     pub fn recover(&mut self, messages: BTreeMap<MessageId, RecoveredMessage>) {
         let wall_clock = SystemTime::now();
         let executions = messages.values().flat_map(RecoveredMessage::possible_executions);
@@ -80,10 +84,10 @@
                 undecided.push(self.restore(id, message, now, wall_clock));
             }
         }
-        self.hand_over(undecided);
+        self.dispatch_recovered(undecided);
     }
 
-    /// Makes a message pending again.
+    /// Makes a message pending again and returns it for the dispatcher.
     fn restore(
         &mut self,
         id: MessageId,
@@ -105,10 +109,10 @@
         Recovered { id, service_class, ordering_key, destination, deadline, attempts, first_execution }
     }
 
-    /// Hands the messages to the dispatcher in one event, and abandons those of service classes that it does not know.
-    fn hand_over(&mut self, mut messages: Vec<Recovered>) {
+    /// Passes the messages to the dispatcher in one event, and abandons those of unknown service classes.
+    fn dispatch_recovered(&mut self, mut messages: Vec<Recovered>) {
         let unknown = self.handle_event(|dispatcher| {
-            messages.retain(|message| !message.hand_to(dispatcher));
+            messages.retain(|message| !message.restore_in(dispatcher));
             messages
         });
         for Recovered { id, service_class, .. } in unknown {
