--- a/crates/quillhub-server/src/instance/recovery_tests.rs
+++ b/crates/quillhub-server/src/instance/recovery_tests.rs
@@ -9,14 +9,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Delivered, on a connection that is not reused.
+/// Response to a successful delivery, on a connection that cannot be reused.
 const DELIVERED_AND_CLOSED: &[u8] = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
 fn is_rejected(outcome: &FinalOutcome) -> bool {
     matches!(outcome.result, FinalResult::Rejected { .. })
 }
 
-/// Starts an instance on what another left behind, and lets it decide.
+/// Starts an instance on the state directory of an earlier one and applies the dispatcher's rules once.
 fn restart(directory: &StateDirectory, endpoint: SocketAddr) -> Rc<RefCell<Instance>> {
     let instance = instance(directory, endpoint);
     instance.borrow_mut().handle_event(|_| ());
@@ -78,15 +78,15 @@
     assert_eq!(pending_in(&directory)[&1].outcome, Some(FinalResult::Abandoned));
 }
 
-/// The clock was set back by an hour: nobody knows how long ago the attempt was, so its idempotency key may be
-/// forgotten.
+/// Guards against a second execution after the wall clock was set back, here by an hour. The age of the recorded
+/// attempt is then unknown, and the endpoint may have forgotten the idempotency key.
 #[test]
-fn a_keyed_message_whose_attempt_lies_ahead_of_the_clock_is_not_retried() {
-    for (ahead, attempts) in [(false, 1), (true, 0)] {
+fn a_message_with_an_idempotency_key_whose_attempt_lies_in_the_future_is_not_retried() {
+    for (in_future, attempts) in [(false, 1), (true, 0)] {
         let directory = StateDirectory::new();
         let mut log = log_with(&directory, &[message("marked")]);
         let (now, hour) = (SystemTime::now(), Duration::from_secs(3_600));
-        log.attempt_started(1, 0, if ahead { now + hour } else { now }, "e").unwrap();
+        log.attempt_started(1, 0, if in_future { now + hour } else { now }, "e").unwrap();
         on_one_thread(async {
             let (address, _listener) = silent_endpoint().await;
             let instance = restart(&directory, address);
@@ -99,9 +99,10 @@
     }
 }
 
-/// An attempt that begins while the process ends is cut off, and may have executed its message.
+/// Guards against attempts that start while the process exits: the exit would interrupt them, and they may have
+/// executed their message.
 #[test]
-fn an_attempt_not_begun_at_shutdown_is_left_to_the_next_process() {
+fn an_attempt_not_started_at_shutdown_is_left_to_the_next_process() {
     let directory = StateDirectory::new();
     on_one_thread(async {
         let (address, mut requests) = answering(vec![OK, OK]).await;
@@ -119,13 +120,14 @@
     });
 }
 
-/// Connections to an endpoint may take more than a second to come up; until then no attempt has begun on them.
+/// Guards against abandoning an at-most-once message that was never sent. Opening a connection may take more than a
+/// second; if the process crashes within that time, the endpoint has received nothing.
 #[test]
 fn a_message_whose_connection_was_still_opening_at_a_crash_counts_as_unattempted() {
     let directory = StateDirectory::new();
     on_one_thread(async {
-        let (never_up, _queue) = full();
-        let first = instance(&directory, never_up);
+        let (unresponsive, _full_queue) = full();
+        let first = instance(&directory, unresponsive);
         assert_eq!(submit(&first, "once"), SubmitOutcome::Accepted(1));
         assert_eq!(first.borrow().attempts_in_flight, 1);
         for _ in 0..10 {
@@ -134,14 +136,15 @@
         drop(first);
         let (address, mut requests) = answering(vec![OK]).await;
         let second = restart(&directory, address);
-        assert!(second.borrow().outcomes.is_empty(), "not given up");
+        assert!(second.borrow().outcomes.is_empty(), "the message is not abandoned");
         assert!(requests.recv().await.unwrap().ends_with("body"));
     });
 }
 
-/// A process may end within any byte of a record: of each life, cut off there, exactly one thing is left to do.
+/// Guards against messages that are lost or finished twice because a crash cut off the log within a record. For the
+/// log of one message, truncated after each byte, recovery must lead to exactly one next step.
 #[test]
-fn a_log_cut_off_at_any_byte_leaves_exactly_one_thing_to_do() {
+fn a_log_cut_off_at_any_byte_leads_to_exactly_one_next_step() {
     let intact = StateDirectory::new();
     let path = intact.0.join("wal-0000000000");
     let size = || std::fs::metadata(&path).unwrap().len();
@@ -161,7 +164,8 @@
     for cut in 0..=octets.len() {
         let directory = StateDirectory::new();
         std::fs::write(directory.0.join("wal-0000000000"), &octets[..cut]).unwrap();
-        // Nothing; an attempt; abandoned, as it may have been executed; an attempt; abandoned; rejected; nothing.
+        // After 0 to 6 complete records: nothing; an attempt; abandoned, because the attempt may have executed the
+        // message; an attempt; abandoned; rejected; nothing.
         let expected = match record_ends.iter().filter(|end| **end <= cut as u64).count() {
             0 | 6 => (0, None),
             1 | 3 => (1, None),
@@ -174,15 +178,15 @@
             let instance = instance.borrow();
             let outcomes: Vec<_> = instance.outcomes.iter().map(is_rejected).collect();
             assert!(outcomes.len() < 2, "after {cut} bytes");
-            let left = (instance.attempts_in_flight, outcomes.first().copied());
-            assert_eq!(left, expected, "after {cut} of {} bytes", octets.len());
+            let next_step = (instance.attempts_in_flight, outcomes.first().copied());
+            assert_eq!(next_step, expected, "after {cut} of {} bytes", octets.len());
         });
     }
 }
 
-/// An instance with a deduplication window of 1 s, whose state directory holds message 1, first sent so long ago by an
-/// attempt that may have executed it, and behind it, with the same ordering key, the unattempted message 2.
-fn restart_after(directory: &StateDirectory, endpoint: SocketAddr, ago: Duration) -> Rc<RefCell<Instance>> {
+/// Starts an instance with a deduplication window of 1 s. Its state directory contains message 1, with one attempt that
+/// started `age` ago and may have executed it, and message 2 with the same ordering key and no attempt.
+fn restart_after(directory: &StateDirectory, endpoint: SocketAddr, age: Duration) -> Rc<RefCell<Instance>> {
     let messages = [1, 2].map(|id| RecoveredMessage {
         ordering_key: Some(5),
         client_id: format!("ab{id}").into_bytes(),
@@ -191,7 +195,7 @@
         ..message("marked")
     });
     let mut log = log_with(directory, &messages);
-    log.attempt_started(1, 0, SystemTime::now() - ago, "e").unwrap();
+    log.attempt_started(1, 0, SystemTime::now() - age, "e").unwrap();
     drop(log);
     let mut settings = configuration()["settings"].take();
     settings["rules"] = serde_json::json!({"keyRestUs": 300_000});
@@ -200,28 +204,29 @@
     InstanceBuilder::new(directory, endpoint).settings(settings).build()
 }
 
-/// The deduplication window may be shorter than the restart, or have less left than a usual attempt takes.
+/// Guards against a message that blocks the later ones of its ordering key after a restart. Its deduplication window
+/// may have expired during the restart, or have less time left than a usual attempt takes.
 #[test]
-fn a_deduplication_window_that_passed_in_a_restart_finishes_its_message_at_once_and_blocks_none_behind_it() {
-    for ago in [700, 1_000, 1_200, 60_000].map(Duration::from_millis) {
+fn a_message_whose_deduplication_window_expires_in_a_restart_is_finished_at_once_and_blocks_none_behind_it() {
+    for age in [700, 1_000, 1_200, 60_000].map(Duration::from_millis) {
         let directory = StateDirectory::new();
         on_one_thread(async {
             let (address, mut requests) = answering(vec![OK]).await;
-            let instance = restart_after(&directory, address, ago);
+            let instance = restart_after(&directory, address, age);
             let finished: Vec<_> = instance.borrow().outcomes.iter().map(|end| end.message).collect();
-            assert_eq!(finished, [1], "{ago:?}: at once");
+            assert_eq!(finished, [1], "age {age:?}");
             let request = requests.recv().await.unwrap();
-            assert!(request.contains("X-Request-Id: ab2\r\n"), "{ago:?}: {request}");
+            assert!(request.contains("X-Request-Id: ab2\r\n"), "age {age:?}: {request}");
             until_attempts_ended(&instance).await;
             instance.borrow_mut().outcomes_confirmed(1);
-            assert!(instance.borrow().is_idle(), "{ago:?}");
+            assert!(instance.borrow().is_idle(), "age {age:?}");
         });
-        assert!(pending_in(&directory).is_empty(), "{ago:?}");
+        assert!(pending_in(&directory).is_empty(), "age {age:?}");
     }
 }
 
 #[test]
-fn a_deduplication_window_that_fits_an_attempt_after_a_restart_lets_its_message_be_retried_first() {
+fn a_message_whose_deduplication_window_still_allows_an_attempt_after_a_restart_is_retried_first() {
     let directory = StateDirectory::new();
     on_one_thread(async {
         let (address, mut requests) = answering(vec![DELIVERED_AND_CLOSED; 2]).await;
--- a/crates/quillhub-server/src/instance/tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -15,8 +15,8 @@
         let instance = instance(&directory, address);
         assert_eq!(submit(&instance, "once"), SubmitOutcome::Accepted(1));
         let request = requests.recv().await.unwrap();
-        for part in ["POST /events HTTP/1.1\r\n", "\r\nX-Request-Id: ab", "\r\nIdempotency-Key: k\r\n"] {
-            assert!(request.contains(part), "{request}");
+        for expected in ["POST /events HTTP/1.1\r\n", "\r\nX-Request-Id: ab", "\r\nIdempotency-Key: k\r\n"] {
+            assert!(request.contains(expected), "{request}");
         }
         assert!(request.ends_with("\r\nContent-Length: 5\r\n\r\n\0body"), "{request}");
         until_idle(&instance).await;
@@ -67,7 +67,7 @@
         let (address, mut requests) = answering(vec![OK, OK, OK]).await;
         let instance = instance(&directory, address);
         std::fs::remove_dir_all(&directory.0).unwrap();
-        let body = vec![0; 60_000]; // one fills a segment, and the next needs a new file
+        let body = vec![0; 60_000]; // one message fills a segment, so that the next one needs a new file
         let submit = || submit_body(&instance, "free", &body);
         assert_eq!(submit(), SubmitOutcome::Accepted(1));
         for _ in 0..2 {
@@ -116,9 +116,10 @@
     assert_eq!(pending_in(&directory).len(), 1);
 }
 
-/// Each comes between the decision and the attempt's first octet, while its connection opens.
+/// Guards against attempts that are sent on the strength of an outdated decision. Each change happens after the
+/// dispatcher started the attempt and before the attempt's first byte, while its connection opens.
 #[test]
-fn an_attempt_sends_nothing_once_its_client_left_or_its_endpoint_drained_or_asked_to_wait() {
+fn an_attempt_sends_nothing_after_its_client_left_or_its_endpoint_drained_or_requested_a_wait() {
     let listed = |state| {
         move |instance: &mut Instance| {
             instance.handle_event(|dispatcher| dispatcher.endpoint_updated(endpoint_in(state)))
@@ -138,12 +139,12 @@
         ("the endpoint drains", Box::new(listed(EndpointState::Draining))),
         ("the endpoint is removed", Box::new(listed(EndpointState::Removed))),
         (
-            "the endpoint asks to wait",
+            "the endpoint requests a wait",
             Box::new(move |instance| instance.handle_event(|dispatcher| dispatcher.attempt_ended(rejected))),
         ),
         ("nothing", Box::new(|_| ())),
     ];
-    for (what, change) in changes {
+    for (description, change) in changes {
         let directory = StateDirectory::new();
         on_one_thread(async {
             let (address, mut requests) = answering(vec![OK; 9]).await;
@@ -155,7 +156,11 @@
             change(&mut instance.borrow_mut());
             until_attempts_ended(&instance).await;
             let mut received = std::iter::from_fn(|| requests.try_recv().ok());
-            assert_eq!(received.any(|request| request.ends_with("body")), what == "nothing", "{what}");
+            assert_eq!(
+                received.any(|request| request.ends_with("body")),
+                description == "nothing",
+                "{description}"
+            );
         });
     }
 }
@@ -174,15 +179,15 @@
         let duplicate = SubmitOutcome::Invalid(InvalidSubmission::DuplicateClientId);
         assert_eq!(submit(&first, b"a", 9), SubmitOutcome::Accepted(1));
         assert_eq!(submit(&first, b"a", 9), duplicate);
-        let elsewhere = submit(&first, b"b", 404);
-        assert_eq!(elsewhere, SubmitOutcome::Invalid(InvalidSubmission::UnknownDestination));
+        let unknown = submit(&first, b"b", 404);
+        assert_eq!(unknown, SubmitOutcome::Invalid(InvalidSubmission::UnknownDestination));
         assert_eq!((first.borrow().messages.len(), first.borrow().attempts_in_flight), (1, 1));
         drop(first);
         let second = instance(&directory, address);
-        assert_eq!(submit(&second, b"a", 9), duplicate, "after a restart too");
+        assert_eq!(submit(&second, b"a", 9), duplicate, "also after a restart");
         second.borrow_mut().abandon(1);
         second.borrow_mut().outcomes_confirmed(1);
-        assert_eq!(submit(&second, b"a", 9), duplicate, "and for a while");
+        assert_eq!(submit(&second, b"a", 9), duplicate, "also after the message is finished");
         second.borrow_mut().clock_offset += CLIENT_ID_RETENTION;
         assert!(matches!(submit(&second, b"a", 9), SubmitOutcome::Accepted(_)));
         assert_eq!(second.borrow().messages.remembered_count(), 0);
