--- a/crates/quillhub-server/src/wal/error.rs
+++ b/crates/quillhub-server/src/wal/error.rs
@@ -1,36 +1,36 @@
-//! Why a record cannot be appended to the log.
+//! Errors of appending to the log.
 
 use std::io;
 
-/// Why a record cannot be appended.
+/// Error of appending a record to the log.
 #[derive(Debug, thiserror::Error)]
 pub enum AppendError {
-    /// The record does not fit in the budget, and nothing more can be compacted away.
+    /// The record does not fit in the budget, and compaction cannot free more space.
     #[error(
-        "a record of {needed} octets does not fit: {used} of the {budget} that the directory may hold are used"
+        "a record of {needed} bytes does not fit: {used} of {budget} bytes of the state directory are used"
     )]
     Full {
-        /// Octets of the record.
+        /// Size of the record in bytes.
         needed: u64,
-        /// Octets that the directory takes on disk.
+        /// Number of bytes that the directory occupies on disk.
         used: u64,
-        /// Octets that it may hold.
+        /// Maximum size of the directory in bytes.
         budget: u64,
     },
     /// A segment cannot be created or written.
     #[error("segment {segment} cannot be written: {source}")]
     Write {
-        /// The segment's number.
+        /// Number of the segment.
         segment: u64,
-        /// What the file system says.
+        /// Error of the file system.
         source: io::Error,
     },
-    /// A segment that is to be compacted cannot be read or removed.
+    /// A segment cannot be read or removed during compaction.
     #[error("segment {segment} cannot be compacted: {source}")]
     Compact {
-        /// The segment's number.
+        /// Number of the segment.
         segment: u64,
-        /// What the file system says.
+        /// Error of the file system.
         source: io::Error,
     },
 }
--- a/crates/quillhub-server/src/wal/frame.rs
+++ b/crates/quillhub-server/src/wal/frame.rs
@@ -1,7 +1,7 @@
-//! Frames, the envelopes of records: length, checksum, record kind, message id, payload.
+//! Frames, which enclose the records: length, checksum, record kind, message id, payload.
 //!
-//! A frame is read whole or not at all. The first one that is cut off or does not match its checksum ends the reading
-//! of its segment: the process was killed while it wrote, and nothing behind it can be trusted.
+//! Reading a segment stops at the first frame that is incomplete or does not match its checksum. The process was killed
+//! while it wrote that frame, and nothing after it can be trusted.
 
 use quillhub::MessageId;
 use winnow::Parser;
@@ -9,52 +9,52 @@
 use winnow::error::ContextError;
 use winnow::token::rest;
 
-/// Octets before the part that the checksum covers: the length and the checksum.
-const PREFIX: usize = 8;
+/// Size of the length and the checksum, which precede the part of a frame that the checksum covers.
+const HEADER_BYTES: usize = 8;
 
-/// A frame as it was read.
+/// Frame that was read from a segment.
 #[derive(Debug)]
 pub struct Frame<'a> {
-    /// All its octets, so that it can be written again as it is.
-    pub octets: &'a [u8],
-    /// The octet of the record's kind; a later version may write kinds that this one does not know.
+    /// Complete encoded frame, for copying it to another segment unchanged.
+    pub encoded: &'a [u8],
+    /// Byte that stands for the record's kind. May be unknown, as later versions may write other kinds.
     pub kind: u8,
-    /// The message that the record is about.
+    /// Id of the message that the record belongs to.
     pub message: MessageId,
-    /// The record's own octets.
+    /// Payload of the record.
     pub payload: &'a [u8],
 }
 
-/// The octets of a frame.
+/// Encodes a frame with one record.
 pub fn encode(kind: u8, message: MessageId, payload: &[u8]) -> Vec<u8> {
-    let mut octets = vec![0; PREFIX];
-    octets.push(kind);
-    octets.extend_from_slice(&message.to_le_bytes());
-    octets.extend_from_slice(payload);
-    let length = (octets.len() - PREFIX) as u32;
-    let checksum = crc32fast::hash(&octets[PREFIX..]);
-    octets[..4].copy_from_slice(&length.to_le_bytes());
-    octets[4..PREFIX].copy_from_slice(&checksum.to_le_bytes());
-    octets
+    let mut encoded = vec![0; HEADER_BYTES];
+    encoded.push(kind);
+    encoded.extend_from_slice(&message.to_le_bytes());
+    encoded.extend_from_slice(payload);
+    let length = (encoded.len() - HEADER_BYTES) as u32;
+    let checksum = crc32fast::hash(&encoded[HEADER_BYTES..]);
+    encoded[..4].copy_from_slice(&length.to_le_bytes());
+    encoded[4..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
+    encoded
 }
 
-/// The intact frames at the start of a segment's `octets`, in order.
-pub fn frames(mut octets: &[u8]) -> impl Iterator<Item = Frame<'_>> {
+/// Returns the intact frames at the start of a segment's `content`, in order.
+pub fn frames(mut content: &[u8]) -> impl Iterator<Item = Frame<'_>> {
     std::iter::from_fn(move || {
-        let frame = first_frame(octets)?;
-        octets = &octets[frame.octets.len()..];
+        let frame = first_frame(content)?;
+        content = &content[frame.encoded.len()..];
         Some(frame)
     })
 }
 
-/// The frame at the start of `octets`, if it is intact.
-fn first_frame(octets: &[u8]) -> Option<Frame<'_>> {
-    let (_, (length, checksum)) = (le_u32::<_, ContextError>, le_u32).parse_peek(octets).ok()?;
-    let end = PREFIX + length as usize;
-    let inner = octets.get(PREFIX..end)?;
-    if crc32fast::hash(inner) != checksum {
+/// Returns the frame at the start of `content`, or `None` if it is not intact.
+fn first_frame(content: &[u8]) -> Option<Frame<'_>> {
+    let (_, (length, checksum)) = (le_u32::<_, ContextError>, le_u32).parse_peek(content).ok()?;
+    let end = HEADER_BYTES + length as usize;
+    let checked = content.get(HEADER_BYTES..end)?;
+    if crc32fast::hash(checked) != checksum {
         return None;
     }
-    let (kind, message, payload) = (le_u8::<_, ContextError>, le_u64, rest).parse(inner).ok()?;
-    Some(Frame { octets: &octets[..end], kind, message, payload })
+    let (kind, message, payload) = (le_u8::<_, ContextError>, le_u64, rest).parse(checked).ok()?;
+    Some(Frame { encoded: &content[..end], kind, message, payload })
 }
--- a/crates/quillhub-server/src/wal/mod.rs
+++ b/crates/quillhub-server/src/wal/mod.rs
@@ -1,8 +1,9 @@
-//! The write-ahead log in the state directory: which messages were accepted, which attempts may have been executed,
-//! which final outcomes were decided, and what is finished.
+//! Write-ahead log in the state directory. Records which messages were accepted, which attempts may have executed them,
+//! which final outcomes were decided, and which messages are finished.
 //!
-//! A row of append-only segments, each a row of frames with one record each. The oldest segment is compacted by
-//! writing again what is still pending of it, so the directory stays within its budget at every moment.
+//! The log is a sequence of append-only segments, each a sequence of frames that contain one record each. Compaction
+//! copies the records of pending messages out of the oldest segment and removes it. The directory never exceeds its
+//! budget, not even temporarily.
 
 mod error;
 mod frame;
@@ -16,81 +17,84 @@
 use frame::frames;
 use quillhub::MessageId;
 use replay::Replay;
-use segment::{ActiveSegment, BLOCK, Segment};
+use segment::{ActiveSegment, BLOCK_BYTES, Segment};
 use std::collections::{BTreeMap, VecDeque};
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// The largest frame: a body of 64 KiB and its fields.
-const MAX_FRAME: u64 = 80 * 1024;
-/// Segments in a full directory: compacting one at a time then needs little space besides.
-const SEGMENTS: u64 = 16;
-/// The largest segment: more only makes compaction come in larger steps.
-const MAX_SEGMENT: u64 = 128 * 1024;
-/// Octets of finished messages' records that stay, besides as much again as is pending. Replay stays short, and
-/// where the directory counts as memory it is as large after a minute as after a day.
-const MAX_FINISHED: u64 = 512 * 1024;
-/// Octets that a message's later records take at the most, about.
-const LATER_RECORDS: u64 = 512;
-
-/// The write-ahead log, open for appending.
+/// Maximum size of a frame: a body of 64 KiB and the other fields of a message.
+const MAX_FRAME_BYTES: u64 = 80 * 1024;
+/// Number of segments in a full directory. Compaction handles one at a time, so that many small segments keep the space
+/// that it needs temporarily low.
+const SEGMENTS_PER_BUDGET: u64 = 16;
+/// Maximum size of a segment. Larger ones would only make compaction proceed in larger steps.
+const MAX_SEGMENT_BYTES: u64 = 128 * 1024;
+/// Maximum size of the records of finished messages that are kept, in addition to as many bytes as the pending ones
+/// take. Keeps replay short, and keeps the directory as small after a day as after a minute where its files count as
+/// memory.
+const MAX_FINISHED_BYTES: u64 = 512 * 1024;
+/// Approximate maximum size of the records that follow a message's acceptance.
+const MAX_LATER_RECORDS_BYTES: u64 = 512;
+
+/// Write-ahead log, open for appending.
 pub struct Wal {
     directory: PathBuf,
-    /// Octets that the directory may hold.
+    /// Maximum size of the directory in bytes.
     budget: u64,
-    max_segment: u64,
-    /// Full segments, oldest first; compacted one by one as space runs short.
+    /// Maximum size of a segment in bytes.
+    max_segment_size: u64,
+    /// Full segments, oldest first; compacted one by one when space runs low.
     full: VecDeque<Segment>,
     active: ActiveSegment,
-    /// Octets of the records of each pending message; an entry goes when the message is finished.
+    /// Size in bytes of the records of each pending message.
     record_sizes: BTreeMap<MessageId, u64>,
-    /// The sum of those, with what their later records may take.
-    pending_octets: u64,
-    /// Above every id in the directory, those of finished messages included.
+    /// Sum of `record_sizes`, plus [`MAX_LATER_RECORDS_BYTES`] for each pending message.
+    pending_bytes: u64,
+    /// Lowest id above those of all messages in the directory, finished ones included.
     next_id: MessageId,
 }
 
 impl Wal {
-    /// Opens the state directory, which may hold `budget` octets, and reads back the pending messages by their id.
+    /// Opens the state directory, limits it to `budget` bytes, and returns its pending messages by their ids.
     ///
     /// # Errors
     ///
-    /// If the directory or a segment of it cannot be read, or the new segment cannot be created.
+    /// Returns an error if the directory or one of its segments cannot be read, or if the new segment cannot be created.
     pub fn open(directory: &Path, budget: u64) -> io::Result<(Self, BTreeMap<MessageId, RecoveredMessage>)> {
-        let Replay { messages, record_sizes, segments, next_id, .. } = Replay::of(directory)?;
+        let Replay { messages, record_sizes, segments, next_id, .. } = Replay::read_from(directory)?;
         let number = segments.back().map_or(0, |last| last.number + 1);
         let wal = Self {
             directory: directory.into(),
             budget,
-            max_segment: (budget / SEGMENTS).min(MAX_SEGMENT),
+            max_segment_size: (budget / SEGMENTS_PER_BUDGET).min(MAX_SEGMENT_BYTES),
             full: segments,
             active: ActiveSegment::create(directory, number)?,
-            pending_octets: record_sizes.values().map(|octets| octets + LATER_RECORDS).sum(),
+            pending_bytes: record_sizes.values().map(|size| size + MAX_LATER_RECORDS_BYTES).sum(),
             record_sizes,
             next_id,
         };
         Ok((wal, messages))
     }
 
-    /// An id for a new message, which no record of the directory has.
+    /// Returns an id for a new message, different from all ids that the directory contains.
     pub fn next_id(&mut self) -> MessageId {
         self.next_id += 1;
         self.next_id - 1
     }
 
-    /// Octets that may still be accepted, if all that is finished were compacted away.
+    /// Returns the number of bytes that can still be accepted once the records of all finished messages are removed.
     pub fn remaining_capacity(&self) -> u64 {
-        self.budget.saturating_sub(2 * self.reserve() + self.pending_octets)
+        self.budget.saturating_sub(2 * self.reserve() + self.pending_bytes)
     }
 
-    /// Records that a message is accepted; `payload` is its [`accepted_payload`].
+    /// Records that a message is accepted; `payload` must come from [`accepted_payload`].
     pub fn accepted(&mut self, message: MessageId, payload: &[u8]) -> Result<(), AppendError> {
         self.append(RecordKind::Accepted, message, payload)
     }
 
-    /// Records that an attempt begins: from now on the message may have been executed.
+    /// Records that an attempt starts, so that the message may have been executed from now on.
     pub fn attempt_started(
         &mut self,
         message: MessageId,
@@ -102,28 +106,30 @@
         self.append(RecordKind::AttemptStarted, message, &payload)
     }
 
-    /// Records that an attempt ended without executing the message.
+    /// Records that an attempt ended and did not execute the message.
     pub fn not_executed(&mut self, message: MessageId, attempt: u32) -> Result<(), AppendError> {
         self.append(RecordKind::NotExecuted, message, &record::not_executed_payload(attempt))
     }
 
-    /// Records a message's final outcome, which the platform is yet to confirm.
+    /// Records the final outcome of a message, which the platform has not confirmed yet.
     pub fn outcome_decided(&mut self, message: MessageId, result: FinalResult) -> Result<(), AppendError> {
         self.append(RecordKind::OutcomeDecided, message, &record::outcome_payload(result))
     }
 
-    /// Records that nothing is left to do for a message. Its space counts as free even if that cannot be written.
+    /// Records that a message is finished. Its space counts as free even if the record cannot be written.
     pub fn finished(&mut self, message: MessageId) -> Result<(), AppendError> {
         let result = self.append(RecordKind::Finished, message, &[]);
-        self.pending_octets -= self.record_sizes.remove(&message).map_or(0, |octets| octets + LATER_RECORDS);
+        self.pending_bytes -=
+            self.record_sizes.remove(&message).map_or(0, |size| size + MAX_LATER_RECORDS_BYTES);
         result
     }
 
-    /// Space that compaction and a last large frame may need.
+    /// Returns the number of bytes to keep free for compaction and one more frame of the maximum size.
     fn reserve(&self) -> u64 {
-        2 * (self.max_segment.max(MAX_FRAME) + BLOCK)
+        2 * (self.max_segment_size.max(MAX_FRAME_BYTES) + BLOCK_BYTES)
     }
 
+    /// Returns the number of bytes that all segments occupy on disk.
     fn used(&self) -> u64 {
         let full: u64 = self.full.iter().map(Segment::size_on_disk).sum();
         full + self.active.segment().size_on_disk()
@@ -131,25 +137,25 @@
 
     fn append(&mut self, kind: RecordKind, message: MessageId, payload: &[u8]) -> Result<(), AppendError> {
         let frame = frame::encode(kind as u8, message, payload);
-        let length = frame.len() as u64;
-        self.compact(length)?;
+        let size = frame.len() as u64;
+        self.compact(size)?;
         let (used, budget) = (self.used(), self.budget);
-        if used + length + BLOCK > budget {
-            return Err(AppendError::Full { needed: length, used, budget });
+        if used + size + BLOCK_BYTES > budget {
+            return Err(AppendError::Full { needed: size, used, budget });
         }
         self.write(&frame)?;
-        let octets = self.record_sizes.entry(message).or_default();
-        self.pending_octets += length + if *octets == 0 { LATER_RECORDS } else { 0 };
-        *octets += length;
+        let record_size = self.record_sizes.entry(message).or_default();
+        self.pending_bytes += size + if *record_size == 0 { MAX_LATER_RECORDS_BYTES } else { 0 };
+        *record_size += size;
         Ok(())
     }
 
-    /// Compacts full segments, each once at the most, until `length` more octets leave the directory as small as it
-    /// should be.
-    fn compact(&mut self, length: u64) -> Result<(), AppendError> {
-        let target = self.budget.min(MAX_FINISHED + 2 * self.pending_octets + 2 * self.reserve());
+    /// Compacts full segments, each at most once, until the directory stays within its target size with `additional`
+    /// more bytes.
+    fn compact(&mut self, additional: u64) -> Result<(), AppendError> {
+        let target = self.budget.min(MAX_FINISHED_BYTES + 2 * self.pending_bytes + 2 * self.reserve());
         for _ in 0..self.full.len() {
-            if self.used() + length + self.reserve() <= target {
+            if self.used() + additional + self.reserve() <= target {
                 break;
             }
             self.compact_oldest()?;
@@ -157,14 +163,14 @@
         Ok(())
     }
 
-    /// Writes again what is pending of the oldest segment, and removes it.
+    /// Copies the records of pending messages from the oldest segment to the active one, and removes the oldest.
     fn compact_oldest(&mut self) -> Result<(), AppendError> {
         let Some(segment) = self.full.front().map(|oldest| oldest.number) else { return Ok(()) };
         let path = segment::path(&self.directory, segment);
-        let octets = fs::read(&path).map_err(|source| AppendError::Compact { segment, source })?;
-        for frame in frames(&octets) {
+        let content = fs::read(&path).map_err(|source| AppendError::Compact { segment, source })?;
+        for frame in frames(&content) {
             if self.record_sizes.contains_key(&frame.message) {
-                self.write(frame.octets)?;
+                self.write(frame.encoded)?;
             }
         }
         fs::remove_file(path).map_err(|source| AppendError::Compact { segment, source })?;
@@ -172,10 +178,10 @@
         Ok(())
     }
 
-    /// Writes one frame as it is, in a new segment if the active one is full.
+    /// Writes one encoded frame, to a new segment if the active one is full.
     fn write(&mut self, frame: &[u8]) -> Result<(), AppendError> {
         let active = self.active.segment();
-        if active.size > 0 && active.size + frame.len() as u64 > self.max_segment {
+        if active.size > 0 && active.size + frame.len() as u64 > self.max_segment_size {
             let segment = active.number + 1;
             self.active = ActiveSegment::create(&self.directory, segment)
                 .map_err(|source| AppendError::Write { segment, source })?;
--- a/crates/quillhub-server/src/wal/record.rs
+++ b/crates/quillhub-server/src/wal/record.rs
@@ -1,7 +1,7 @@
-//! The records of the log: what each kind tells of a message, and the octets of its payload.
+//! Records of the log: the meaning of each kind, and the encoding of its payload.
 //!
-//! The octets are the first version of the state directory's format, which `format_tests.rs` pins: an instance must
-//! read what its predecessor of any version left behind.
+//! The encoding is version 1 of the state directory's format, which `format_tests.rs` pins. An instance must be able to
+//! read a state directory that an instance of any earlier version wrote.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -9,98 +9,98 @@
 use winnow::binary::{le_u8, le_u32, le_u64, length_take};
 use winnow::error::ContextError;
 
-/// Set in an accepted message's flags if it has an ordering key.
+/// Flag of an accepted message that has an ordering key.
 const HAS_ORDERING_KEY: u8 = 1;
-/// Set in an accepted message's flags if it has an idempotency key.
+/// Flag of an accepted message that has an idempotency key.
 const HAS_IDEMPOTENCY_KEY: u8 = 2;
-/// The octet of a rejection in the record of a decided outcome; any other is an abandoned message.
+/// First byte of the payload of [`RecordKind::OutcomeDecided`] for a rejected message; any other value means abandoned.
 const REJECTED: u8 = 1;
 
-/// What a record tells of its message, by the octet that stands for it.
+/// Kind of a record, with the byte that stands for it in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum RecordKind {
     /// The instance has accepted the message.
     Accepted = 1,
-    /// An attempt begins: from here on the message may have been executed.
+    /// An attempt starts, so that the message may have been executed from here on.
     AttemptStarted = 2,
-    /// An attempt ended and the message is known not to have been executed by it.
+    /// An attempt ended and is known not to have executed the message.
     NotExecuted = 3,
-    /// The final outcome is decided, and the platform has not confirmed it.
+    /// The final outcome is decided and not yet confirmed by the platform.
     OutcomeDecided = 4,
-    /// Nothing is left to do for the message.
+    /// The message is finished: delivered, withdrawn, or its final outcome confirmed by the platform.
     Finished = 5,
 }
 
 impl RecordKind {
-    /// The kind that `octet` stands for; none for a kind of a later version.
-    pub fn from_octet(octet: u8) -> Option<Self> {
+    /// Returns the kind that `byte` stands for, or `None` for kinds of later versions.
+    pub fn from_byte(byte: u8) -> Option<Self> {
         let kinds =
             [Self::Accepted, Self::AttemptStarted, Self::NotExecuted, Self::OutcomeDecided, Self::Finished];
-        kinds.into_iter().find(|kind| *kind as u8 == octet)
+        kinds.into_iter().find(|kind| *kind as u8 == byte)
     }
 }
 
-/// What is known of an attempt after a restart.
+/// Information about an attempt that the log provides after a restart.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecordedAttempt {
-    /// The message was not executed by it.
+    /// The attempt did not execute the message.
     NotExecuted,
-    /// The message may have been executed by it.
+    /// The attempt may have executed the message.
     PossiblyExecuted {
-        /// When the attempt began, by the wall clock.
+        /// Start of the attempt on the wall clock.
         started: SystemTime,
-        /// The name of the endpoint.
+        /// Name of the endpoint.
         endpoint: String,
     },
 }
 
-/// An attempt that may have executed its message; the earlier is the smaller.
+/// Attempt that may have executed its message. Earlier attempts compare as smaller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RecordedExecution<'a> {
-    /// When the attempt began, by the wall clock.
+    /// Start of the attempt on the wall clock.
     pub started: SystemTime,
-    /// The name of the endpoint.
+    /// Name of the endpoint.
     pub endpoint: &'a str,
 }
 
-/// How a message that was not delivered ended.
+/// Final outcome of a message that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalResult {
-    /// Not executed: it may be submitted again, best after `retry_after`.
+    /// The message was not executed and may be submitted again, preferably after `retry_after`.
     Rejected {
-        /// How long the client should wait, if that is known.
+        /// Time that the client should wait; `None` if unknown.
         retry_after: Option<Duration>,
     },
-    /// Given up: it may have been executed.
+    /// The message was given up and may have been executed.
     Abandoned,
 }
 
-/// A message as the log tells of it: all that was recorded, and nothing of what was not.
+/// Message as the log stores it. Fields that no record has set have their default values.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveredMessage {
-    /// The name of its service class.
+    /// Name of the message's service class.
     pub service_class: String,
-    /// The destination's number.
+    /// Id of the destination.
     pub destination: u64,
-    /// Messages with the same key are delivered one after the other.
+    /// Key whose messages are delivered one after the other; `None` if the order does not matter.
     pub ordering_key: Option<u64>,
-    /// When it expires, by the wall clock; none if the record of its acceptance was not found.
+    /// Deadline on the wall clock; `None` if the record of the message's acceptance was not found.
     pub deadline: Option<SystemTime>,
-    /// The client's own id for it.
+    /// Id that the client assigned to the message.
     pub client_id: Vec<u8>,
-    /// The key by which endpoints recognise a retry.
+    /// Key by which endpoints recognize a retry of the message, if it has one.
     pub idempotency_key: Option<Vec<u8>>,
-    /// What is delivered.
+    /// Body to deliver.
     pub body: Vec<u8>,
-    /// Its attempts by their number, counted from 0.
+    /// Attempts by their numbers, counted from 0.
     pub attempts: BTreeMap<u32, RecordedAttempt>,
-    /// Its final outcome, once that is decided.
+    /// Final outcome of the message; `None` until it is decided, and if the message was delivered.
     pub outcome: Option<FinalResult>,
 }
 
 impl RecoveredMessage {
-    /// The attempts that may have executed it.
+    /// Returns the attempts that may have executed the message.
     pub fn possible_executions(&self) -> impl Iterator<Item = RecordedExecution<'_>> {
         self.attempts.values().filter_map(|attempt| match attempt {
             RecordedAttempt::PossiblyExecuted { started, endpoint } => {
@@ -111,32 +111,33 @@
     }
 }
 
+/// Part of a payload that is still to be read.
 type Input<'a> = &'a [u8];
 
-/// Milliseconds since the epoch.
-pub fn to_millis(at: SystemTime) -> u64 {
-    at.duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+/// Returns the milliseconds from the Unix epoch to `time`, or 0 for earlier times.
+fn to_millis(time: SystemTime) -> u64 {
+    time.duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// The time so many milliseconds after the epoch.
+/// Returns the time `millis` milliseconds after the Unix epoch.
 pub fn from_millis(millis: u64) -> SystemTime {
     UNIX_EPOCH + Duration::from_millis(millis)
 }
 
-/// Appends `part` with its length before it.
-fn put_with_length(payload: &mut Vec<u8>, part: &[u8]) {
-    payload.extend_from_slice(&(part.len() as u32).to_le_bytes());
-    payload.extend_from_slice(part);
+/// Appends the length of `field` and then `field` itself.
+fn put_with_length(payload: &mut Vec<u8>, field: &[u8]) {
+    payload.extend_from_slice(&(field.len() as u32).to_le_bytes());
+    payload.extend_from_slice(field);
 }
 
-/// The payload of [`RecordKind::Accepted`].
+/// Encodes the payload of [`RecordKind::Accepted`].
 pub fn accepted_payload(message: &RecoveredMessage) -> Vec<u8> {
     let mut payload = Vec::with_capacity(message.body.len() + 128);
     payload.extend_from_slice(&to_millis(message.deadline.unwrap_or(UNIX_EPOCH)).to_le_bytes());
     payload.extend_from_slice(&message.destination.to_le_bytes());
-    let ordering = if message.ordering_key.is_some() { HAS_ORDERING_KEY } else { 0 };
-    let idempotency = if message.idempotency_key.is_some() { HAS_IDEMPOTENCY_KEY } else { 0 };
-    payload.push(ordering | idempotency);
+    let ordering_flag = if message.ordering_key.is_some() { HAS_ORDERING_KEY } else { 0 };
+    let idempotency_flag = if message.idempotency_key.is_some() { HAS_IDEMPOTENCY_KEY } else { 0 };
+    payload.push(ordering_flag | idempotency_flag);
     payload.extend_from_slice(&message.ordering_key.unwrap_or_default().to_le_bytes());
     put_with_length(&mut payload, message.service_class.as_bytes());
     put_with_length(&mut payload, &message.client_id);
@@ -145,17 +146,17 @@
     payload
 }
 
-/// The payload of [`RecordKind::AttemptStarted`].
+/// Encodes the payload of [`RecordKind::AttemptStarted`].
 pub fn attempt_started_payload(attempt: u32, started: SystemTime, endpoint: &str) -> Vec<u8> {
     [&attempt.to_le_bytes()[..], &to_millis(started).to_le_bytes(), endpoint.as_bytes()].concat()
 }
 
-/// The payload of [`RecordKind::NotExecuted`].
+/// Encodes the payload of [`RecordKind::NotExecuted`].
 pub fn not_executed_payload(attempt: u32) -> [u8; 4] {
     attempt.to_le_bytes()
 }
 
-/// The payload of [`RecordKind::OutcomeDecided`].
+/// Encodes the payload of [`RecordKind::OutcomeDecided`].
 pub fn outcome_payload(result: FinalResult) -> Vec<u8> {
     let (rejected, retry_after) = match result {
         FinalResult::Rejected { retry_after } => (REJECTED, retry_after.unwrap_or_default()),
@@ -164,8 +165,8 @@
     [&[rejected][..], &(retry_after.as_millis() as u64).to_le_bytes()].concat()
 }
 
-/// Adds to `message` what a record tells of it. None if the payload cannot be read; what of it could be read is
-/// added all the same.
+/// Applies a record to its `message`. Returns `None` if the payload cannot be read completely; the fields before the
+/// unreadable one are applied nevertheless.
 pub fn apply(message: &mut RecoveredMessage, kind: RecordKind, mut payload: &[u8]) -> Option<()> {
     let input = &mut payload;
     match kind {
@@ -173,7 +174,7 @@
         RecordKind::AttemptStarted => {
             let (attempt, started) = (le_u32::<_, ContextError>, le_u64).parse_next(input).ok()?;
             let (started, endpoint) = (from_millis(started), String::from_utf8_lossy(input).into_owned());
-            // Compaction may have moved this record behind the one of the attempt's end, which stands.
+            // Compaction may have moved this record behind the record of the attempt's end, which takes precedence.
             let started = RecordedAttempt::PossiblyExecuted { started, endpoint };
             message.attempts.entry(attempt).or_insert(started);
         }
@@ -188,7 +189,7 @@
 }
 
 fn read_accepted(message: &mut RecoveredMessage, input: &mut Input) -> Option<()> {
-    let octets = |input: &mut Input| {
+    let field = |input: &mut Input| {
         length_take::<_, u32, ContextError, _>(le_u32).map(<[u8]>::to_vec).parse_next(input).ok()
     };
     let number = |input: &mut Input| le_u64::<_, ContextError>.parse_next(input).ok();
@@ -196,9 +197,9 @@
     message.destination = number(input)?;
     let flags = le_u8::<_, ContextError>.parse_next(input).ok()?;
     message.ordering_key = number(input).filter(|_| flags & HAS_ORDERING_KEY != 0);
-    message.service_class = String::from_utf8(octets(input)?).ok()?;
-    message.client_id = octets(input)?;
-    message.idempotency_key = octets(input).filter(|_| flags & HAS_IDEMPOTENCY_KEY != 0);
+    message.service_class = String::from_utf8(field(input)?).ok()?;
+    message.client_id = field(input)?;
+    message.idempotency_key = field(input).filter(|_| flags & HAS_IDEMPOTENCY_KEY != 0);
     message.body = input.to_vec();
     Some(())
 }
--- a/crates/quillhub-server/src/wal/replay.rs
+++ b/crates/quillhub-server/src/wal/replay.rs
@@ -1,4 +1,4 @@
-//! Replay: reads a state directory's segments into what is still pending.
+//! Replay: reconstructs the pending messages from the segments of a state directory.
 
 use super::frame::{Frame, frames};
 use super::record::{self, RecordKind, RecoveredMessage};
@@ -9,16 +9,17 @@
 use std::io;
 use std::path::Path;
 
-/// What the segments of a state directory tell.
+/// Content of a state directory's segments.
 pub struct Replay {
-    /// The messages that are not finished.
+    /// Messages that are not finished, by their ids.
     pub messages: BTreeMap<MessageId, RecoveredMessage>,
-    /// Octets of the records of each of these.
+    /// Size in bytes of the records of each unfinished message.
     pub record_sizes: BTreeMap<MessageId, u64>,
-    /// The segments, oldest first.
+    /// Segments of the directory, oldest first.
     pub segments: VecDeque<Segment>,
-    /// Above the id of every message in the directory, finished ones included.
+    /// Lowest id above those of all messages in the directory, finished ones included.
     pub next_id: MessageId,
+    /// Messages with a record that they are finished.
     finished: BTreeSet<MessageId>,
 }
 
@@ -27,8 +28,9 @@
     ///
     /// # Errors
     ///
-    /// If the directory or a segment cannot be read. A segment with a torn end is no error: it is read up to there.
-    pub fn of(directory: &Path) -> io::Result<Self> {
+    /// Returns an error if the directory or a segment cannot be read. A segment that ends in an incomplete frame is not
+    /// an error and is read up to that frame.
+    pub fn read_from(directory: &Path) -> io::Result<Self> {
         let mut replay = Self {
             messages: BTreeMap::new(),
             record_sizes: BTreeMap::new(),
@@ -37,18 +39,19 @@
             finished: BTreeSet::new(),
         };
         for number in segment::numbers(directory)? {
-            let octets = fs::read(segment::path(directory, number))?;
-            replay.segments.push_back(Segment { number, size: octets.len() as u64 });
-            frames(&octets).for_each(|frame| replay.read(&frame));
+            let content = fs::read(segment::path(directory, number))?;
+            replay.segments.push_back(Segment { number, size: content.len() as u64 });
+            frames(&content).for_each(|frame| replay.apply(&frame));
         }
         replay.drop_finished();
         Ok(replay)
     }
 
-    fn read(&mut self, frame: &Frame) {
+    /// Applies the record of one frame.
+    fn apply(&mut self, frame: &Frame) {
         self.next_id = self.next_id.max(frame.message + 1);
-        *self.record_sizes.entry(frame.message).or_default() += frame.octets.len() as u64;
-        let Some(kind) = RecordKind::from_octet(frame.kind) else { return };
+        *self.record_sizes.entry(frame.message).or_default() += frame.encoded.len() as u64;
+        let Some(kind) = RecordKind::from_byte(frame.kind) else { return };
         if kind == RecordKind::Finished {
             self.finished.insert(frame.message);
             return;
@@ -59,7 +62,7 @@
         }
     }
 
-    /// Drops what is finished, and records whose message's acceptance is not in the directory.
+    /// Drops finished messages, and messages whose record of acceptance is not in the directory.
     fn drop_finished(&mut self) {
         let Self { messages, record_sizes, finished, .. } = self;
         messages.retain(|id, message| message.deadline.is_some() && !finished.contains(id));
--- a/crates/quillhub-server/src/wal/segment.rs
+++ b/crates/quillhub-server/src/wal/segment.rs
@@ -1,51 +1,51 @@
-//! Segments: the log's files `wal-N`, written one after the other and never changed once they are full.
+//! Segments of the log: the files `wal-N`, written one after the other and not modified once they are full.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The file system counts files in whole blocks of so many octets.
-pub const BLOCK: u64 = 512;
+/// Block size of the file system, in whole multiples of which files occupy space.
+pub const BLOCK_BYTES: u64 = 512;
 
-/// What every segment's file name begins with.
-const PREFIX: &str = "wal-";
+/// Prefix of the file names of segments.
+const FILE_NAME_PREFIX: &str = "wal-";
 
-/// A segment of the log.
+/// Number and size of a segment.
 #[derive(Clone, Copy, Debug)]
 pub struct Segment {
-    /// Its place in the order in which segments were written.
+    /// Position of the segment in the order in which segments are written.
     pub number: u64,
-    /// Octets in it.
+    /// Size of the segment's content in bytes.
     pub size: u64,
 }
 
 impl Segment {
-    /// Octets that it takes on disk.
+    /// Returns the number of bytes that the segment occupies on disk.
     pub fn size_on_disk(&self) -> u64 {
-        self.size.div_ceil(BLOCK) * BLOCK
+        self.size.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
     }
 }
 
-/// The segment that is written to.
+/// Segment to which records are currently appended.
 pub struct ActiveSegment {
     segment: Segment,
     file: File,
 }
 
 impl ActiveSegment {
-    /// Creates segment `number` in `directory`, which must not have it yet.
+    /// Creates segment `number` in `directory`. Fails if the segment already exists.
     pub fn create(directory: &Path, number: u64) -> io::Result<Self> {
         let file = OpenOptions::new().create_new(true).append(true).open(path(directory, number))?;
         Ok(Self { segment: Segment { number, size: 0 }, file })
     }
 
-    /// Its number and size.
+    /// Returns the number and the current size of the segment.
     pub fn segment(&self) -> Segment {
         self.segment
     }
 
-    /// Appends one frame. A frame that could only be written in part is cut off again: what is appended after it
-    /// would not be read otherwise.
+    /// Appends one frame. If only a part of it could be written, truncates the file to its previous size, because
+    /// reading stops at an incomplete frame and would miss everything appended after it.
     pub fn append(&mut self, frame: &[u8]) -> io::Result<()> {
         if let Err(error) = self.file.write_all(frame) {
             self.file.set_len(self.segment.size)?;
@@ -56,17 +56,18 @@
     }
 }
 
-/// The file of segment `number`.
+/// Returns the path of segment `number`.
 pub fn path(directory: &Path, number: u64) -> PathBuf {
-    directory.join(format!("{PREFIX}{number:010}"))
+    directory.join(format!("{FILE_NAME_PREFIX}{number:010}"))
 }
 
-/// The numbers of the segments in `directory`, lowest first.
+/// Returns the numbers of the segments in `directory`, lowest first.
 pub fn numbers(directory: &Path) -> io::Result<Vec<u64>> {
     let mut numbers = Vec::new();
     for entry in fs::read_dir(directory)? {
         let name = entry?.file_name();
-        numbers.extend(name.to_str().and_then(|name| name.strip_prefix(PREFIX)?.parse::<u64>().ok()));
+        numbers
+            .extend(name.to_str().and_then(|name| name.strip_prefix(FILE_NAME_PREFIX)?.parse::<u64>().ok()));
     }
     numbers.sort_unstable();
     Ok(numbers)
