--- a/crates/quillhub-server/src/wal/tests.rs
+++ b/crates/quillhub-server/src/wal/tests.rs
@@ -3,9 +3,11 @@
 use crate::test_support::StateDirectory;
 use std::time::Duration;
 
-const BUDGET: u64 = 1 << 20;
+/// Maximum size of the state directories of these tests.
+const BUDGET_BYTES: u64 = 1 << 20;
 
-fn message(body: usize) -> RecoveredMessage {
+/// Returns a message with all fields set and a body of `body_size` bytes.
+fn message(body_size: usize) -> RecoveredMessage {
     RecoveredMessage {
         service_class: "g".into(),
         destination: 9,
@@ -13,7 +15,7 @@
         deadline: Some(from_millis(1_234)),
         client_id: b"ab".to_vec(),
         idempotency_key: Some(b"k".to_vec()),
-        body: vec![b'x'; body],
+        body: vec![b'x'; body_size],
         ..RecoveredMessage::default()
     }
 }
@@ -23,13 +25,13 @@
 }
 
 fn read_back(directory: &StateDirectory) -> BTreeMap<u64, RecoveredMessage> {
-    Wal::open(&directory.0, BUDGET).unwrap().1
+    Wal::open(&directory.0, BUDGET_BYTES).unwrap().1
 }
 
 #[test]
 fn pending_messages_are_read_back_with_their_history() {
     let directory = StateDirectory::new();
-    let (mut wal, pending) = Wal::open(&directory.0, BUDGET).unwrap();
+    let (mut wal, pending) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     assert!(pending.is_empty());
     for id in 1..=4 {
         wal.accepted(id, &accepted_payload(&message(3))).unwrap();
@@ -50,13 +52,13 @@
     );
     assert_eq!(pending[&3].outcome, Some(FinalResult::Abandoned));
     assert_eq!(pending.len(), 3);
-    assert_eq!(read_back(&directory), pending, "reading changes nothing");
+    assert_eq!(read_back(&directory), pending, "reading does not modify the directory");
 }
 
 #[test]
 fn a_message_without_ordering_or_idempotency_key_is_read_back_without() {
     let directory = StateDirectory::new();
-    let (mut wal, _) = Wal::open(&directory.0, BUDGET).unwrap();
+    let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     let bare = RecoveredMessage { ordering_key: None, idempotency_key: None, ..message(0) };
     wal.accepted(1, &accepted_payload(&bare)).unwrap();
     assert_eq!(read_back(&directory)[&1], bare);
@@ -65,53 +67,55 @@
 #[test]
 fn an_id_is_not_reused_after_a_restart() {
     let directory = StateDirectory::new();
-    let (mut wal, _) = Wal::open(&directory.0, BUDGET).unwrap();
+    let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     for id in [wal.next_id(), wal.next_id()] {
         wal.accepted(id, &accepted_payload(&message(3))).unwrap();
         wal.finished(id).unwrap();
     }
-    let (mut wal, _) = Wal::open(&directory.0, BUDGET).unwrap();
+    let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     let id = wal.next_id();
     wal.accepted(id, &accepted_payload(&message(3))).unwrap();
     assert_eq!(read_back(&directory).into_keys().collect::<Vec<_>>(), [3]);
 }
 
+/// Guards against records that are lost because another one is damaged: a process that is killed while it writes leaves
+/// an incomplete record at the end of a segment.
 #[test]
-fn a_torn_tail_costs_the_torn_record_only() {
+fn an_incomplete_or_damaged_last_record_is_skipped_and_the_others_are_read() {
     let directory = StateDirectory::new();
-    let (mut wal, _) = Wal::open(&directory.0, BUDGET).unwrap();
+    let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     wal.accepted(1, &accepted_payload(&message(9))).unwrap();
-    let first = wal.active.segment().size as usize;
+    let first_end = wal.active.segment().size as usize;
     wal.accepted(2, &accepted_payload(&message(9))).unwrap();
     drop(wal);
     let file = segment::path(&directory.0, 0);
     let intact = fs::read(&file).unwrap();
     let mut corrupted = intact.clone();
-    corrupted[first + 20] ^= 1;
-    let mut tails: Vec<_> = (first..intact.len()).map(|cut| intact[..cut].to_vec()).collect();
-    tails.push(corrupted);
-    for tail in tails {
-        fs::write(&file, &tail).unwrap();
-        let read: Vec<_> = frames(&tail).map(|frame| frame.message).collect();
+    corrupted[first_end + 20] ^= 1;
+    let mut damaged: Vec<_> = (first_end..intact.len()).map(|cut| intact[..cut].to_vec()).collect();
+    damaged.push(corrupted);
+    for content in damaged {
+        fs::write(&file, &content).unwrap();
+        let read: Vec<_> = frames(&content).map(|frame| frame.message).collect();
         assert_eq!(read, [1]);
     }
-    // What is written after a torn tail is read.
-    let (mut wal, pending) = Wal::open(&directory.0, BUDGET).unwrap();
+    // Records written after the damaged one are read.
+    let (mut wal, pending) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     assert_eq!(pending.len(), 1);
     wal.accepted(3, &accepted_payload(&message(9))).unwrap();
     assert_eq!(read_back(&directory).into_keys().collect::<Vec<_>>(), [1, 3]);
 }
 
 #[test]
-fn the_directory_stays_within_its_bound_and_loses_no_pending_message() {
+fn the_directory_stays_within_its_budget_and_loses_no_pending_message() {
     let directory = StateDirectory::new();
-    let (mut wal, _) = Wal::open(&directory.0, BUDGET).unwrap();
+    let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     wal.accepted(1, &accepted_payload(&message(60_000))).unwrap();
     wal.attempt_started(1, 0, from_millis(77), "e").unwrap();
     for id in 2..400 {
         wal.accepted(id, &accepted_payload(&message(id as usize * 150))).unwrap();
         wal.attempt_started(id, 0, from_millis(77), "e").unwrap();
-        assert!(directory.size() <= BUDGET, "{} with message {id}", directory.size());
+        assert!(directory.size() <= BUDGET_BYTES, "{} bytes with message {id}", directory.size());
         wal.finished(id).unwrap();
     }
     let pending = read_back(&directory);
@@ -122,26 +126,26 @@
 }
 
 #[test]
-fn capacity_shrinks_with_pending_messages_and_a_full_directory_takes_no_more() {
+fn capacity_shrinks_with_pending_messages_and_a_full_directory_accepts_no_more() {
     let directory = StateDirectory::new();
-    let (mut wal, _) = Wal::open(&directory.0, BUDGET).unwrap();
-    let empty = wal.remaining_capacity();
+    let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
+    let initial_capacity = wal.remaining_capacity();
     let mut accepted = 0;
     while wal.remaining_capacity() > 0 {
         accepted += 1;
         wal.accepted(accepted, &accepted_payload(&message(10_000))).unwrap();
     }
-    assert!(accepted * 10_000 > empty / 2);
+    assert!(accepted * 10_000 > initial_capacity / 2);
     for id in 1..=accepted {
         wal.attempt_started(id, 0, from_millis(77), "e").unwrap();
         wal.outcome_decided(id, FinalResult::Rejected { retry_after: None }).unwrap();
     }
-    let more =
-        (1..200).find(|more| wal.accepted(accepted + more, &accepted_payload(&message(10_000))).is_err());
-    assert!(more.is_some() && directory.size() <= BUDGET);
+    let refused =
+        (1..200).find(|extra| wal.accepted(accepted + extra, &accepted_payload(&message(10_000))).is_err());
+    assert!(refused.is_some() && directory.size() <= BUDGET_BYTES);
     for id in 1..=accepted + 200 {
         wal.finished(id).unwrap();
     }
-    assert_eq!(wal.remaining_capacity(), empty);
+    assert_eq!(wal.remaining_capacity(), initial_capacity);
     assert!(read_back(&directory).is_empty());
 }
