--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -63,7 +63,7 @@
             return;
         }
         if verdict.finished {
-            log_failed_write(id.message, RecordKind::Finished, self.wal.finished(id.message));
+            log_failed_write(id.message, RecordKind::Finished, self.wal.record_finished(id.message));
             if let Some(message) = self.messages.remove(id.message) {
                 self.messages.remember_client_id(self.now(), message.client_id);
             }
@@ -71,7 +71,7 @@
             log_failed_write(
                 id.message,
                 RecordKind::NotExecuted,
-                self.wal.not_executed(id.message, id.attempt),
+                self.wal.record_not_executed(id.message, id.attempt),
             );
         }
     }
--- a/crates/quillhub-server/src/instance/mod.rs
+++ b/crates/quillhub-server/src/instance/mod.rs
@@ -201,7 +201,11 @@
     /// Finishes the messages of the oldest `count` final outcomes, which the platform confirmed.
     pub fn outcomes_confirmed(&mut self, count: usize) {
         for outcome in self.outcomes.take_oldest(count) {
-            log_failed_write(outcome.message, RecordKind::Finished, self.wal.finished(outcome.message));
+            log_failed_write(
+                outcome.message,
+                RecordKind::Finished,
+                self.wal.record_finished(outcome.message),
+            );
             self.messages.remember_client_id(self.now(), outcome.client_id);
         }
     }
@@ -211,7 +215,7 @@
         if let Some(message) = self.messages.remove(id) {
             self.messages.release_client_id(&message.client_id);
             if message.unwritten_record.is_none() {
-                log_failed_write(id, RecordKind::Finished, self.wal.finished(id));
+                log_failed_write(id, RecordKind::Finished, self.wal.record_finished(id));
             }
         }
         self.handle_event(|dispatcher| dispatcher.finish(id));
@@ -221,7 +225,7 @@
     fn write_record(&mut self, id: MessageId) -> Result<(), AppendError> {
         let Some(message) = self.messages.get_mut(id) else { return Ok(()) };
         if let Some(record) = &message.unwritten_record {
-            self.wal.accepted(id, record)?;
+            self.wal.record_accepted(id, record)?;
             message.unwritten_record = None;
         }
         Ok(())
@@ -241,7 +245,7 @@
             self.immediate_outcome = Some(result.into());
             return;
         }
-        log_failed_write(id, RecordKind::OutcomeDecided, self.wal.outcome_decided(id, result));
+        log_failed_write(id, RecordKind::OutcomeDecided, self.wal.record_outcome_decided(id, result));
         self.outcomes.add(FinalOutcome { message: id, client_id: message.client_id, result });
     }
 
@@ -257,7 +261,8 @@
         if self.stopping || !self.dispatcher.as_ref().is_some_and(is_permitted) {
             return false;
         }
-        let written = self.wal.attempt_started(id.message, id.attempt, SystemTime::now(), &id.endpoint);
+        let written =
+            self.wal.record_attempt_started(id.message, id.attempt, SystemTime::now(), &id.endpoint);
         let recorded = written.is_ok();
         log_failed_write(id.message, RecordKind::AttemptStarted, written);
         recorded
--- a/crates/quillhub-server/src/instance/recovery_tests.rs
+++ b/crates/quillhub-server/src/instance/recovery_tests.rs
@@ -86,7 +86,7 @@
         let directory = StateDirectory::new();
         let mut log = log_with(&directory, &[message("marked")]);
         let (now, hour) = (SystemTime::now(), Duration::from_secs(3_600));
-        log.attempt_started(1, 0, if in_future { now + hour } else { now }, "e").unwrap();
+        log.record_attempt_started(1, 0, if in_future { now + hour } else { now }, "e").unwrap();
         on_one_thread(async {
             let (address, _listener) = silent_endpoint().await;
             let instance = restart(&directory, address);
@@ -150,15 +150,15 @@
     let size = || std::fs::metadata(&path).unwrap().len();
     let mut log = log_with(&intact, &[message("once")]);
     let mut record_ends = vec![size()];
-    log.attempt_started(1, 0, SystemTime::now(), "e").unwrap();
+    log.record_attempt_started(1, 0, SystemTime::now(), "e").unwrap();
     record_ends.push(size());
-    log.not_executed(1, 0).unwrap();
+    log.record_not_executed(1, 0).unwrap();
     record_ends.push(size());
-    log.attempt_started(1, 1, SystemTime::now(), "e").unwrap();
+    log.record_attempt_started(1, 1, SystemTime::now(), "e").unwrap();
     record_ends.push(size());
-    log.outcome_decided(1, FinalResult::Rejected { retry_after: None }).unwrap();
+    log.record_outcome_decided(1, FinalResult::Rejected { retry_after: None }).unwrap();
     record_ends.push(size());
-    log.finished(1).unwrap();
+    log.record_finished(1).unwrap();
     record_ends.push(size());
     let octets = std::fs::read(&path).unwrap();
     for cut in 0..=octets.len() {
@@ -195,7 +195,7 @@
         ..message("marked")
     });
     let mut log = log_with(directory, &messages);
-    log.attempt_started(1, 0, SystemTime::now() - age, "e").unwrap();
+    log.record_attempt_started(1, 0, SystemTime::now() - age, "e").unwrap();
     drop(log);
     let mut settings = configuration()["settings"].take();
     settings["rules"] = serde_json::json!({"keyRestUs": 300_000});
--- a/crates/quillhub-server/src/test_support.rs
+++ b/crates/quillhub-server/src/test_support.rs
@@ -145,7 +145,7 @@
     let (mut wal, _) = Wal::open(&directory.0, STATE_BUDGET).unwrap();
     for message in messages {
         let id = wal.next_id();
-        wal.accepted(id, &accepted_payload(message)).unwrap();
+        wal.record_accepted(id, &accepted_payload(message)).unwrap();
     }
     wal
 }
--- a/crates/quillhub-server/src/wal/format_tests.rs
+++ b/crates/quillhub-server/src/wal/format_tests.rs
@@ -58,7 +58,10 @@
         b"\x04\0\0\0once\x04\0\0\0ab12\x05\0\0\0key-7",        // service class, client id, idempotency key
         b"\0\r\n\xff",                                         // body
     ];
-    assert_eq!(appended(|wal| wal.accepted(MESSAGE_ID, &accepted_payload(&all_fields))), expected.concat());
+    assert_eq!(
+        appended(|wal| wal.record_accepted(MESSAGE_ID, &accepted_payload(&all_fields))),
+        expected.concat()
+    );
 
     let optional_fields_unset = message("free", "ab12", b"");
     let expected = [
@@ -68,14 +71,14 @@
         b"\x04\0\0\0free\x04\0\0\0ab12\0\0\0\0",
     ];
     assert_eq!(
-        appended(|wal| wal.accepted(MESSAGE_ID, &accepted_payload(&optional_fields_unset))),
+        appended(|wal| wal.record_accepted(MESSAGE_ID, &accepted_payload(&optional_fields_unset))),
         expected.concat()
     );
 }
 
 #[test]
 fn the_encoding_of_an_attempts_start_is_unchanged() {
-    let octets = appended(|wal| wal.attempt_started(MESSAGE_ID, 3, from_millis(YEAR_2020_MS), "e1"));
+    let octets = appended(|wal| wal.record_attempt_started(MESSAGE_ID, 3, from_millis(YEAR_2020_MS), "e1"));
     let expected = [
         &b"\x17\0\0\0\xaa\x8b\xcb\x3b\x02\x02\x01\0\0\0\0\0\0"[..], // length, checksum, kind, message
         b"\x03\0\0\0\0\xe8\x66\x5e\x6f\x01\0\0e1",                  // attempt, start, endpoint
@@ -85,13 +88,13 @@
 
 #[test]
 fn the_encoding_of_an_attempt_that_did_not_execute_its_message_is_unchanged() {
-    let octets = appended(|wal| wal.not_executed(MESSAGE_ID, 3));
+    let octets = appended(|wal| wal.record_not_executed(MESSAGE_ID, 3));
     assert_eq!(octets, b"\x0d\0\0\0\xfd\xc4\xbe\x8d\x03\x02\x01\0\0\0\0\0\0\x03\0\0\0");
 }
 
 #[test]
 fn the_encoding_of_each_final_outcome_is_unchanged() {
-    let decided = |result| appended(|wal| wal.outcome_decided(MESSAGE_ID, result));
+    let decided = |result| appended(|wal| wal.record_outcome_decided(MESSAGE_ID, result));
     let rejected = |retry_after| decided(FinalResult::Rejected { retry_after });
     assert_eq!(
         rejected(Some(Duration::from_millis(1_500))),
@@ -107,7 +110,7 @@
 #[test]
 fn the_encoding_of_a_finished_message_is_unchanged() {
     assert_eq!(
-        appended(|wal| wal.finished(MESSAGE_ID)),
+        appended(|wal| wal.record_finished(MESSAGE_ID)),
         b"\x09\0\0\0\x28\x5d\xcc\x48\x05\x02\x01\0\0\0\0\0\0"
     );
 }
@@ -122,7 +125,7 @@
 /// that were killed while they wrote the last record.
 fn write_directory(directory: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let (mut wal, _) = Wal::open(directory, BUDGET_BYTES)?;
-    let mut accept = |id, message: RecoveredMessage| wal.accepted(id, &accepted_payload(&message));
+    let mut accept = |id, message: RecoveredMessage| wal.record_accepted(id, &accepted_payload(&message));
     accept(1, message("once", "untried-once", b"one"))?;
     let unattempted = with_key(message("free", "untried-free", b"\0\r\n\xff"), "key-2");
     accept(2, RecoveredMessage { ordering_key: Some(0x1a2b), ..unattempted })?;
@@ -139,28 +142,28 @@
     accept(13, message("unheard", "of-unknown-class", b"thirteen"))?;
     accept(14, message("once", "once-of-two-attempts", b"fourteen"))?;
     accept(15, message("free", "denied-and-confirmed", b"fifteen"))?;
-    wal.finished(11)?;
+    wal.record_finished(11)?;
     for id in [3, 4, 14] {
-        wal.attempt_started(id, 0, from_millis(YEAR_2020_MS), "e1")?;
+        wal.record_attempt_started(id, 0, from_millis(YEAR_2020_MS), "e1")?;
     }
-    wal.not_executed(14, 0)?;
-    wal.outcome_decided(8, FinalResult::Rejected { retry_after: Some(Duration::from_millis(1_500)) })?;
-    wal.outcome_decided(9, FinalResult::Rejected { retry_after: None })?;
-    wal.outcome_decided(15, FinalResult::Rejected { retry_after: None })?;
-    wal.accepted(16, &accepted_payload(&message("free", "torn", b"sixteen")))?;
+    wal.record_not_executed(14, 0)?;
+    wal.record_outcome_decided(8, FinalResult::Rejected { retry_after: Some(Duration::from_millis(1_500)) })?;
+    wal.record_outcome_decided(9, FinalResult::Rejected { retry_after: None })?;
+    wal.record_outcome_decided(15, FinalResult::Rejected { retry_after: None })?;
+    wal.record_accepted(16, &accepted_payload(&message("free", "torn", b"sixteen")))?;
     drop(wal);
     truncate(&directory.join(FIRST_SEGMENT), 5);
 
     let (mut wal, _) = Wal::open(directory, BUDGET_BYTES)?;
-    wal.not_executed(4, 0)?;
-    wal.attempt_started(5, 0, from_millis(YEAR_2020_MS), "e1")?;
-    wal.attempt_started(6, 0, from_millis(YEAR_2020_MS), "e1")?;
-    wal.attempt_started(7, 0, from_millis(YEAR_2020_MS), "e1")?;
-    wal.attempt_started(14, 1, from_millis(YEAR_2020_MS + 1_000), "e2")?;
-    wal.outcome_decided(10, FinalResult::Abandoned)?;
-    wal.finished(12)?;
-    wal.finished(15)?;
-    wal.finished(1)?;
+    wal.record_not_executed(4, 0)?;
+    wal.record_attempt_started(5, 0, from_millis(YEAR_2020_MS), "e1")?;
+    wal.record_attempt_started(6, 0, from_millis(YEAR_2020_MS), "e1")?;
+    wal.record_attempt_started(7, 0, from_millis(YEAR_2020_MS), "e1")?;
+    wal.record_attempt_started(14, 1, from_millis(YEAR_2020_MS + 1_000), "e2")?;
+    wal.record_outcome_decided(10, FinalResult::Abandoned)?;
+    wal.record_finished(12)?;
+    wal.record_finished(15)?;
+    wal.record_finished(1)?;
     drop(wal);
     truncate(&directory.join(SECOND_SEGMENT), 1);
     Ok(())
--- a/crates/quillhub-server/src/wal/mod.rs
+++ b/crates/quillhub-server/src/wal/mod.rs
@@ -90,12 +90,12 @@
     }
 
     /// Records that a message is accepted; `payload` must come from [`accepted_payload`].
-    pub fn accepted(&mut self, message: MessageId, payload: &[u8]) -> Result<(), AppendError> {
+    pub fn record_accepted(&mut self, message: MessageId, payload: &[u8]) -> Result<(), AppendError> {
         self.append(RecordKind::Accepted, message, payload)
     }
 
     /// Records that an attempt starts, so that the message may have been executed from now on.
-    pub fn attempt_started(
+    pub fn record_attempt_started(
         &mut self,
         message: MessageId,
         attempt: u32,
@@ -107,17 +107,21 @@
     }
 
     /// Records that an attempt ended and did not execute the message.
-    pub fn not_executed(&mut self, message: MessageId, attempt: u32) -> Result<(), AppendError> {
+    pub fn record_not_executed(&mut self, message: MessageId, attempt: u32) -> Result<(), AppendError> {
         self.append(RecordKind::NotExecuted, message, &record::not_executed_payload(attempt))
     }
 
     /// Records the final outcome of a message, which the platform has not confirmed yet.
-    pub fn outcome_decided(&mut self, message: MessageId, result: FinalResult) -> Result<(), AppendError> {
+    pub fn record_outcome_decided(
+        &mut self,
+        message: MessageId,
+        result: FinalResult,
+    ) -> Result<(), AppendError> {
         self.append(RecordKind::OutcomeDecided, message, &record::outcome_payload(result))
     }
 
     /// Records that a message is finished. Its space counts as free even if the record cannot be written.
-    pub fn finished(&mut self, message: MessageId) -> Result<(), AppendError> {
+    pub fn record_finished(&mut self, message: MessageId) -> Result<(), AppendError> {
         let result = self.append(RecordKind::Finished, message, &[]);
         self.pending_bytes -=
             self.record_sizes.remove(&message).map_or(0, |size| size + MAX_LATER_RECORDS_BYTES);
--- a/crates/quillhub-server/src/wal/tests.rs
+++ b/crates/quillhub-server/src/wal/tests.rs
@@ -34,14 +34,15 @@
     let (mut wal, pending) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     assert!(pending.is_empty());
     for id in 1..=4 {
-        wal.accepted(id, &accepted_payload(&message(3))).unwrap();
+        wal.record_accepted(id, &accepted_payload(&message(3))).unwrap();
     }
-    wal.attempt_started(1, 0, from_millis(77), "e").unwrap();
-    wal.attempt_started(1, 1, from_millis(88), "f").unwrap();
-    wal.not_executed(1, 1).unwrap();
-    wal.outcome_decided(2, FinalResult::Rejected { retry_after: Some(Duration::from_millis(500)) }).unwrap();
-    wal.outcome_decided(3, FinalResult::Abandoned).unwrap();
-    wal.finished(4).unwrap();
+    wal.record_attempt_started(1, 0, from_millis(77), "e").unwrap();
+    wal.record_attempt_started(1, 1, from_millis(88), "f").unwrap();
+    wal.record_not_executed(1, 1).unwrap();
+    wal.record_outcome_decided(2, FinalResult::Rejected { retry_after: Some(Duration::from_millis(500)) })
+        .unwrap();
+    wal.record_outcome_decided(3, FinalResult::Abandoned).unwrap();
+    wal.record_finished(4).unwrap();
     drop(wal);
     let pending = read_back(&directory);
     let attempts = BTreeMap::from([(0, started_at_77()), (1, RecordedAttempt::NotExecuted)]);
@@ -60,7 +61,7 @@
     let directory = StateDirectory::new();
     let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     let bare = RecoveredMessage { ordering_key: None, idempotency_key: None, ..message(0) };
-    wal.accepted(1, &accepted_payload(&bare)).unwrap();
+    wal.record_accepted(1, &accepted_payload(&bare)).unwrap();
     assert_eq!(read_back(&directory)[&1], bare);
 }
 
@@ -69,12 +70,12 @@
     let directory = StateDirectory::new();
     let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     for id in [wal.next_id(), wal.next_id()] {
-        wal.accepted(id, &accepted_payload(&message(3))).unwrap();
-        wal.finished(id).unwrap();
+        wal.record_accepted(id, &accepted_payload(&message(3))).unwrap();
+        wal.record_finished(id).unwrap();
     }
     let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     let id = wal.next_id();
-    wal.accepted(id, &accepted_payload(&message(3))).unwrap();
+    wal.record_accepted(id, &accepted_payload(&message(3))).unwrap();
     assert_eq!(read_back(&directory).into_keys().collect::<Vec<_>>(), [3]);
 }
 
@@ -84,9 +85,9 @@
 fn an_incomplete_or_damaged_last_record_is_skipped_and_the_others_are_read() {
     let directory = StateDirectory::new();
     let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
-    wal.accepted(1, &accepted_payload(&message(9))).unwrap();
+    wal.record_accepted(1, &accepted_payload(&message(9))).unwrap();
     let first_end = wal.active.segment().size as usize;
-    wal.accepted(2, &accepted_payload(&message(9))).unwrap();
+    wal.record_accepted(2, &accepted_payload(&message(9))).unwrap();
     drop(wal);
     let file = segment::path(&directory.0, 0);
     let intact = fs::read(&file).unwrap();
@@ -102,7 +103,7 @@
     // Records written after the damaged one are read.
     let (mut wal, pending) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     assert_eq!(pending.len(), 1);
-    wal.accepted(3, &accepted_payload(&message(9))).unwrap();
+    wal.record_accepted(3, &accepted_payload(&message(9))).unwrap();
     assert_eq!(read_back(&directory).into_keys().collect::<Vec<_>>(), [1, 3]);
 }
 
@@ -110,13 +111,13 @@
 fn the_directory_stays_within_its_budget_and_loses_no_pending_message() {
     let directory = StateDirectory::new();
     let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
-    wal.accepted(1, &accepted_payload(&message(60_000))).unwrap();
-    wal.attempt_started(1, 0, from_millis(77), "e").unwrap();
+    wal.record_accepted(1, &accepted_payload(&message(60_000))).unwrap();
+    wal.record_attempt_started(1, 0, from_millis(77), "e").unwrap();
     for id in 2..400 {
-        wal.accepted(id, &accepted_payload(&message(id as usize * 150))).unwrap();
-        wal.attempt_started(id, 0, from_millis(77), "e").unwrap();
+        wal.record_accepted(id, &accepted_payload(&message(id as usize * 150))).unwrap();
+        wal.record_attempt_started(id, 0, from_millis(77), "e").unwrap();
         assert!(directory.size() <= BUDGET_BYTES, "{} bytes with message {id}", directory.size());
-        wal.finished(id).unwrap();
+        wal.record_finished(id).unwrap();
     }
     let pending = read_back(&directory);
     assert_eq!(
@@ -133,18 +134,18 @@
     let mut accepted = 0;
     while wal.remaining_capacity() > 0 {
         accepted += 1;
-        wal.accepted(accepted, &accepted_payload(&message(10_000))).unwrap();
+        wal.record_accepted(accepted, &accepted_payload(&message(10_000))).unwrap();
     }
     assert!(accepted * 10_000 > initial_capacity / 2);
     for id in 1..=accepted {
-        wal.attempt_started(id, 0, from_millis(77), "e").unwrap();
-        wal.outcome_decided(id, FinalResult::Rejected { retry_after: None }).unwrap();
+        wal.record_attempt_started(id, 0, from_millis(77), "e").unwrap();
+        wal.record_outcome_decided(id, FinalResult::Rejected { retry_after: None }).unwrap();
     }
-    let refused =
-        (1..200).find(|extra| wal.accepted(accepted + extra, &accepted_payload(&message(10_000))).is_err());
+    let refused = (1..200)
+        .find(|extra| wal.record_accepted(accepted + extra, &accepted_payload(&message(10_000))).is_err());
     assert!(refused.is_some() && directory.size() <= BUDGET_BYTES);
     for id in 1..=accepted + 200 {
-        wal.finished(id).unwrap();
+        wal.record_finished(id).unwrap();
     }
     assert_eq!(wal.remaining_capacity(), initial_capacity);
     assert!(read_back(&directory).is_empty());
