--- a/crates/quillhub-server/src/shutdown.rs
+++ b/crates/quillhub-server/src/shutdown.rs
@@ -1,7 +1,7 @@
-//! Graceful shutdown, in phases: connections still come, accepted messages are worked on, attempts in flight may end,
-//! final outcomes may reach the platform. Each phase ends early once it has nothing left to wait for.
+//! Graceful shutdown in four phases: accept new connections, attempt pending messages, wait for attempts in flight, send
+//! final outcomes to the platform. Each phase but the first ends early once it has nothing left to wait for.
 //!
-//! Invariant: the last phase is over before the process would be killed, 3.7 s after it was told to stop.
+//! Invariant: the last phase is over before the process would be killed, 3.7 s after shutdown was requested.
 
 use crate::clients::Phase;
 use crate::instance::Instance;
@@ -11,48 +11,50 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::{Instant, sleep, sleep_until};
 
-// Deadlines, counted from when the process is told to stop.
-/// New connections may still come.
-const ACCEPT: Duration = Duration::from_millis(500);
-/// The dispatcher still decides on pending messages.
-const DECIDE: Duration = Duration::from_millis(2_000);
-/// Attempts in flight may still end.
-const END_ATTEMPTS: Duration = Duration::from_millis(3_000);
-/// Final outcomes may still be sent, and clients' commands answered.
-const FLUSH_OUTCOMES: Duration = Duration::from_millis(3_300);
-/// How often it is looked whether a phase has nothing left to wait for.
+// All deadlines are counted from the request to shut down.
+/// Deadline for new connections of clients.
+const ACCEPT_DEADLINE: Duration = Duration::from_millis(500);
+/// Deadline for decisions of the dispatcher on pending messages.
+const DECISION_DEADLINE: Duration = Duration::from_millis(2_000);
+/// Deadline for the end of attempts in flight.
+const ATTEMPT_DEADLINE: Duration = Duration::from_millis(3_000);
+/// Deadline for sending final outcomes to the platform and replies to clients.
+const OUTCOME_DEADLINE: Duration = Duration::from_millis(3_300);
+/// Interval between checks if a phase has anything left to wait for.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The clients' connections, as a shutdown has to do with them.
+/// State of the clients' connections that a shutdown needs.
 pub struct ClientConnections {
-    /// Tells the connections how far the shutdown is.
+    /// Publishes the phase of the shutdown to the connections.
     pub phase: watch::Sender<Phase>,
-    /// A permit for each connection that is not open.
+    /// Permits to open a connection; each open connection holds one.
     pub permits: Arc<Semaphore>,
-    /// Permits when no connection is open.
-    pub max: usize,
+    /// Number of permits while no connection is open.
+    pub max_open: usize,
 }
 
 impl ClientConnections {
+    /// Returns `true` if no client is connected.
     fn all_closed(&self) -> bool {
-        self.permits.available_permits() == self.max
+        self.permits.available_permits() == self.max_open
     }
 }
 
-/// Shuts an instance down that is told to stop now.
+/// Shuts down an instance; the deadlines count from the call.
 pub async fn shut_down(instance: &RefCell<Instance>, clients: &ClientConnections) {
-    let signalled = Instant::now();
+    let requested = Instant::now();
     clients.phase.send_replace(Phase::Stopping);
-    sleep_until(signalled + ACCEPT).await;
+    sleep_until(requested + ACCEPT_DEADLINE).await;
     clients.phase.send_replace(Phase::Closing);
-    wait_until(signalled + DECIDE, || instance.borrow().is_idle() && clients.all_closed()).await;
+    wait_until(requested + DECISION_DEADLINE, || instance.borrow().is_idle() && clients.all_closed()).await;
     instance.borrow_mut().stop_deciding();
-    wait_until(signalled + END_ATTEMPTS, || instance.borrow().attempts_in_flight() == 0).await;
-    // A connection in the midst of a command has until then, too: the time of a command is over before.
+    wait_until(requested + ATTEMPT_DEADLINE, || instance.borrow().attempts_in_flight() == 0).await;
+    // Also waits for connections that are in the middle of a command; the time limit of a command expires earlier.
     let flushed = || instance.borrow().all_outcomes_confirmed() && clients.all_closed();
-    wait_until(signalled + FLUSH_OUTCOMES, flushed).await;
+    wait_until(requested + OUTCOME_DEADLINE, flushed).await;
 }
 
+/// Waits until `done` returns `true`, but at most until `deadline`.
 async fn wait_until(deadline: Instant, done: impl Fn() -> bool) {
     while Instant::now() < deadline && !done() {
         sleep(POLL_INTERVAL).await;
--- a/crates/quillhub-server/src/startup.rs
+++ b/crates/quillhub-server/src/startup.rs
@@ -1,6 +1,6 @@
-//! Startup: opens what an instance needs, recovers its messages, and serves until it is told to stop.
+//! Startup: opens the resources of an instance, recovers its messages, and serves clients until shutdown is requested.
 //!
-//! Invariant: the first client is answered once what the log held is pending again.
+//! Invariant: no client is served before the unfinished messages in the log are recovered.
 
 use crate::clients::{self, Phase};
 use crate::configuration::{
@@ -29,53 +29,57 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Descriptors for all that is neither a client's connection nor one to an endpoint.
-const OTHER_DESCRIPTORS: usize = 64;
-/// Part of the rest that clients' connections may take: a half, as each may bring an attempt.
-const CLIENTS_PART: usize = 2;
-/// Part of it that idle connections to endpoints may take; attempts in flight have the last quarter, and that of the
-/// idle ones as they need it.
-const IDLE_PART: usize = 4;
-/// How often closed idle connections are looked for: well within the time that one is pooled.
+/// File descriptors reserved for everything but connections of clients and connections to endpoints.
+const RESERVED_DESCRIPTORS: usize = 64;
+/// Divisor of the unreserved descriptors that yields the limit for connections of clients: a half, because each client
+/// may cause an attempt, which needs another one.
+const CLIENTS_DIVISOR: usize = 2;
+/// Divisor of the unreserved descriptors that yields the limit for idle connections to endpoints: a quarter. Attempts in
+/// flight have the remaining quarter and displace idle connections if they need more.
+const IDLE_DIVISOR: usize = 4;
+/// Interval between searches for expired idle connections; well below the time that a connection stays in the pool.
 const CLOSE_EXPIRED_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a start waits for discovery's first response: it responds at once, unless it is down.
+/// Maximum time that startup waits for the first response of discovery, which responds immediately unless it is down.
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause before a job that panicked is started again.
-const RESTART_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a task that panicked is restarted.
+const TASK_RESTART_DELAY: Duration = Duration::from_millis(50);
 
-/// What the configuration says of an instance.
+/// Values of the configuration that startup needs.
 struct Settings {
     dispatcher: Dispatcher,
-    /// Whether responses hold load reports.
+    /// `true` if the settings declare that responses contain load reports.
     load_reports: bool,
-    /// Where clients connect.
+    /// Address on which clients connect.
     listen: SocketAddr,
-    /// Octets that the state directory may hold.
+    /// Maximum size of the state directory in bytes.
     state_bytes: u64,
     connections: ConnectionLimits,
     connect_timeout: Duration,
-    /// When endpoints close idle connections.
+    /// Time after which endpoints close an idle connection.
     idle_timeout: Duration,
-    /// Whether discovery tells of changes only when it is polled.
+    /// `true` if discovery reports changes only to instances that poll it.
     must_be_polled: bool,
     gossip: Option<GossipAddresses>,
 }
 
-/// How many connections there may be, so that descriptors are left for the rest.
+/// Limits of the numbers of connections, so that descriptors remain for everything else.
 struct ConnectionLimits {
+    /// Maximum number of connections of clients.
     clients: usize,
+    /// Maximum number of connections to endpoints, idle ones included.
     endpoints: usize,
-    /// Of those to endpoints.
+    /// Maximum number of idle connections to endpoints.
     idle: usize,
 }
 
 impl ConnectionLimits {
+    /// Divides `descriptors`, the number of file descriptors that the process may use.
     fn within(descriptors: usize) -> Self {
-        let free = descriptors.saturating_sub(OTHER_DESCRIPTORS);
+        let unreserved = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
         Self {
-            clients: (free / CLIENTS_PART).max(1),
-            endpoints: free - free / CLIENTS_PART,
-            idle: free / IDLE_PART,
+            clients: (unreserved / CLIENTS_DIVISOR).max(1),
+            endpoints: unreserved - unreserved / CLIENTS_DIVISOR,
+            idle: unreserved / IDLE_DIVISOR,
         }
     }
 }
@@ -102,31 +106,31 @@
     }
 }
 
-/// An instance that has not begun to work.
-struct Opened {
+/// Instance whose resources are open and whose tasks are not yet running.
+struct OpenedInstance {
     instance: Rc<RefCell<Instance>>,
     gossip: Option<Rc<GossipSocket>>,
-    /// What its log held.
+    /// Unfinished messages in the log.
     recovered: BTreeMap<MessageId, RecoveredMessage>,
 }
 
-/// Runs an instance until `stop` is done and its shutdown is over; `discovery` is where discovery and the platform
-/// are.
+/// Runs an instance until `stop` completes and the shutdown after it is finished. `discovery` is the address of
+/// discovery and the platform, which may change meanwhile.
 ///
 /// # Errors
 ///
-/// If the instance cannot start.
+/// Returns an error if the instance cannot start.
 pub async fn run(
     root: &Setting<'_>,
-    state: &Path,
+    state_directory: &Path,
     discovery: watch::Receiver<SocketAddr>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ServeError> {
     let settings = Settings::read(root)?;
     let (listen, max_clients) = (settings.listen, settings.connections.clients);
     let must_be_polled = settings.must_be_polled;
-    let Opened { instance, gossip, recovered } = open(settings, state).await?;
-    let revision = list_at_start(root, &instance)?;
+    let OpenedInstance { instance, gossip, recovered } = open(settings, state_directory).await?;
+    let revision = load_configured_endpoints(root, &instance)?;
     flush_outcomes(&instance, &discovery);
     follow_discovery(&instance, discovery, revision, must_be_polled);
     recover(&instance, recovered).await;
@@ -144,8 +148,8 @@
     Ok(())
 }
 
-/// Opens what the instance needs.
-async fn open(settings: Settings, state: &Path) -> Result<Opened, ServeError> {
+/// Opens the gossip socket, if configured, and the state directory, and creates the instance.
+async fn open(settings: Settings, state_directory: &Path) -> Result<OpenedInstance, ServeError> {
     let gossip = match settings.gossip {
         Some(GossipAddresses { listen, all, own }) => {
             let socket = GossipSocket::open(listen, all, own).await;
@@ -153,7 +157,7 @@
         }
         None => None,
     };
-    let opened = Wal::open(state, settings.state_bytes);
+    let opened = Wal::open(state_directory, settings.state_bytes);
     let (wal, recovered) = opened.map_err(ServeError::StateDirectory)?;
     let instance = Instance::new(InstanceParts {
         dispatcher: settings.dispatcher,
@@ -164,19 +168,25 @@
         load_reports: settings.load_reports,
     });
     instance.borrow_mut().limit_connections(settings.connections.endpoints);
-    Ok(Opened { instance, gossip, recovered })
+    Ok(OpenedInstance { instance, gossip, recovered })
 }
 
-/// Takes over the endpoint list that the configuration holds, if it does, and gives its revision.
-fn list_at_start(root: &Setting, instance: &RefCell<Instance>) -> Result<Option<u64>, ServeError> {
+/// Loads the endpoint list in the configuration and returns its revision, or `None` if the configuration has no list.
+fn load_configured_endpoints(
+    root: &Setting,
+    instance: &RefCell<Instance>,
+) -> Result<Option<u64>, ServeError> {
     let Some(known) = root.get("known") else { return Ok(None) };
     let mut instance = instance.borrow_mut();
     let revision = discovery::update_endpoints(&mut instance, known.json(), Origin::Configuration);
     Ok(Some(revision.map_err(ConfigurationError::from)?))
 }
 
-/// Recovers what the log held. Against attempts by the list that the last process had: what discovery has now counts
-/// as heard from the first moment on, and the messages go by it at once. Delays a start while discovery is silent.
+/// Recovers the messages in the log, after the first response of discovery or [`FIRST_RESPONSE_TIMEOUT`].
+///
+/// Prevents recovered messages from being attempted according to an outdated endpoint list, for example at endpoints
+/// that drain: the instance is expected to follow discovery's current list from its start on, and recovered messages
+/// are attempted immediately. Delays startup while discovery does not respond.
 async fn recover(instance: &RefCell<Instance>, recovered: BTreeMap<MessageId, RecoveredMessage>) {
     let responded = instance.borrow().discovery_responded();
     instance.borrow_mut().handle_event(|_| ());
@@ -184,11 +194,12 @@
     instance.borrow_mut().recover(recovered);
 }
 
-/// Keeps a job running that is to last as long as the process: a panic ends only what it was at.
-pub fn supervise<F: Future<Output = ()> + 'static>(job: impl Fn() -> F + 'static) {
+/// Spawns a task that should run as long as the process, and restarts it whenever it panics. A panic therefore ends only
+/// the work that the task was doing at the time.
+pub fn supervise<F: Future<Output = ()> + 'static>(create_task: impl Fn() -> F + 'static) {
     spawn_local(async move {
-        while spawn_local(job()).await.is_err() {
-            sleep(RESTART_PAUSE).await;
+        while spawn_local(create_task()).await.is_err() {
+            sleep(TASK_RESTART_DELAY).await;
         }
     });
 }
@@ -233,11 +244,15 @@
     });
 }
 
-fn accept_clients(instance: &Rc<RefCell<Instance>>, listener: TcpListener, max: usize) -> ClientConnections {
-    let (phase, seen) = watch::channel(Phase::Serving);
-    let permits = Arc::new(Semaphore::new(max));
-    let admission = clients::Admission::new(seen, permits.clone());
+fn accept_clients(
+    instance: &Rc<RefCell<Instance>>,
+    listener: TcpListener,
+    max_clients: usize,
+) -> ClientConnections {
+    let (phase, phase_receiver) = watch::channel(Phase::Serving);
+    let permits = Arc::new(Semaphore::new(max_clients));
+    let admission = clients::Admission::new(phase_receiver, permits.clone());
     let (instance, listener) = (instance.clone(), Rc::new(listener));
     supervise(move || clients::accept(instance.clone(), listener.clone(), admission.clone()));
-    ClientConnections { phase, permits, max }
+    ClientConnections { phase, permits, max_open: max_clients }
 }
