--- a/crates/quillhub-server/src/configuration.rs
+++ b/crates/quillhub-server/src/configuration.rs
@@ -1,6 +1,7 @@
-//! Reads the configuration: for each part of the server its few values.
+//! Reading of the configuration, with one function for the settings of each component.
 //!
-//! Invariant: [`check`] reads all that a start reads, so that what passes it can be started with.
+//! Invariant: [`check`] reads every setting that startup reads, so that an instance does not refuse at startup a
+//! configuration that passed the check.
 
 use quillhub::Dispatcher;
 use quillhub_settings::{Setting, SettingsError};
@@ -10,58 +11,64 @@
 use thiserror::Error;
 
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
-/// The bound of the state directory where none is configured.
+/// Default maximum size of the state directory.
 const DEFAULT_STATE_MB: f64 = 64.0;
-/// Descriptors where none are configured: the usual soft limit.
+/// Default number of file descriptors that the instance may use; the usual soft limit.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// The parts that may differ from those of the start: one takes effect at once, and only a start goes by the other.
-const CHANGEABLE_PARTS: [&str; 2] = ["discovery", "known"];
+/// Top-level settings that may change while the instance runs: `discovery` takes effect at once, and `known` matters
+/// only at startup.
+const CHANGEABLE_SETTINGS: [&str; 2] = ["discovery", "known"];
 
-/// Why a configuration cannot be used.
+/// Error in a configuration.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
-    /// It is no JSON text.
-    #[error("the configuration is no JSON: {0}")]
+    /// The text is not valid JSON.
+    #[error("the configuration is not valid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// One of its settings is missing, or has a value that it cannot have.
+    /// A setting is missing or has an invalid value.
     #[error(transparent)]
     Setting(#[from] SettingsError),
 }
 
-/// The dispatcher as it is configured.
+/// Dispatcher with all its settings applied.
 pub struct ConfiguredDispatcher {
     pub dispatcher: Dispatcher,
-    /// Whether responses hold load reports that it goes by.
+    /// `true` if the settings declare that responses contain load reports.
     pub load_reports: bool,
 }
 
-/// The addresses of gossip between instances.
+/// Addresses for gossip between instances.
 pub struct GossipAddresses {
+    /// Address on which this instance receives gossip.
     pub listen: SocketAddr,
-    /// The address that reaches all instances.
+    /// Address that reaches all instances.
     pub all: SocketAddr,
-    /// The address of this instance, if it is known.
+    /// Address of this instance, if it is known.
     pub own: Option<SocketAddr>,
 }
 
-/// What the instance may use of the machine.
+/// Limits on resources of the machine.
 pub struct ResourceLimits {
+    /// Maximum size of the state directory in bytes.
     pub state_bytes: u64,
+    /// Number of file descriptors that the process may use.
     pub descriptors: usize,
 }
 
-/// The times of connections to endpoints.
+/// Timeouts of connections to endpoints. `Duration::MAX` stands for a timeout that is not configured.
 pub struct ConnectionTimeouts {
-    /// How long one may take to open.
+    /// Maximum time for opening a connection.
     pub connect: Duration,
-    /// How long one may be idle before its endpoint closes it.
+    /// Time after which endpoints close an idle connection.
     pub idle: Duration,
 }
 
+/// Parses the JSON text of a configuration.
 pub fn parse(text: &str) -> Result<Value, ConfigurationError> {
     Ok(serde_json::from_str(text)?)
 }
 
+/// Creates the dispatcher from the settings `seed` and `settings`.
 pub fn dispatcher(root: &Setting) -> Result<ConfiguredDispatcher, ConfigurationError> {
     let seed = root.require("seed")?;
     let number =
@@ -72,17 +79,17 @@
     Ok(ConfiguredDispatcher { dispatcher, load_reports })
 }
 
-/// Where clients connect.
+/// Returns the address on which clients connect.
 pub fn listen(root: &Setting) -> Result<SocketAddr, ConfigurationError> {
     Ok(root.require("listen")?.as_address()?)
 }
 
-/// Where discovery and the platform are.
+/// Returns the address of discovery and the platform.
 pub fn discovery(root: &Setting) -> Result<SocketAddr, ConfigurationError> {
     Ok(root.require("discovery")?.as_address()?)
 }
 
-/// The addresses of gossip, if instances may exchange any.
+/// Returns the addresses for gossip, or `None` if they are not configured or the settings do not allow gossip.
 pub fn gossip(root: &Setting) -> Result<Option<GossipAddresses>, ConfigurationError> {
     let settings = root.require("settings")?;
     let (Some(listen), Some(all)) = (root.get("peer_listen"), root.get("peers_all")) else {
@@ -97,6 +104,7 @@
     Ok(Some(GossipAddresses { listen: listen.as_address()?, all: all.as_address()?, own }))
 }
 
+/// Returns the configured or default limits on the state directory and on file descriptors.
 pub fn resource_limits(root: &Setting) -> Result<ResourceLimits, ConfigurationError> {
     let limits = root.section("limits");
     let megabytes = limits.optional("disk_mb", Setting::as_f64)?.unwrap_or(DEFAULT_STATE_MB);
@@ -104,6 +112,7 @@
     Ok(ResourceLimits { state_bytes: (megabytes * BYTES_PER_MB) as u64, descriptors: descriptors as usize })
 }
 
+/// Returns the timeouts of connections to endpoints.
 pub fn connection_timeouts(root: &Setting) -> Result<ConnectionTimeouts, ConfigurationError> {
     let limits = root.require("settings")?.section("limits");
     Ok(ConnectionTimeouts {
@@ -112,27 +121,28 @@
     })
 }
 
-/// Whether discovery sends changes only when the dispatcher polls it.
+/// Returns `true` if discovery reports changes only to instances that poll it.
 pub fn must_be_polled(root: &Setting) -> Result<bool, ConfigurationError> {
     let mode = root.require("settings")?.optional("membershipMode", Setting::as_str)?;
     Ok(mode == Some("subscribe"))
 }
 
-/// The names of the parts that take effect only at the next start, and differ.
-pub fn differing(one: &Value, other: &Value) -> Vec<String> {
-    let names = |value: &Value| value.as_object().map_or(Vec::new(), |parts| parts.keys().cloned().collect());
-    let mut names: Vec<String> = [names(one), names(other)].concat();
+/// Returns the names of the top-level settings that differ between `old` and `new` and take effect only after a restart.
+pub fn settings_requiring_restart(old: &Value, new: &Value) -> Vec<String> {
+    let names =
+        |value: &Value| value.as_object().map_or(Vec::new(), |settings| settings.keys().cloned().collect());
+    let mut names: Vec<String> = [names(old), names(new)].concat();
     names.sort();
     names.dedup();
-    names.retain(|name| !CHANGEABLE_PARTS.contains(&name.as_str()) && one.get(name) != other.get(name));
+    names.retain(|name| !CHANGEABLE_SETTINGS.contains(&name.as_str()) && old.get(name) != new.get(name));
     names
 }
 
-/// Reads all of a configuration and does nothing with it.
+/// Checks a complete configuration.
 ///
 /// # Errors
 ///
-/// What cannot be used of it first.
+/// Returns the first error in the configuration.
 pub fn check(root: &Setting) -> Result<(), ConfigurationError> {
     dispatcher(root)?;
     listen(root)?;
--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -59,7 +59,7 @@
     unusable["seed"] = json!("x");
     moved["discovery"] = json!("127.0.0.1:3");
     moved["listen"] = json!("127.0.0.1:4");
-    assert_eq!(configuration::differing(&started_with, &moved), ["listen"]);
+    assert_eq!(configuration::settings_requiring_restart(&started_with, &moved), ["listen"]);
     let missing = ReadError { path: "configuration.json".into(), source: ErrorKind::NotFound.into() };
     let mut texts = vec![Ok(moved.to_string()), Ok(unusable.to_string()), Err(missing)];
     on_one_thread(async {
--- a/crates/quillhub-server/src/reload.rs
+++ b/crates/quillhub-server/src/reload.rs
@@ -1,6 +1,6 @@
-//! Reload: takes up new configurations while the instance runs.
+//! Reload: applies new configurations while the instance runs.
 //!
-//! Invariant: a configuration that cannot be used changes nothing.
+//! Invariant: an invalid configuration changes nothing.
 
 use crate::configuration::{self, ConfigurationError};
 use crate::error::ReadError;
@@ -11,38 +11,39 @@
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
-/// What a new configuration changes.
+/// Changes in a new configuration.
 struct Reload {
-    /// Where discovery and the platform are.
+    /// Address of discovery and the platform.
     discovery: SocketAddr,
-    /// The parts that differ and are only heeded at the next start.
-    at_next_start: Vec<String>,
+    /// Names of the changed top-level settings that take effect only after a restart.
+    requiring_restart: Vec<String>,
 }
 
 impl Reload {
+    /// Reads a new configuration and compares it to the one that the instance was started with.
     fn read(started_with: &Value, text: &str) -> Result<Self, ConfigurationError> {
         let value = configuration::parse(text)?;
         let root = Setting::root(&value);
         configuration::check(&root)?;
         Ok(Self {
             discovery: configuration::discovery(&root)?,
-            at_next_start: configuration::differing(started_with, &value),
+            requiring_restart: configuration::settings_requiring_restart(started_with, &value),
         })
     }
 
-    /// Notifies whoever calls discovery or the platform of their address, and logs what waits for the next start.
+    /// Publishes the address of discovery and the platform, and logs the changes that require a restart.
     fn apply(self, address: &watch::Sender<SocketAddr>) {
         let discovery = self.discovery;
         let moved = address.send_if_modified(|old| std::mem::replace(old, discovery) != discovery);
         tracing::info!(%discovery, moved, "configuration reloaded");
-        if !self.at_next_start.is_empty() {
-            let parts = self.at_next_start;
-            tracing::warn!(?parts, "changed parts of the configuration wait for the next start");
+        if !self.requiring_restart.is_empty() {
+            let parts = self.requiring_restart;
+            tracing::warn!(?parts, "changed parts of the configuration take effect only after a restart");
         }
     }
 }
 
-/// Takes up new configurations as they come; `address` is where discovery and the platform are.
+/// Applies each configuration that `next` returns. `address` publishes the address of discovery and the platform.
 pub async fn follow(
     started_with: &Value,
     address: &watch::Sender<SocketAddr>,
@@ -60,5 +61,5 @@
 }
 
 fn log_unusable(error: &dyn Display) {
-    tracing::error!(%error, "new configuration cannot be used, the old one stays");
+    tracing::error!(%error, "new configuration cannot be used; keeping the old one");
 }
--- a/crates/quillhub-server/tests/configurations.rs
+++ b/crates/quillhub-server/tests/configurations.rs
@@ -150,8 +150,8 @@
 }
 
 #[test]
-fn text_that_is_no_json_is_refused_with_its_line_and_column() {
-    let prefix = "the configuration is no JSON: ";
+fn text_that_is_not_valid_json_is_refused_with_its_line_and_column() {
+    let prefix = "the configuration is not valid JSON: ";
     for (text, message) in [
         ("", "EOF while parsing a value at line 1 column 0"),
         ("{", "EOF while parsing an object at line 1 column 1"),
