--- a/crates/quillhub-server/src/command.rs
+++ b/crates/quillhub-server/src/command.rs
@@ -1,6 +1,6 @@
-//! The command line.
+//! Command line of the program `quillhub`.
 //!
-//! Invariant: what fails is printed in one line, with exit status 2.
+//! Invariant: a command that fails prints one line to standard error and exits with status 2.
 
 use crate::{ConfigurationError, ReadError, ServeError};
 use argh::FromArgs;
@@ -10,15 +10,17 @@
 use thiserror::Error;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Exit status of a command that failed.
-const FAILED: u8 = 2;
+/// Exit status of a command that failed. A command line that cannot be parsed has status 1, which argh sets.
+const EXIT_FAILED: u8 = 2;
 
-const CONFIGURATION: PathSource = PathSource { option: "--config", variable: "RELAY_CONFIG" };
-const STATE_DIRECTORY: PathSource = PathSource { option: "--state", variable: "RELAY_STATE" };
+/// Source of the path of the configuration file.
+const CONFIGURATION_PATH: PathSource = PathSource { option: "--config", variable: "RELAY_CONFIG" };
+/// Source of the path of the state directory.
+const STATE_DIRECTORY_PATH: PathSource = PathSource { option: "--state", variable: "RELAY_STATE" };
 
-// The doc comments of the following types are what `--help` prints.
+// `--help` prints the doc comments of the following types.
 
-/// A courier of quillhub, an outbound gateway: takes notices and delivers them to partners' systems.
+/// Outbound message gateway: accepts messages from clients and delivers them to the endpoints of partners.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -33,26 +35,26 @@
     Version(Version),
 }
 
-/// Run a courier until SIGTERM or SIGINT; SIGHUP makes it read its configuration again.
+/// Run a gateway instance until SIGTERM or SIGINT; SIGHUP reloads the configuration file.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// configuration file (default: the one that $RELAY_CONFIG names)
+    /// configuration file (default: $RELAY_CONFIG)
     #[argh(option)]
     config: Option<PathBuf>,
-    /// folder that outlasts the process (default: the one that $RELAY_STATE names)
+    /// state directory, which must be kept across restarts (default: $RELAY_STATE)
     #[argh(option)]
     state: Option<PathBuf>,
-    /// least level of log lines: error, warn, info, debug or trace (default: info)
+    /// minimum level of log events: error, warn, info, debug or trace (default: info)
     #[argh(option, default = "tracing::Level::INFO")]
     log: tracing::Level,
 }
 
-/// Read a configuration file and say what is wrong with it.
+/// Check a configuration file and print the first error in it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// configuration file (default: the one that $RELAY_CONFIG names)
+    /// configuration file (default: $RELAY_CONFIG)
     #[argh(option)]
     config: Option<PathBuf>,
 }
@@ -62,16 +64,16 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error("expected {} or ${}, found neither", .0.option, .0.variable)]
     MissingPath(PathSource),
     #[error(transparent)]
     Read(#[from] ReadError),
-    #[error("the runtime cannot start: {0}")]
+    #[error("the async runtime cannot be started: {0}")]
     Runtime(#[source] io::Error),
-    #[error("signals cannot be caught: {0}")]
+    #[error("signal handlers cannot be installed: {0}")]
     Signals(#[source] io::Error),
     #[error(transparent)]
     Check(#[from] ConfigurationError),
@@ -79,7 +81,7 @@
     Serve(#[from] ServeError),
 }
 
-/// Where a path is given: by an option, or else by an environment variable.
+/// Option for a path, with the environment variable that is used if the option is missing.
 #[derive(Clone, Copy, Debug)]
 struct PathSource {
     option: &'static str,
@@ -87,18 +89,21 @@
 }
 
 impl PathSource {
-    fn path(self, given: Option<PathBuf>) -> Result<PathBuf, CommandError> {
-        given
+    /// Returns the path given by the option, or else the one in the environment variable.
+    fn get(self, option: Option<PathBuf>) -> Result<PathBuf, CommandError> {
+        option
             .or_else(|| std::env::var_os(self.variable).map(PathBuf::from))
             .ok_or(CommandError::MissingPath(self))
     }
 }
 
+/// Reads a text file; the error names its path.
 fn read_file(path: &Path) -> Result<String, ReadError> {
     std::fs::read_to_string(path).map_err(|source| ReadError { path: path.to_owned(), source })
 }
 
-fn catch(kind: SignalKind) -> Result<Signal, CommandError> {
+/// Installs a handler for a signal, which from then on no longer ends the process.
+fn install_handler(kind: SignalKind) -> Result<Signal, CommandError> {
     signal(kind).map_err(CommandError::Signals)
 }
 
@@ -106,18 +111,19 @@
     fn execute(self) -> Result<(), CommandError> {
         let subscriber = tracing_subscriber::fmt().with_max_level(self.log).with_ansi(false);
         subscriber.with_writer(std::io::stderr).init();
-        let configuration = CONFIGURATION.path(self.config)?;
-        let state = STATE_DIRECTORY.path(self.state)?;
+        let configuration = CONFIGURATION_PATH.get(self.config)?;
+        let state_directory = STATE_DIRECTORY_PATH.get(self.state)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        runtime.map_err(CommandError::Runtime)?.block_on(serve(&configuration, &state))
+        runtime.map_err(CommandError::Runtime)?.block_on(serve(&configuration, &state_directory))
     }
 }
 
-async fn serve(configuration: &Path, state: &Path) -> Result<(), CommandError> {
-    // All are caught before anything else is done: one that is not ends the process.
-    let mut hangup = catch(SignalKind::hangup())?;
-    let mut terminate = catch(SignalKind::terminate())?;
-    let mut interrupt = catch(SignalKind::interrupt())?;
+/// Serves until SIGTERM or SIGINT, and reloads the configuration file on SIGHUP.
+async fn serve(configuration: &Path, state_directory: &Path) -> Result<(), CommandError> {
+    // Installed before anything else, because a signal without a handler ends the process.
+    let mut hangup = install_handler(SignalKind::hangup())?;
+    let mut terminate = install_handler(SignalKind::terminate())?;
+    let mut interrupt = install_handler(SignalKind::interrupt())?;
     let stop = async move {
         tokio::select! {
             _ = terminate.recv() => {}
@@ -129,12 +135,12 @@
         None => std::future::pending().await,
     };
     let text = read_file(configuration)?;
-    Ok(crate::serve(&text, state, stop, next_configuration).await?)
+    Ok(crate::serve(&text, state_directory, stop, next_configuration).await?)
 }
 
 impl Check {
     fn execute(self) -> Result<(), CommandError> {
-        let text = read_file(&CONFIGURATION.path(self.config)?)?;
+        let text = read_file(&CONFIGURATION_PATH.get(self.config)?)?;
         crate::check(&text)?;
         println!("the configuration can be used");
         Ok(())
@@ -152,13 +158,13 @@
     }
 }
 
-/// Executes the command of this process's command line.
+/// Executes the command that the command line of the process selects, and returns the exit status.
 pub fn run() -> ExitCode {
     match execute(argh::from_env::<Arguments>().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("quillhub: {error}");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
--- a/crates/quillhub-server/src/error.rs
+++ b/crates/quillhub-server/src/error.rs
@@ -1,32 +1,32 @@
-//! Why an instance cannot start, or go by a new configuration.
+//! Errors of starting an instance and of reading its configuration file.
 
 use crate::configuration::ConfigurationError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why [`serve`](crate::serve) cannot run an instance; the text is one line.
+/// Error of [`serve`](crate::serve). The text is a single line.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The configuration cannot be used.
+    /// The configuration is invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// The address for gossip with other instances cannot be used.
-    #[error("the address for notes cannot be used: {0}")]
+    /// The socket for gossip with other instances cannot be opened.
+    #[error("the gossip address (peer_listen) cannot be used: {0}")]
     GossipAddress(#[source] io::Error),
     /// The state directory cannot be read, or no segment can be created in it.
-    #[error("the lasting folder cannot be used: {0}")]
+    #[error("the state directory cannot be used: {0}")]
     StateDirectory(#[source] io::Error),
-    /// The clients' address cannot be listened on.
-    #[error("the address cannot be listened on: {0}")]
+    /// The address for clients cannot be bound.
+    #[error("the client address (listen) cannot be used: {0}")]
     Listen(#[source] io::Error),
 }
 
-/// A file cannot be read.
+/// Error of reading a configuration file.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", path.display())]
 pub struct ReadError {
-    /// The file.
+    /// Path of the file.
     pub path: PathBuf,
-    /// Why not.
+    /// Error of the file system.
     pub source: io::Error,
 }
--- a/crates/quillhub-server/src/lib.rs
+++ b/crates/quillhub-server/src/lib.rs
@@ -1,7 +1,7 @@
-//! A gateway instance on sockets, to run as a program or to embed.
+//! Network server of a quillhub gateway instance, usable as a program and as a library.
 //!
-//! [`serve`] runs one instance on the current thread, inside a [`tokio::task::LocalSet`] of its own. The decisions are
-//! the dispatcher's, in the crate `quillhub`; this crate brings it the events and carries out what it decides.
+//! [`serve`] runs one instance on the current thread, in a [`tokio::task::LocalSet`] of its own. The dispatcher in the
+//! crate `quillhub` makes all decisions; this crate reports events to it and executes the decisions.
 
 mod attempts;
 mod clients;
@@ -34,18 +34,22 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-/// Runs an instance with the configuration in `text`, its state directory at `state`, until `stop` is done and its
-/// messages are finished or left to the next process. `next` waits for a new configuration and gives its text; it is
-/// called again and again. What can change while the instance runs is where discovery and the platform are.
+/// Runs an instance with the configuration in `text` until `stop` completes, and then shuts it down.
+///
+/// The shutdown ends when all messages are finished or when its deadlines have passed. Messages that are unfinished then
+/// remain in `state_directory` for the next process.
+///
+/// `next_configuration` is called repeatedly. It waits for a new configuration and returns its text. Only the address of
+/// discovery and the platform can change while the instance runs.
 ///
 /// # Errors
 ///
-/// If the instance cannot start.
+/// Returns an error if the instance cannot start.
 pub async fn serve(
     text: &str,
-    state: &Path,
+    state_directory: &Path,
     stop: impl Future<Output = ()>,
-    next: impl AsyncFnMut() -> Result<String, ReadError>,
+    next_configuration: impl AsyncFnMut() -> Result<String, ReadError>,
 ) -> Result<(), ServeError> {
     let value = configuration::parse(text)?;
     let root = Setting::root(&value);
@@ -53,18 +57,18 @@
     LocalSet::new()
         .run_until(async {
             tokio::select! {
-                ended = startup::run(&root, state, discovery, stop) => ended,
-                never = reload::follow(&value, &address, next) => match never {},
+                result = startup::run(&root, state_directory, discovery, stop) => result,
+                never = reload::follow(&value, &address, next_configuration) => match never {},
             }
         })
         .await
 }
 
-/// Reads all of a configuration, as [`serve`] does, and does nothing with it.
+/// Checks a configuration as [`serve`] does, without starting an instance.
 ///
 /// # Errors
 ///
-/// What is wrong with it, in one line.
+/// Returns the first error in the configuration; its text is a single line.
 pub fn check(text: &str) -> Result<(), ConfigurationError> {
     configuration::check(&Setting::root(&configuration::parse(text)?))
 }
--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -48,7 +48,7 @@
     let error = on_one_thread(serve(&configuration().to_string(), &missing, async {}, pending))
         .unwrap_err()
         .to_string();
-    assert!(error.starts_with("the lasting folder cannot be used"), "{error}");
+    assert!(error.starts_with("the state directory cannot be used"), "{error}");
 }
 
 #[test]
--- a/crates/quillhub-server/src/main.rs
+++ b/crates/quillhub-server/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: all of it is in the library.
+//! Program `quillhub`, implemented in the library.
 
 fn main() -> std::process::ExitCode {
     quillhub_server::command::run()
--- a/crates/quillhub-server/src/reload.rs
+++ b/crates/quillhub-server/src/reload.rs
@@ -43,14 +43,14 @@
     }
 }
 
-/// Applies each configuration that `next` returns. `address` publishes the address of discovery and the platform.
+/// Applies each configuration that `next_configuration` returns. `address` publishes the address of discovery and the platform.
 pub async fn follow(
     started_with: &Value,
     address: &watch::Sender<SocketAddr>,
-    mut next: impl AsyncFnMut() -> Result<String, ReadError>,
+    mut next_configuration: impl AsyncFnMut() -> Result<String, ReadError>,
 ) -> Infallible {
     loop {
-        match next().await {
+        match next_configuration().await {
             Ok(text) => match Reload::read(started_with, &text) {
                 Ok(reload) => reload.apply(address),
                 Err(error) => log_unusable(&error),
--- a/crates/quillhub-server/tests/configurations.rs
+++ b/crates/quillhub-server/tests/configurations.rs
@@ -22,7 +22,7 @@
 
 const ACCEPTED: &str = "the configuration can be used\n";
 const ADDRESS_IN_USE: &str =
-    "quillhub: the address cannot be listened on: Address already in use (os error 98)\n";
+    "quillhub: the client address (listen) cannot be used: Address already in use (os error 98)\n";
 
 /// One changed value of the complete configuration.
 struct Change {
@@ -208,7 +208,7 @@
     assert_ended(by_option, 0, ACCEPTED, "");
     let mut serve = program(&["serve"]);
     serve.env(CONFIG_VARIABLE, &path).env(STATE_VARIABLE, folder.0.join("missing"));
-    let line = "quillhub: the lasting folder cannot be used: No such file or directory (os error 2)\n";
+    let line = "quillhub: the state directory cannot be used: No such file or directory (os error 2)\n";
     assert_ended(serve, FAILED, "", line);
 }
 
@@ -250,7 +250,7 @@
         (folder.0.join("missing"), "No such file or directory (os error 2)"),
         (path.clone(), "Not a directory (os error 20)"),
     ] {
-        let line = format!("quillhub: the lasting folder cannot be used: {cause}\n");
+        let line = format!("quillhub: the state directory cannot be used: {cause}\n");
         assert_ended(serve(&path, &state), FAILED, "", &line);
     }
 }
@@ -273,7 +273,8 @@
     let mut configuration = complete();
     configuration["peer_listen"] = taken.local_addr().expect("it is bound").to_string().into();
     let path = written(&folder, configuration.to_string());
-    let line = "quillhub: the address for notes cannot be used: Address already in use (os error 98)\n";
+    let line =
+        "quillhub: the gossip address (peer_listen) cannot be used: Address already in use (os error 98)\n";
     assert_ended(serve(&path, &state.0), FAILED, "", line);
 }
 
