--- a/crates/quillhub-server/src/attempts/tests.rs
+++ b/crates/quillhub-server/src/attempts/tests.rs
@@ -1,6 +1,6 @@
 use super::response::load_report;
 use super::*;
-use crate::test_support::{LONG, OK, answering, on_one_thread};
+use crate::test_support::{OK, UNREACHED_TIMEOUT, answering, on_one_thread};
 use quillhub::{AttemptOutcome, LoadReport};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -14,7 +14,8 @@
     request: impl Fn(Duration) -> Vec<u8>,
     may_send_request: impl Fn() -> bool,
 ) -> (Result<Response, CallError>, Option<HttpConnection>) {
-    let attempt = Attempt { pooled, address, connect_timeout: LONG, timeout, request, may_send_request };
+    let attempt =
+        Attempt { pooled, address, connect_timeout: UNREACHED_TIMEOUT, timeout, request, may_send_request };
     let AttemptEnd { result, reusable } = attempt.run().await;
     (result, reusable)
 }
@@ -23,7 +24,7 @@
 fn end(answer: &'static [u8]) -> (AttemptOutcome, bool, bool) {
     on_one_thread(async {
         let (at, _requests) = answering(vec![answer]).await;
-        let (end, link) = call(None, at, LONG, |_| b"x".to_vec(), || true).await;
+        let (end, link) = call(None, at, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await;
         let Verdict { outcome, finished } = Verdict::of(&end, false);
         (outcome, finished, link.is_some())
     })
@@ -104,7 +105,7 @@
         on_one_thread(async {
             let (at, _requests) = answering(vec![answer]).await;
             let link = if on_new_connection { None } else { HttpConnection::open(at).await.ok() };
-            let (end, _) = call(link, at, LONG, |_| b"x".to_vec(), || true).await;
+            let (end, _) = call(link, at, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await;
             assert_eq!(Verdict::of(&end, load_reports), Verdict { outcome: expected, finished: false });
         });
     }
@@ -166,7 +167,7 @@
         let short = Duration::from_millis(20);
         let closed = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         assert!(matches!(
-            call(None, closed, LONG, |_| b"x".to_vec(), || true).await.0,
+            call(None, closed, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await.0,
             Err(CallError::ConnectFailed)
         ));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -182,7 +183,7 @@
             call(open().await, silent, short, |_| endless.clone(), || true).await.0,
             Err(CallError::ConnectFailed)
         ));
-        let (end, link) = call(None, silent, LONG, |_| b"x".to_vec(), || false).await;
+        let (end, link) = call(None, silent, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || false).await;
         assert!(matches!(end, Err(CallError::NotSent)) && link.is_some());
         let ends =
             [CallError::NotSent, CallError::ConnectFailed, CallError::ConnectionReset, CallError::TimedOut]
@@ -232,7 +233,7 @@
                 }
                 rest
             });
-            let (end, link) = call(Some(pooled), at, LONG, |_| b"xyz".to_vec(), || true).await;
+            let (end, link) = call(Some(pooled), at, UNREACHED_TIMEOUT, |_| b"xyz".to_vec(), || true).await;
             // The new connection is refused, as nobody listens any more: so nothing has run.
             assert!(matches!(end, Err(CallError::ConnectFailed)) && link.is_none());
             assert!(!peer.await.unwrap().ends_with(b"z"), "the last byte never came");
--- a/crates/quillhub-server/src/instance/tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -2,8 +2,9 @@
 use super::submission::{InvalidSubmission, SubmitFailure};
 use super::*;
 use crate::test_support::{
-    OK, STATE_BUDGET, StateDirectory, TIME_TO_LIVE, answering, endpoint_in, instance, on_one_thread,
-    pending_in, silent_endpoint, submission, submit, submit_body, until_attempts_ended, until_idle,
+    OK, STATE_BUDGET_BYTES, StateDirectory, TIME_TO_LIVE, answering, endpoint_update, instance,
+    on_one_thread, pending_in, silent_endpoint, submission, submit, submit_body, until_attempts_ended,
+    until_idle,
 };
 use quillhub::{AttemptOutcome, Driver, EndpointState};
 
@@ -56,7 +57,7 @@
         let accepted = (0..9).take_while(|_| matches!(submit(), SubmitOutcome::Accepted(_))).count();
         assert!((3..9).contains(&accepted));
         assert_eq!(submit(), SubmitOutcome::Busy { retry_after: None });
-        assert!(directory.size() <= STATE_BUDGET);
+        assert!(directory.size() <= STATE_BUDGET_BYTES);
     });
 }
 
@@ -122,7 +123,7 @@
 fn an_attempt_sends_nothing_after_its_client_left_or_its_endpoint_drained_or_requested_a_wait() {
     let listed = |state| {
         move |instance: &mut Instance| {
-            instance.handle_event(|dispatcher| dispatcher.endpoint_updated(endpoint_in(state)))
+            instance.handle_event(|dispatcher| dispatcher.endpoint_updated(endpoint_update(state)))
         }
     };
     let rejected = AttemptResult {
--- a/crates/quillhub-server/src/pool_tests.rs
+++ b/crates/quillhub-server/src/pool_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::test_support::{LONG, on_one_thread};
+use crate::test_support::{UNREACHED_TIMEOUT, on_one_thread};
 use tokio::net::TcpListener;
 
 #[test]
@@ -7,7 +7,7 @@
     on_one_thread(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let mut pool = ConnectionPool::new(LONG, 2);
+        let mut pool = ConnectionPool::new(UNREACHED_TIMEOUT, 2);
         pool.listed("e", address);
         pool.put_back("e", HttpConnection::open(address).await.unwrap());
         assert!(pool.take("e").is_some() && pool.take("e").is_none());
@@ -40,7 +40,7 @@
         for received in [&b""[..], b"HTTP/1.1 40"] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let address = listener.local_addr().unwrap();
-            let mut pool = ConnectionPool::new(LONG, 2);
+            let mut pool = ConnectionPool::new(UNREACHED_TIMEOUT, 2);
             pool.listed("e", address);
             pool.put_back("e", HttpConnection::open(address).await.unwrap());
             let mut peer = listener.accept().await.unwrap().0.into_std().unwrap();
--- a/crates/quillhub-server/src/test_support.rs
+++ b/crates/quillhub-server/src/test_support.rs
@@ -1,4 +1,5 @@
-//! Support of the tests: a configuration, an instance on it, messages, and a look into a state directory.
+//! Helpers for tests: a configuration, an instance with that configuration, messages, and the content of a state
+//! directory.
 
 use crate::instance::{Instance, InstanceParts, Submission, SubmitOutcome};
 use crate::pool::ConnectionPool;
@@ -15,16 +16,17 @@
 use std::time::{Duration, SystemTime};
 use tokio::net::TcpListener;
 
-/// Longer than any test takes.
-pub const LONG: Duration = Duration::from_secs(60);
-/// How long the messages of the tests have.
+/// Timeout that is longer than any test and so never expires.
+pub const UNREACHED_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time from submission to deadline of the messages in tests.
 pub const TIME_TO_LIVE: Duration = Duration::from_secs(9);
-/// The destination that an instance of the tests knows, by its one endpoint `e`.
+/// Destination that the instances in tests know, with `e` as its only endpoint.
 pub const DESTINATION: u64 = 9;
-/// Octets that a state directory of the tests may hold.
-pub const STATE_BUDGET: u64 = 1 << 20;
+/// Maximum size of the state directories in tests.
+pub const STATE_BUDGET_BYTES: u64 = 1 << 20;
 
-/// A configuration of an instance with a state directory of 1 MB; all its addresses are picked by the system.
+/// Returns the configuration of an instance with a state directory of 1 MB. The system chooses the port for clients;
+/// nothing listens at discovery's address.
 pub fn configuration() -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
         "limits": {"sockets": 256, "disk_mb": 1},
@@ -34,7 +36,7 @@
             {"name": "marked", "effect": "guarded", "memorySpanUs": 3000000, "aimUs": 1000000, "giveUpUs": 9000000}]}})
 }
 
-/// Builds an instance on a state directory, whose messages it recovers, with [`DESTINATION`]'s endpoint `e`.
+/// Builder of an instance that recovers the messages of a state directory and knows the endpoint `e` of [`DESTINATION`].
 pub struct InstanceBuilder<'a> {
     directory: &'a StateDirectory,
     endpoint: SocketAddr,
@@ -43,51 +45,51 @@
 }
 
 impl<'a> InstanceBuilder<'a> {
-    /// With the settings of [`configuration`].
+    /// Creates a builder with the settings of [`configuration`].
     pub fn new(directory: &'a StateDirectory, endpoint: SocketAddr) -> Self {
         Self { directory, endpoint, seed: 7, settings: configuration()["settings"].take() }
     }
 
-    /// With another seed.
+    /// Replaces the seed.
     pub fn seed(self, seed: u64) -> Self {
         Self { seed, ..self }
     }
 
-    /// With other settings.
+    /// Replaces the settings.
     pub fn settings(self, settings: Value) -> Self {
         Self { settings, ..self }
     }
 
-    /// Starts it.
+    /// Creates the instance and recovers the messages.
     pub fn build(self) -> Rc<RefCell<Instance>> {
         let (dispatcher, _) = quillhub_settings::read(self.seed, &self.settings).unwrap();
-        let (wal, recovered) = Wal::open(&self.directory.0, STATE_BUDGET).unwrap();
+        let (wal, recovered) = Wal::open(&self.directory.0, STATE_BUDGET_BYTES).unwrap();
         let instance = Instance::new(InstanceParts {
             dispatcher,
             wal,
-            pool: ConnectionPool::new(LONG, 8),
-            connect_timeout: LONG,
+            pool: ConnectionPool::new(UNREACHED_TIMEOUT, 8),
+            connect_timeout: UNREACHED_TIMEOUT,
             gossip: None,
             load_reports: false,
         });
-        let mut new = instance.borrow_mut();
-        new.endpoint_listed("e", self.endpoint);
-        new.handle_event(|dispatcher| {
-            dispatcher.endpoint_updated(endpoint_in(EndpointState::Available));
+        let mut borrowed = instance.borrow_mut();
+        borrowed.endpoint_listed("e", self.endpoint);
+        borrowed.handle_event(|dispatcher| {
+            dispatcher.endpoint_updated(endpoint_update(EndpointState::Available));
             dispatcher.endpoint_list_ended(None, false);
         });
-        new.recover(recovered);
-        drop(new);
+        borrowed.recover(recovered);
+        drop(borrowed);
         instance
     }
 }
 
-/// An instance with the settings of [`configuration`].
+/// Creates an instance with the settings of [`configuration`].
 pub fn instance(directory: &StateDirectory, endpoint: SocketAddr) -> Rc<RefCell<Instance>> {
     InstanceBuilder::new(directory, endpoint).build()
 }
 
-/// The same with another seed and other settings.
+/// Creates an instance with the given seed and settings.
 pub fn instance_with(
     seed: u64,
     settings: &Value,
@@ -97,17 +99,17 @@
     InstanceBuilder::new(directory, endpoint).seed(seed).settings(settings.clone()).build()
 }
 
-/// Discovery's word on the endpoint `e`.
-pub fn endpoint_in(state: EndpointState) -> EndpointUpdate<'static> {
+/// Returns the update by which discovery reports that the endpoint `e` is in `state`.
+pub fn endpoint_update(state: EndpointState) -> EndpointUpdate<'static> {
     EndpointUpdate { name: "e", zone: "", kind: "", destination: DESTINATION, state, listed_rate: None }
 }
 
-/// Submits a message with an id of its own.
+/// Submits a message with a unique client id.
 pub fn submit(instance: &RefCell<Instance>, service_class: &str) -> SubmitOutcome {
     submit_body(instance, service_class, b"\0body")
 }
 
-/// The same with a body.
+/// Submits a message with a unique client id and the given body.
 pub fn submit_body(instance: &RefCell<Instance>, service_class: &str, body: &[u8]) -> SubmitOutcome {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let client_id = format!("ab{}", NUMBER.fetch_add(1, Ordering::Relaxed));
@@ -115,7 +117,7 @@
     instance.borrow_mut().submit(submission)
 }
 
-/// A submission to [`DESTINATION`].
+/// Returns a submission to [`DESTINATION`].
 pub fn submission(service_class: &str) -> Submission<'_> {
     Submission {
         service_class,
@@ -128,7 +130,7 @@
     }
 }
 
-/// A message to [`DESTINATION`] as a log holds it, without keys.
+/// Returns a message to [`DESTINATION`], without ordering key and idempotency key, as the log stores it.
 pub fn message(service_class: &str) -> RecoveredMessage {
     RecoveredMessage {
         service_class: service_class.into(),
@@ -140,9 +142,9 @@
     }
 }
 
-/// A log in `directory` that holds `messages`, whose ids count from 1.
+/// Creates a log in `directory` that contains `messages`, whose ids count from 1.
 pub fn log_with(directory: &StateDirectory, messages: &[RecoveredMessage]) -> Wal {
-    let (mut wal, _) = Wal::open(&directory.0, STATE_BUDGET).unwrap();
+    let (mut wal, _) = Wal::open(&directory.0, STATE_BUDGET_BYTES).unwrap();
     for message in messages {
         let id = wal.next_id();
         wal.record_accepted(id, &accepted_payload(message)).unwrap();
@@ -150,18 +152,18 @@
     wal
 }
 
-/// The pending messages of a state directory.
+/// Returns the unfinished messages in a state directory.
 pub fn pending_in(directory: &StateDirectory) -> BTreeMap<MessageId, RecoveredMessage> {
-    Wal::open(&directory.0, STATE_BUDGET).unwrap().1
+    Wal::open(&directory.0, STATE_BUDGET_BYTES).unwrap().1
 }
 
-/// An address where connections are made and nothing is answered, as long as the listener lives.
+/// Returns an address that accepts connections and never responds, as long as the listener exists.
 pub async fn silent_endpoint() -> (SocketAddr, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     (listener.local_addr().unwrap(), listener)
 }
 
-/// Waits until nothing is left to do.
+/// Waits until the instance has no pending message, no attempt in flight and no unconfirmed outcome.
 pub async fn until_idle(instance: &RefCell<Instance>) {
     while !instance.borrow().is_idle() {
         tokio::task::yield_now().await;
