--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -15,8 +15,8 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Long enough for the tasks of an instance to run.
-const MOMENT: Duration = Duration::from_millis(5);
+/// Delay that lets the tasks of an instance run.
+const TASK_DELAY: Duration = Duration::from_millis(5);
 
 #[test]
 fn an_unusable_configuration_is_reported_in_one_line() {
@@ -40,10 +40,10 @@
 }
 
 #[test]
-fn an_idle_instance_stops_on_request() {
+fn an_idle_instance_stops_on_request_and_an_unusable_state_directory_is_reported() {
     let directory = StateDirectory::new();
-    let ran = on_one_thread(serve(&configuration().to_string(), &directory.0, async {}, pending));
-    ran.unwrap();
+    let result = on_one_thread(serve(&configuration().to_string(), &directory.0, async {}, pending));
+    result.unwrap();
     let missing = directory.0.join("missing");
     let error = on_one_thread(serve(&configuration().to_string(), &missing, async {}, pending))
         .unwrap_err()
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_reload_moves_discovery_and_an_unusable_configuration_changes_nothing() {
+fn a_reload_changes_discoverys_address_and_an_invalid_configuration_changes_nothing() {
     let started_with = configuration();
     let (mut unusable, mut moved) = (configuration(), configuration());
     unusable["discovery"] = json!("127.0.0.1:2");
@@ -63,10 +63,10 @@
     let missing = ReadError { path: "configuration.json".into(), source: ErrorKind::NotFound.into() };
     let mut texts = vec![Ok(moved.to_string()), Ok(unusable.to_string()), Err(missing)];
     on_one_thread(async {
-        let (at, mut seen) = watch::channel("127.0.0.1:1".parse().unwrap());
-        let seen_first = async {
-            seen.changed().await.unwrap();
-            *seen.borrow()
+        let (address, mut receiver) = watch::channel("127.0.0.1:1".parse().unwrap());
+        let first_change = async {
+            receiver.changed().await.unwrap();
+            *receiver.borrow()
         };
         let next = async || match texts.pop() {
             Some(text) => text,
@@ -74,24 +74,25 @@
         };
         tokio::select! {
             biased;
-            to = seen_first => assert_eq!(to.port(), 3),
-            never = follow(&started_with, &at, next) => match never {},
+            changed = first_change => assert_eq!(changed.port(), 3),
+            never = follow(&started_with, &address, next) => match never {},
         }
     });
 }
 
-/// What discovery has counts as heard from the first moment of a new process on.
+/// Guards against recovered messages that are sent to endpoints that drain or were removed: the list in the configuration
+/// may be outdated, and discovery's current list arrives only after the process has started.
 #[test]
-fn recovered_messages_go_by_discoverys_list_at_startup() {
+fn recovered_messages_follow_discoverys_list_at_startup() {
     let directory = StateDirectory::new();
     drop(log_with(&directory, &[message("once")]));
     on_one_thread(async {
         tokio::time::pause();
         let (old, mut old_requests) = answering(vec![OK]).await;
         let (new, mut new_requests) = answering(vec![OK]).await;
-        let member = |id: &str, at: SocketAddr, phase: &str| json!({"id": id, "host_port": at.to_string(), "cell": 9, "phase": phase});
-        let rows = [member("e", old, "draining"), member("f", new, "up")];
-        let list = format!("{}\n", json!({"revision": 2, "complete": false, "members": rows}));
+        let member = |id: &str, address: SocketAddr, phase: &str| json!({"id": id, "host_port": address.to_string(), "cell": 9, "phase": phase});
+        let members = [member("e", old, "draining"), member("f", new, "up")];
+        let list = format!("{}\n", json!({"revision": 2, "complete": false, "members": members}));
         let response =
             format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\r\n", list.len());
         let (discovery, _requests) = answering(vec![response.leak().as_bytes()]).await;
@@ -100,14 +101,15 @@
         settings["known"] = json!({"revision": 1, "complete": true, "members": [member("e", old, "up")]});
         let text = settings.to_string();
         tokio::select! {
-            ran = serve(&text, &directory.0, pending(), pending) => panic!("{ran:?}"),
+            ended = serve(&text, &directory.0, pending(), pending) => panic!("{ended:?}"),
             _ = old_requests.recv() => panic!("sent to the draining endpoint"),
             request = new_requests.recv() => assert!(request.is_some()),
         }
     });
 }
 
-/// A command that has begun when the process is told to stop gets its answer, and its message a final outcome.
+/// Guards against a client that receives no reply because its command arrived only in part before shutdown was requested,
+/// and against an accepted message that is lost because the dispatcher makes no more decisions.
 #[test]
 fn a_command_completed_late_in_a_shutdown_is_answered_and_its_message_left_to_the_next_process() {
     let directory = StateDirectory::new();
@@ -118,26 +120,26 @@
         settings["listen"] = json!(listen.to_string());
         let (stop, stopped) = oneshot::channel();
         let (text, path) = (settings.to_string(), directory.0.clone());
-        let told_to_stop = async { drop(stopped.await) };
-        let ran = spawn_local(async move { serve(&text, &path, told_to_stop, pending).await });
+        let stop_requested = async { drop(stopped.await) };
+        let server = spawn_local(async move { serve(&text, &path, stop_requested, pending).await });
         let mut client = loop {
             match TcpStream::connect(listen).await {
                 Ok(client) => break client,
-                Err(_) => sleep(MOMENT).await,
+                Err(_) => sleep(TASK_DELAY).await,
             }
         };
-        let parts = ["SUBMIT", "0", "ab", "c=once,d=8000,dest=9", "body"];
-        let input = command(&parts.map(str::as_bytes));
-        let (begin, rest) = input.split_at(9);
-        client.write_all(begin).await.unwrap();
-        sleep(MOMENT).await;
+        let arguments = ["SUBMIT", "0", "ab", "c=once,d=8000,dest=9", "body"];
+        let input = command(&arguments.map(str::as_bytes));
+        let (first_part, rest) = input.split_at(9);
+        client.write_all(first_part).await.unwrap();
+        sleep(TASK_DELAY).await;
         stop.send(()).unwrap();
-        sleep(Duration::from_millis(2_400)).await; // nothing is decided any more
+        sleep(Duration::from_millis(2_400)).await; // the dispatcher makes no more decisions
         client.write_all(rest).await.unwrap();
-        let mut answer = String::new();
-        client.read_to_string(&mut answer).await.unwrap();
-        assert_eq!(answer, "+OK\r\n");
-        ran.await.unwrap().unwrap();
+        let mut reply = String::new();
+        client.read_to_string(&mut reply).await.unwrap();
+        assert_eq!(reply, "+OK\r\n");
+        server.await.unwrap().unwrap();
     });
     assert_eq!(pending_in(&directory)[&1].body, b"body");
 }
