--- a/crates/quillhub-server/tests/configurations.rs
+++ b/crates/quillhub-server/tests/configurations.rs
@@ -1,7 +1,8 @@
-//! The program's command line and configuration files: what it accepts, and each message of what it refuses, literal.
+//! Tests of the program's command line and configuration files: what it accepts, and the exact error messages for what
+//! it refuses.
 //!
-//! `fixtures/complete.json` has every setting that is read. The other two fixtures are changes to it, each of one
-//! value by its JSON pointer; a change without a value takes the setting out.
+//! `fixtures/complete.json` contains every setting that is read. The other two fixtures are lists of changes to it. Each
+//! replaces one value, given by its JSON pointer, or removes it if the change has no value.
 
 use quillhub_fakes::scratch::Folder;
 use serde_json::Value;
@@ -16,31 +17,36 @@
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
 const STATE_VARIABLE: &str = "RELAY_STATE";
 
-/// Exit status of a command that failed, and of a command line that cannot be parsed.
-const FAILED: i32 = 2;
-const UNPARSED: i32 = 1;
+/// Exit status of a command that failed.
+const EXIT_FAILED: i32 = 2;
+/// Exit status for a command line that cannot be parsed.
+const EXIT_UNPARSED: i32 = 1;
 
+/// Output of `check` for a configuration that it accepts.
 const ACCEPTED: &str = "the configuration can be used\n";
 const ADDRESS_IN_USE: &str =
     "quillhub: the client address (listen) cannot be used: Address already in use (os error 98)\n";
 
-/// One changed value of the complete configuration.
+/// Change of one value of the complete configuration.
 struct Change {
-    at: String,
-    /// The new value, a JSON null too; `None` takes the setting out.
+    /// JSON pointer to the value.
+    pointer: String,
+    /// New value, which may be JSON null; `None` removes the setting.
     value: Option<Value>,
-    /// What the program says of the configuration so changed; empty where it accepts it.
+    /// Error message for the changed configuration; empty if the configuration is accepted.
     message: String,
 }
 
+/// Parses the changes in a fixture.
 fn changes(fixture: &str) -> Vec<Change> {
-    let rows: Vec<Value> = serde_json::from_str(fixture).expect("a fixture is a list");
+    let changes: Vec<Value> = serde_json::from_str(fixture).expect("the fixture is a JSON list");
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
-    rows.iter()
-        .map(|row| Change {
-            at: text(&row["at"]),
-            value: row.get("value").cloned(),
-            message: text(&row["message"]),
+    changes
+        .iter()
+        .map(|change| Change {
+            pointer: text(&change["at"]),
+            value: change.get("value").cloned(),
+            message: text(&change["message"]),
         })
         .collect()
 }
@@ -49,82 +55,88 @@
     serde_json::from_str(COMPLETE).expect("the complete configuration is JSON")
 }
 
+/// Applies a change to the complete configuration.
 fn changed(change: &Change) -> Value {
     let mut configuration = complete();
-    let (parent, name) = change.at.rsplit_once('/').expect("a pointer has a slash");
-    match (configuration.pointer_mut(parent).expect("the parent is there"), &change.value) {
+    let (parent, name) = change.pointer.rsplit_once('/').expect("the pointer contains a slash");
+    match (configuration.pointer_mut(parent).expect("the parent exists"), &change.value) {
         (Value::Object(settings), Some(value)) => {
             settings.insert(name.into(), value.clone());
         }
         (Value::Object(settings), None) => {
-            settings.remove(name).expect("the setting is there");
+            settings.remove(name).expect("the setting exists");
         }
-        (Value::Array(rows), Some(value)) => {
-            rows[name.parse::<usize>().expect("a row's number")] = value.clone();
+        (Value::Array(items), Some(value)) => {
+            items[name.parse::<usize>().expect("the name is an index")] = value.clone();
         }
-        _ => panic!("{}: no place of a configuration", change.at),
+        _ => panic!("{} does not point to a setting", change.pointer),
     }
     configuration
 }
 
-/// The program, with neither of its variables set.
+/// Returns a command that runs the program without its environment variables.
 fn program(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_quillhub"));
     command.args(arguments).env_remove(CONFIG_VARIABLE).env_remove(STATE_VARIABLE);
     command
 }
 
-fn assert_ended(mut command: Command, status: i32, stdout: &str, stderr: &str) {
-    let Output { status: ended, stdout: out, stderr: err } = command.output().expect("the program starts");
-    let seen = (ended.code(), String::from_utf8_lossy(&out), String::from_utf8_lossy(&err));
-    assert_eq!(seen, (Some(status), stdout.into(), stderr.into()), "{command:?}");
+/// Runs a command and checks its exit status and its output.
+fn assert_output(mut command: Command, status: i32, stdout: &str, stderr: &str) {
+    let Output { status: actual_status, stdout: out, stderr: err } =
+        command.output().expect("the program starts");
+    let actual = (actual_status.code(), String::from_utf8_lossy(&out), String::from_utf8_lossy(&err));
+    assert_eq!(actual, (Some(status), stdout.into(), stderr.into()), "{command:?}");
 }
 
-fn written(folder: &Folder, octets: impl AsRef<[u8]>) -> PathBuf {
+/// Writes a configuration file and returns its path.
+fn write_configuration(folder: &Folder, content: impl AsRef<[u8]>) -> PathBuf {
     let path = folder.0.join("configuration.json");
-    std::fs::write(&path, octets).expect("the folder can be written");
+    std::fs::write(&path, content).expect("the folder is writable");
     path
 }
 
+/// Returns a command that runs `check`.
 fn check(configuration: &Path) -> Command {
     let mut command = program(&["check", "--config"]);
     command.arg(configuration);
     command
 }
 
-/// `serve` with all log lines but errors left out.
+/// Returns a command that runs `serve`, which logs only errors.
 fn serve(configuration: &Path, state: &Path) -> Command {
     let mut command = program(&["serve", "--log", "error", "--config"]);
     command.arg(configuration).arg("--state").arg(state);
     command
 }
 
-fn assert_check_refuses(octets: &[u8], message: &str) {
+/// Checks that `check` refuses a configuration with `message`.
+fn assert_check_refuses(content: &[u8], message: &str) {
     let folder = Folder::new();
-    let path = written(&folder, octets);
-    assert_ended(check(&path), FAILED, "", &format!("quillhub: {message}\n"));
+    let path = write_configuration(&folder, content);
+    assert_output(check(&path), EXIT_FAILED, "", &format!("quillhub: {message}\n"));
 }
 
 #[test]
 fn the_complete_configuration_is_accepted() {
     let folder = Folder::new();
-    let path = written(&folder, COMPLETE);
-    assert_ended(check(&path), 0, ACCEPTED, "");
+    let path = write_configuration(&folder, COMPLETE);
+    assert_output(check(&path), 0, ACCEPTED, "");
 }
 
 #[test]
-fn every_harmless_change_of_the_complete_configuration_is_accepted() {
+fn every_valid_change_of_the_complete_configuration_is_accepted() {
     let folder = Folder::new();
     let changes = changes(ACCEPTED_CHANGES);
     assert_eq!(changes.len(), 29);
     for change in changes {
-        let path = written(&folder, changed(&change).to_string());
-        assert_ended(check(&path), 0, ACCEPTED, "");
+        let path = write_configuration(&folder, changed(&change).to_string());
+        assert_output(check(&path), 0, ACCEPTED, "");
     }
 }
 
 #[test]
-fn check_refuses_every_unusable_value_with_its_one_line() {
+fn check_refuses_every_invalid_value_with_a_message_of_one_line() {
     let changes = changes(REFUSED_CHANGES);
     assert_eq!(changes.len(), 106);
     for change in changes {
@@ -132,20 +144,21 @@
     }
 }
 
-/// The address to listen on is taken, so that a configuration that should have been refused ends the program too.
+/// Guards against a server that starts with a configuration that `check` refuses. The listen address is in use, so that
+/// the program exits even if it fails to refuse a configuration.
 #[test]
-fn serve_refuses_every_unusable_value_with_the_line_of_check() {
+fn serve_refuses_every_invalid_value_with_the_message_of_check() {
     let folder = Folder::new();
     let state = Folder::new();
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = taken.local_addr().expect("it is bound").to_string();
     for change in changes(REFUSED_CHANGES) {
         let mut configuration = changed(&change);
-        if change.at != "/listen" {
+        if change.pointer != "/listen" {
             configuration["listen"] = address.clone().into();
         }
-        let path = written(&folder, configuration.to_string());
-        assert_ended(serve(&path, &state.0), FAILED, "", &format!("quillhub: {}\n", change.message));
+        let path = write_configuration(&folder, configuration.to_string());
+        assert_output(serve(&path, &state.0), EXIT_FAILED, "", &format!("quillhub: {}\n", change.message));
     }
 }
 
@@ -165,7 +178,7 @@
 }
 
 #[test]
-fn json_that_is_no_object_lacks_the_first_setting() {
+fn json_that_is_not_an_object_is_refused_for_the_first_missing_setting() {
     for text in ["[]", "7", "\"seed\"", "null", "{}"] {
         assert_check_refuses(text.as_bytes(), "expected settings with .seed, found none");
     }
@@ -177,43 +190,43 @@
     let state = Folder::new();
     let missing = folder.0.join("missing.json");
     let line = format!("quillhub: {}: No such file or directory (os error 2)\n", missing.display());
-    assert_ended(check(&missing), FAILED, "", &line);
-    assert_ended(serve(&missing, &state.0), FAILED, "", &line);
+    assert_output(check(&missing), EXIT_FAILED, "", &line);
+    assert_output(serve(&missing, &state.0), EXIT_FAILED, "", &line);
     let line = format!("quillhub: {}: Is a directory (os error 21)\n", folder.0.display());
-    assert_ended(check(&folder.0), FAILED, "", &line);
-    let binary = written(&folder, b"{\"seed\": \"\xff\"}");
+    assert_output(check(&folder.0), EXIT_FAILED, "", &line);
+    let binary = write_configuration(&folder, b"{\"seed\": \"\xff\"}");
     let line = format!("quillhub: {}: stream did not contain valid UTF-8\n", binary.display());
-    assert_ended(check(&binary), FAILED, "", &line);
+    assert_output(check(&binary), EXIT_FAILED, "", &line);
 }
 
 #[test]
-fn a_command_without_its_paths_names_the_option_and_the_variable() {
+fn a_command_without_a_path_names_the_option_and_the_variable() {
     let config = "quillhub: expected --config or $RELAY_CONFIG, found neither\n";
-    assert_ended(program(&["check"]), FAILED, "", config);
-    assert_ended(program(&["serve"]), FAILED, "", config);
-    assert_ended(program(&["serve", "--state", "."]), FAILED, "", config);
+    assert_output(program(&["check"]), EXIT_FAILED, "", config);
+    assert_output(program(&["serve"]), EXIT_FAILED, "", config);
+    assert_output(program(&["serve", "--state", "."]), EXIT_FAILED, "", config);
     let state = "quillhub: expected --state or $RELAY_STATE, found neither\n";
-    assert_ended(program(&["serve", "--config", "missing.json"]), FAILED, "", state);
+    assert_output(program(&["serve", "--config", "missing.json"]), EXIT_FAILED, "", state);
 }
 
 #[test]
-fn the_variables_stand_in_for_the_options_and_an_option_goes_first() {
+fn environment_variables_replace_missing_options_and_options_take_precedence() {
     let folder = Folder::new();
-    let path = written(&folder, COMPLETE);
+    let path = write_configuration(&folder, COMPLETE);
     let mut by_variable = program(&["check"]);
     by_variable.env(CONFIG_VARIABLE, &path);
-    assert_ended(by_variable, 0, ACCEPTED, "");
+    assert_output(by_variable, 0, ACCEPTED, "");
     let mut by_option = check(&path);
     by_option.env(CONFIG_VARIABLE, folder.0.join("missing.json"));
-    assert_ended(by_option, 0, ACCEPTED, "");
+    assert_output(by_option, 0, ACCEPTED, "");
     let mut serve = program(&["serve"]);
     serve.env(CONFIG_VARIABLE, &path).env(STATE_VARIABLE, folder.0.join("missing"));
     let line = "quillhub: the state directory cannot be used: No such file or directory (os error 2)\n";
-    assert_ended(serve, FAILED, "", line);
+    assert_output(serve, EXIT_FAILED, "", line);
 }
 
 #[test]
-fn a_command_line_that_cannot_be_parsed_is_refused_with_its_word() {
+fn a_command_line_that_cannot_be_parsed_is_refused_with_the_offending_argument() {
     let level = "Error parsing option '--log' with value 'loud': error parsing level: expected one of \
                  \"error\", \"warn\", \"info\", \"debug\", \"trace\", or a number 1-5";
     let no_command =
@@ -232,26 +245,26 @@
         (&["version", "now"], "Unrecognized argument: now\n"),
     ] {
         let line = format!("{message}\nRun quillhub --help for more information.\n");
-        assert_ended(program(arguments), UNPARSED, "", &line);
+        assert_output(program(arguments), EXIT_UNPARSED, "", &line);
     }
 }
 
 #[test]
-fn version_prints_the_name_and_the_number() {
+fn version_prints_the_program_name_and_the_version_number() {
     let line = format!("quillhub {}\n", env!("CARGO_PKG_VERSION"));
-    assert_ended(program(&["version"]), 0, &line, "");
+    assert_output(program(&["version"]), 0, &line, "");
 }
 
 #[test]
 fn serve_refuses_a_state_directory_that_cannot_be_used() {
     let folder = Folder::new();
-    let path = written(&folder, COMPLETE);
+    let path = write_configuration(&folder, COMPLETE);
     for (state, cause) in [
         (folder.0.join("missing"), "No such file or directory (os error 2)"),
         (path.clone(), "Not a directory (os error 20)"),
     ] {
         let line = format!("quillhub: the state directory cannot be used: {cause}\n");
-        assert_ended(serve(&path, &state), FAILED, "", &line);
+        assert_output(serve(&path, &state), EXIT_FAILED, "", &line);
     }
 }
 
@@ -261,31 +274,31 @@
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let mut configuration = complete();
     configuration["listen"] = taken.local_addr().expect("it is bound").to_string().into();
-    let path = written(&folder, configuration.to_string());
-    assert_ended(check(&path), 0, ACCEPTED, "");
-    assert_ended(serve(&path, &state.0), FAILED, "", ADDRESS_IN_USE);
+    let path = write_configuration(&folder, configuration.to_string());
+    assert_output(check(&path), 0, ACCEPTED, "");
+    assert_output(serve(&path, &state.0), EXIT_FAILED, "", ADDRESS_IN_USE);
 }
 
 #[test]
-fn serve_refuses_a_peer_address_that_is_in_use() {
+fn serve_refuses_a_gossip_address_that_is_in_use() {
     let (folder, state) = (Folder::new(), Folder::new());
     let taken = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     let mut configuration = complete();
     configuration["peer_listen"] = taken.local_addr().expect("it is bound").to_string().into();
-    let path = written(&folder, configuration.to_string());
+    let path = write_configuration(&folder, configuration.to_string());
     let line =
         "quillhub: the gossip address (peer_listen) cannot be used: Address already in use (os error 98)\n";
-    assert_ended(serve(&path, &state.0), FAILED, "", line);
+    assert_output(serve(&path, &state.0), EXIT_FAILED, "", line);
 }
 
 #[test]
-fn serve_accepts_what_check_accepts_up_to_the_taken_address() {
+fn serve_refuses_what_check_accepts_only_for_an_address_in_use() {
     let (folder, state) = (Folder::new(), Folder::new());
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    for change in changes(ACCEPTED_CHANGES).iter().filter(|change| change.at != "/listen") {
+    for change in changes(ACCEPTED_CHANGES).iter().filter(|change| change.pointer != "/listen") {
         let mut configuration = changed(change);
         configuration["listen"] = taken.local_addr().expect("it is bound").to_string().into();
-        let path = written(&folder, configuration.to_string());
-        assert_ended(serve(&path, &state.0), FAILED, "", ADDRESS_IN_USE);
+        let path = write_configuration(&folder, configuration.to_string());
+        assert_output(serve(&path, &state.0), EXIT_FAILED, "", ADDRESS_IN_USE);
     }
 }
