--- a/crates/quillhub-server/tests/restarts.rs
+++ b/crates/quillhub-server/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! An instance's process whose descriptors idle clients and attempts without a response want, and one that starts on a
-//! full state directory, each with discovery out of reach.
+//! Tests of an instance's process with discovery unreachable: one that runs low on file descriptors because of idle
+//! clients and attempts without a response, and one that starts with a full state directory.
 
 use quillhub_fakes::clients::{ask, command, ready};
 use quillhub_fakes::http::Served;
@@ -18,62 +18,68 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Far more than any of this takes.
-const LONG: Duration = Duration::from_secs(40);
-/// Within which a restarted instance has to be ready.
-const READY: Duration = Duration::from_secs(10);
-const SOCKETS: usize = 128;
+/// Time limit of a test, far longer than the test takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(40);
+/// Maximum time until a restarted instance is ready.
+const MAX_READY_TIME: Duration = Duration::from_secs(10);
+/// Number of file descriptors that the process may use.
+const DESCRIPTORS: usize = 128;
 
-fn row(id: String, at: SocketAddr, destination: u64) -> Value {
-    json!({"id": id, "host_port": at.to_string(), "cell": destination, "phase": "up"})
+/// Returns an endpoint as discovery lists it.
+fn member(id: String, address: SocketAddr, destination: u64) -> Value {
+    json!({"id": id, "host_port": address.to_string(), "cell": destination, "phase": "up"})
 }
 
-fn list(revision: u64, rows: &[Value]) -> Value {
-    json!({"revision": revision, "complete": true, "members": rows})
+/// Returns a complete endpoint list.
+fn list(revision: u64, members: &[Value]) -> Value {
+    json!({"revision": revision, "complete": true, "members": members})
 }
 
+/// Returns the configuration of an instance.
 fn configuration(listen: SocketAddr, discovery: SocketAddr, known: Value) -> Value {
-    let lasts = 60_000_000;
-    let class =
-        |name: &str, effect: &str| json!({"name": name, "effect": effect, "aimUs": lasts, "giveUpUs": lasts});
+    let deadline_us = 60_000_000;
+    let class = |name: &str, effect: &str| json!({"name": name, "effect": effect, "aimUs": deadline_us, "giveUpUs": deadline_us});
     json!({"listen": listen.to_string(), "discovery": discovery.to_string(), "seed": "7", "known": known,
-        "limits": {"sockets": SOCKETS, "disk_mb": 8}, "settings": {"familyInfo": {"maxCalls": 400},
+        "limits": {"sockets": DESCRIPTORS, "disk_mb": 8}, "settings": {"familyInfo": {"maxCalls": 400},
         "limits": {"mostTries": 9, "maxOpen": 100_000},
         "classes": [class("free", "free"), class("once", "single_shot")]}})
 }
 
-/// A process that gets no more descriptors than its configuration says.
-fn start(state: &Folder, beside: &Folder, configuration: &Value) -> InstanceProcess {
-    let [config, log, program] = ["config", "log", "limited"].map(|name| beside.0.join(name));
+/// Starts the process of an instance that can open only as many file descriptors as its configuration says. Its state
+/// directory is in `state`, its configuration and log in `files`.
+fn start(state: &Folder, files: &Folder, configuration: &Value) -> InstanceProcess {
+    let [config, log, program] = ["config", "log", "limited"].map(|name| files.0.join(name));
     std::fs::write(&config, configuration.to_string()).unwrap();
     let script =
-        format!("#!/bin/sh\nulimit -n {SOCKETS}\nexec '{}' \"$@\"\n", env!("CARGO_BIN_EXE_quillhub"));
+        format!("#!/bin/sh\nulimit -n {DESCRIPTORS}\nexec '{}' \"$@\"\n", env!("CARGO_BIN_EXE_quillhub"));
     std::fs::write(&program, script).unwrap();
     std::fs::set_permissions(&program, std::fs::Permissions::from_mode(0o755)).unwrap();
     InstanceProcess::start(Path::new(&program), &config, &state.0, &log).unwrap()
 }
 
-/// An address that is nobody's yet, on a host of its own.
-fn own_address(host: u8) -> SocketAddr {
+/// Returns an unused address on a host that nothing else binds to.
+fn unused_address(host: u8) -> SocketAddr {
     std::net::TcpListener::bind(format!("127.0.84.{host}:0")).unwrap().local_addr().unwrap()
 }
 
+/// Submits a message and returns the reply.
 async fn submit(client: &mut TcpStream, id: usize, class: &str, destination: u64, body: &str) -> String {
-    let (id, list) = (format!("ab{id}"), format!("c={class},d=60000,dest={destination}"));
-    ask(client, &command(&["SUBMIT", "0", &id, &list, body].map(str::as_bytes))).await.unwrap()
+    let (client_id, fields) = (format!("ab{id}"), format!("c={class},d=60000,dest={destination}"));
+    ask(client, &command(&["SUBMIT", "0", &client_id, &fields, body].map(str::as_bytes))).await.unwrap()
 }
 
-/// Responds to deliveries, to discovery's requests and to final outcomes; notifies of each delivery and outcome.
-async fn serve(stream: TcpStream, list: Value, seen: Rc<Notify>) {
+/// Serves one connection of an endpoint, of discovery or of the platform. Notifies `received` of each delivery and of
+/// each request with final outcomes.
+async fn serve(stream: TcpStream, list: Value, received: Rc<Notify>) {
     let mut stream = Served::new(stream);
     while let Ok(Some(request)) = stream.next().await {
         let _ = match request.path.as_str() {
             "/events" => {
-                seen.notify_one();
+                received.notify_one();
                 stream.answer(200, "", b"").await
             }
             "/v2/finals" => {
-                seen.notify_one();
+                received.notify_one();
                 stream.answer(204, "", b"").await
             }
             _ => {
@@ -85,56 +91,60 @@
     }
 }
 
+/// Guards against an instance that can no longer reach discovery, endpoints or clients, because idle clients and attempts
+/// without a response have used up all file descriptors.
 #[test]
-fn discovery_and_endpoints_get_descriptors_while_idle_clients_and_hanging_attempts_want_all() {
-    let whole = async {
-        let (state, beside) = (Folder::new(), Folder::new());
-        let (listen, discovery) = (own_address(1), own_address(2));
+fn descriptors_remain_for_discovery_and_endpoints_despite_idle_clients_and_hanging_attempts() {
+    let test = async {
+        let (state, files) = (Folder::new(), Folder::new());
+        let (listen, discovery) = (unused_address(1), unused_address(2));
         let hanging = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let well = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let hangs_at = hanging.local_addr().unwrap();
-        let known: Vec<_> = (0..200).map(|n| row(format!("e{n}"), hangs_at, 9)).collect();
-        let with_well = [known.clone(), vec![row("f".into(), well.local_addr().unwrap(), 10)]].concat();
+        let healthy = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let hanging_address = hanging.local_addr().unwrap();
+        let known: Vec<_> = (0..200).map(|n| member(format!("e{n}"), hanging_address, 9)).collect();
+        let with_healthy =
+            [known.clone(), vec![member("f".into(), healthy.local_addr().unwrap(), 10)]].concat();
         let (attempts, opened) = (Rc::new(Cell::new(0)), Rc::new(Notify::new()));
-        let (count, tell) = (attempts.clone(), opened.clone());
+        let (attempt_count, attempt_opened) = (attempts.clone(), opened.clone());
         spawn_local(async move {
             let mut open = Vec::new();
             while let Ok((stream, _)) = hanging.accept().await {
                 open.push(stream);
-                count.set(open.len());
-                tell.notify_one();
+                attempt_count.set(open.len());
+                attempt_opened.notify_one();
             }
         });
-        let _instance = start(&state, &beside, &configuration(listen, discovery, list(1, &known)));
-        assert!(ready(listen, LONG).await);
+        let _instance = start(&state, &files, &configuration(listen, discovery, list(1, &known)));
+        assert!(ready(listen, TEST_TIMEOUT).await);
         let mut client = TcpStream::connect(listen).await.unwrap();
         for id in 0..300 {
             assert_eq!(submit(&mut client, id, "once", 9, "body").await, "+OK");
         }
-        while attempts.get() < SOCKETS / 8 {
+        while attempts.get() < DESCRIPTORS / 8 {
             opened.notified().await;
         }
         println!("{} attempts hang", attempts.get());
         let mut idle = Vec::new();
-        for _ in 0..2 * SOCKETS {
+        for _ in 0..2 * DESCRIPTORS {
             idle.push(TcpStream::connect(listen).await.unwrap());
         }
-        // Discovery is back, and lists a destination that was not known.
-        let back = TcpListener::bind(discovery).await.unwrap();
-        let seen = Rc::new(Notify::new());
-        let (at_discovery, at_well) = (Rc::new(Notify::new()), seen.clone());
+        // Discovery becomes reachable and lists a destination that the instance did not know.
+        let discovery_listener = TcpListener::bind(discovery).await.unwrap();
+        let delivered = Rc::new(Notify::new());
+        let (unused, at_healthy) = (Rc::new(Notify::new()), delivered.clone());
         spawn_local(async move {
-            while let Ok((stream, _)) = back.accept().await {
-                spawn_local(serve(stream, list(2, &with_well), at_discovery.clone()));
+            while let Ok((stream, _)) = discovery_listener.accept().await {
+                spawn_local(serve(stream, list(2, &with_healthy), unused.clone()));
             }
         });
         spawn_local(async move {
-            while let Ok((stream, _)) = well.accept().await {
-                spawn_local(serve(stream, Value::Null, at_well.clone()));
+            while let Ok((stream, _)) = healthy.accept().await {
+                spawn_local(serve(stream, Value::Null, at_healthy.clone()));
             }
         });
         println!("{} attempts hang, and {} clients are idle", attempts.get(), idle.len());
-        // A client that sends a command is served; the one from before has been idle longest and may have had to go.
+        // A new client that sends a command is served. The first client has been idle longest, and the instance may have
+        // closed its connection.
         let mut id = 300;
         loop {
             let mut client = TcpStream::connect(listen).await.unwrap();
@@ -144,36 +154,40 @@
             }
         }
         println!("the client was served");
-        seen.notified().await;
+        delivered.notified().await;
     };
-    on_one_thread(async { timeout(LONG, whole).await.expect("no descriptor is left for one of them") });
+    on_one_thread(async {
+        timeout(TEST_TIMEOUT, test).await.expect("no descriptor is left for one of them")
+    });
 }
 
+/// Guards against a restart that takes too long because the instance recovers many messages or waits for discovery, which
+/// refuses connections, does not accept them, or does not respond.
 #[test]
-fn an_instance_is_ready_in_time_on_a_full_state_directory_with_discovery_unreachable() {
-    let whole = async {
-        let (state, beside) = (Folder::new(), Folder::new());
-        let (refused, (never_up, _queue)) = (own_address(3), full());
+fn an_instance_is_ready_in_time_with_a_full_state_directory_and_discovery_unreachable() {
+    let test = async {
+        let (state, files) = (Folder::new(), Folder::new());
+        let (refused, (unresponsive, _full_queue)) = (unused_address(3), full());
         let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        // Nobody listens at the endpoint, so that every message stays pending.
-        let known = list(1, &[row("e".into(), own_address(4), 9)]);
-        let listen = own_address(5);
-        let mut instance = start(&state, &beside, &configuration(listen, refused, known.clone()));
-        assert!(ready(listen, LONG).await);
+        // Nothing listens at the endpoint's address, so that every message stays pending.
+        let known = list(1, &[member("e".into(), unused_address(4), 9)]);
+        let listen = unused_address(5);
+        let mut instance = start(&state, &files, &configuration(listen, refused, known.clone()));
+        assert!(ready(listen, TEST_TIMEOUT).await);
         let mut client = TcpStream::connect(listen).await.unwrap();
         let mut pending = 0;
         while submit(&mut client, pending, "free", 9, &"x".repeat(2_000)).await == "+OK" {
             pending += 1;
         }
         assert!(pending > 1_000, "{pending} pending when the directory was full");
-        for discovery in [refused, never_up, silent.local_addr().unwrap()] {
+        for discovery in [refused, unresponsive, silent.local_addr().unwrap()] {
             assert!(instance.signal("KILL").unwrap());
             instance.end().await.unwrap();
-            instance = start(&state, &beside, &configuration(listen, discovery, known.clone()));
-            let began = std::time::Instant::now();
-            assert!(ready(listen, READY).await, "{pending} pending, discovery at {discovery}");
-            println!("{pending} pending: ready after {:?}, discovery at {discovery}", began.elapsed());
+            instance = start(&state, &files, &configuration(listen, discovery, known.clone()));
+            let started = std::time::Instant::now();
+            assert!(ready(listen, MAX_READY_TIME).await, "{pending} pending, discovery at {discovery}");
+            println!("{pending} pending: ready after {:?}, discovery at {discovery}", started.elapsed());
         }
     };
-    on_one_thread(async { timeout(3 * LONG, whole).await.expect("it ends") });
+    on_one_thread(async { timeout(3 * TEST_TIMEOUT, test).await.expect("the test ends in time") });
 }
