--- a/crates/quillhub-server/tests/process_signals.rs
+++ b/crates/quillhub-server/tests/process_signals.rs
@@ -1,6 +1,8 @@
-//! An instance's process, told to stop or killed at each step of a message's life, and started again on its state
-//! directory.
-//! The signal follows an event that the endpoint, the platform or the client has seen; nothing is left to the clock.
+//! Tests of an instance's process that is terminated or killed while it handles a message, and then restarted with the
+//! same state directory.
+//!
+//! The signal is sent after an event that the endpoint, the platform or the client observed, so that the tests do not
+//! depend on timing.
 
 use quillhub_fakes::clients::{ask, command, ready};
 use quillhub_fakes::http::Served;
@@ -20,70 +22,77 @@
 use tokio::time::{Instant, timeout};
 
 const DEDUPLICATION_WINDOW: Duration = Duration::from_secs(6);
-/// How late anything may be.
-const SLACK: Duration = Duration::from_millis(50);
-/// Far more than any of this takes.
-const LONG: Duration = Duration::from_secs(40);
-const EFFECTS: [&str; 3] = ["free", "marked", "once"];
+/// Tolerance for the time of an attempt.
+const TOLERANCE: Duration = Duration::from_millis(50);
+/// Time limit of a test, far longer than the test takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(40);
+/// Names of the configured service classes: idempotent, deduplicated, at most once.
+const SERVICE_CLASSES: [&str; 3] = ["free", "marked", "once"];
 
-/// Where in a message's life the signal comes.
+/// Progress of a message at the time of the signal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    /// Accepted, and no endpoint known yet.
+    /// The message is accepted and no endpoint is known.
     Accepted,
-    /// The connection to its endpoint does not come up.
+    /// The connection to the endpoint is being opened and never opens.
     Opening,
-    /// The request's first byte has come, and the last may not have.
-    Begun,
-    /// The request's last byte has come.
-    Complete,
-    /// A part of the response's first line was written.
-    HalfResponse,
-    /// The platform has read its final outcome and confirmed nothing.
+    /// The endpoint has received the first byte of the request, and possibly not the last.
+    RequestStarted,
+    /// The endpoint has received the complete request.
+    RequestReceived,
+    /// The endpoint has sent a part of the response's status line.
+    PartialResponse,
+    /// The platform has received the final outcome and not confirmed it.
     FinalOutcome,
 }
 
-/// Endpoint, discovery and platform on loopback, and what they saw.
-struct Surroundings {
+/// Endpoint, discovery and platform on loopback, with case they received.
+struct Environment {
     step: Step,
-    /// Whether the process that ran at first has ended: from then on all is well.
-    second: Cell<bool>,
-    calls: RefCell<Vec<(Instant, bool)>>,
-    finals: RefCell<Vec<String>>,
-    seen: Notify,
+    /// Set once the first process has exited; the endpoint and the platform respond normally from then on.
+    restarted: Cell<bool>,
+    /// Time of each request at the endpoint, with `true` if it came from the second process.
+    requests: RefCell<Vec<(Instant, bool)>>,
+    /// Lines of final outcomes that the platform received.
+    final_outcomes: RefCell<Vec<String>>,
+    /// Notified of each event at the endpoint or the platform that the test waits for.
+    observed: Notify,
+    /// Endpoint list that discovery sends.
     list: RefCell<Value>,
 }
 
-impl Surroundings {
-    async fn endpoint(self: Rc<Self>, stream: TcpStream) {
-        if self.step == Step::Begun && matches!(stream.peek(&mut [0; 1]).await, Ok(1)) {
-            self.seen.notify_one();
+impl Environment {
+    /// Serves one connection at the endpoint.
+    async fn serve_endpoint(self: Rc<Self>, stream: TcpStream) {
+        if self.step == Step::RequestStarted && matches!(stream.peek(&mut [0; 1]).await, Ok(1)) {
+            self.observed.notify_one();
         }
         let mut stream = Served::new(stream);
         while let Ok(Some(_)) = stream.next().await {
-            let second = self.second.get();
-            self.calls.borrow_mut().push((Instant::now(), second));
-            let answer = match self.step {
-                _ if second => "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-                Step::HalfResponse => "HTTP/1.1 2",
+            let restarted = self.restarted.get();
+            self.requests.borrow_mut().push((Instant::now(), restarted));
+            let response = match self.step {
+                _ if restarted => "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+                Step::PartialResponse => "HTTP/1.1 2",
                 Step::FinalOutcome => "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n",
                 _ => "",
             };
-            let _ = stream.write(answer.as_bytes()).await;
+            let _ = stream.write(response.as_bytes()).await;
             if self.step != Step::FinalOutcome {
-                self.seen.notify_one();
+                self.observed.notify_one();
             }
         }
     }
 
-    async fn discovery_and_platform(self: Rc<Self>, stream: TcpStream) {
+    /// Serves one connection at discovery or the platform.
+    async fn serve_discovery_and_platform(self: Rc<Self>, stream: TcpStream) {
         let mut stream = Served::new(stream);
-        while let Ok(Some(asked)) = stream.next().await {
-            let answer = if asked.path == "/v2/finals" {
-                let lines = String::from_utf8(asked.body).unwrap();
-                self.finals.borrow_mut().extend(lines.lines().map(str::to_owned));
-                self.seen.notify_one();
-                if self.step == Step::FinalOutcome && !self.second.get() {
+        while let Ok(Some(request)) = stream.next().await {
+            let response = if request.path == "/v2/finals" {
+                let lines = String::from_utf8(request.body).unwrap();
+                self.final_outcomes.borrow_mut().extend(lines.lines().map(str::to_owned));
+                self.observed.notify_one();
+                if self.step == Step::FinalOutcome && !self.restarted.get() {
                     continue;
                 }
                 "HTTP/1.1 204 x\r\n\r\n".to_owned()
@@ -92,39 +101,41 @@
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 format!("{head}{:x}\r\n{line}\r\n", line.len())
             };
-            let _ = stream.write(answer.as_bytes()).await;
+            let _ = stream.write(response.as_bytes()).await;
         }
     }
 
-    /// Listens, and serves each connection by one of the two above.
+    /// Listens on a new address, runs `serve` for each connection, and returns the address.
     async fn listen<F: Future<Output = ()> + 'static>(
         self: &Rc<Self>,
         serve: impl Fn(Rc<Self>, TcpStream) -> F + 'static,
     ) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (at, surroundings) = (listener.local_addr().unwrap(), self.clone());
+        let (address, environment) = (listener.local_addr().unwrap(), self.clone());
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(serve(surroundings.clone(), stream));
+                spawn_local(serve(environment.clone(), stream));
             }
         });
-        at
+        address
     }
 }
 
+/// Returns an endpoint list with at most one endpoint.
 fn list(revision: u64, endpoint: Option<SocketAddr>) -> Value {
-    let row = |at: SocketAddr| json!({"id": format!("e{revision}"), "host_port": at.to_string(), "cell": 9, "phase": "up"});
-    let rows: Vec<_> = endpoint.into_iter().map(row).collect();
-    json!({"revision": revision, "complete": true, "members": rows})
+    let member = |address: SocketAddr| json!({"id": format!("e{revision}"), "host_port": address.to_string(), "cell": 9, "phase": "up"});
+    let members: Vec<_> = endpoint.into_iter().map(member).collect();
+    json!({"revision": revision, "complete": true, "members": members})
 }
 
-/// A process of an instance with its state directory, and with configuration and log in another directory.
-fn start(state: &Folder, beside: &Folder, configuration: &Value) -> InstanceProcess {
-    let [config, log] = ["config", "log"].map(|name| beside.0.join(name));
+/// Starts the process of an instance, with its state directory in `state` and its configuration and log in `files`.
+fn start(state: &Folder, files: &Folder, configuration: &Value) -> InstanceProcess {
+    let [config, log] = ["config", "log"].map(|name| files.0.join(name));
     std::fs::write(&config, configuration.to_string()).unwrap();
     InstanceProcess::start(Path::new(env!("CARGO_BIN_EXE_quillhub")), &config, &state.0, &log).unwrap()
 }
 
+/// Returns the configuration of an instance.
 fn configuration(listen: SocketAddr, discovery: SocketAddr, known: Value) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "memorySpanUs": DEDUPLICATION_WINDOW.as_micros() as u64,
@@ -136,135 +147,151 @@
         "limits": {"mostTries": 9, "maxOpen": 9}, "classes": classes}})
 }
 
-/// An address of an instance's own: nobody else binds to its host, so that its port stays free.
-fn own_address() -> SocketAddr {
+/// Returns an unused address on a host that nothing else binds to, so that the port stays free.
+fn unused_address() -> SocketAddr {
     static NUMBER: AtomicU8 = AtomicU8::new(1);
     let host = format!("127.0.83.{}:0", NUMBER.fetch_add(1, Ordering::Relaxed));
     std::net::TcpListener::bind(host).unwrap().local_addr().unwrap()
 }
 
+/// Submits a message of a service class and checks that it is accepted.
 async fn submit(listen: SocketAddr, class: &str) {
-    let list = format!("c={class},d=12000,k=5c,dest=9");
+    let fields = format!("c={class},d=12000,k=5c,dest=9");
     let mut client = TcpStream::connect(listen).await.unwrap();
-    let command = command(&["SUBMIT", "0", "ab", &list, "body"].map(str::as_bytes));
+    let command = command(&["SUBMIT", "0", "ab", &fields, "body"].map(str::as_bytes));
     assert_eq!(ask(&mut client, &command).await.unwrap(), "+OK");
 }
 
-/// Plays one message's life across two processes, and checks that it had one outcome and was executed once at most.
-async fn life(step: Step, class: &str, signal: &str) {
-    let what = format!("{step:?}, {class}, {signal}");
-    let (state, beside) = (Folder::new(), Folder::new());
-    let (full, _queue) = full();
-    let surroundings = Rc::new(Surroundings {
+/// Handles one message with two processes, the first of which gets `signal` at `step`, and checks that the message gets
+/// exactly one outcome and, unless it is idempotent, no attempt that could execute it a second time.
+async fn check_restart(step: Step, class: &str, signal: &str) {
+    let case = format!("{step:?}, {class}, {signal}");
+    let (state, files) = (Folder::new(), Folder::new());
+    let (unresponsive, _full_queue) = full();
+    let environment = Rc::new(Environment {
         step,
-        second: Cell::new(false),
-        calls: RefCell::default(),
-        finals: RefCell::default(),
-        seen: Notify::new(),
+        restarted: Cell::new(false),
+        requests: RefCell::default(),
+        final_outcomes: RefCell::default(),
+        observed: Notify::new(),
         list: RefCell::new(Value::Null),
     });
-    let endpoint = surroundings.listen(Surroundings::endpoint).await;
-    let discovery = surroundings.listen(Surroundings::discovery_and_platform).await;
+    let endpoint = environment.listen(Environment::serve_endpoint).await;
+    let discovery = environment.listen(Environment::serve_discovery_and_platform).await;
     let first_list = match step {
         Step::Accepted => list(1, None),
-        Step::Opening => list(1, Some(full)),
+        Step::Opening => list(1, Some(unresponsive)),
         _ => list(1, Some(endpoint)),
     };
-    surroundings.list.replace(first_list.clone());
-    let listen = own_address();
-    let mut first = start(&state, &beside, &configuration(listen, discovery, first_list));
-    assert!(ready(listen, LONG).await, "{what}");
+    environment.list.replace(first_list.clone());
+    let listen = unused_address();
+    let mut first = start(&state, &files, &configuration(listen, discovery, first_list));
+    assert!(ready(listen, TEST_TIMEOUT).await, "{case}");
     submit(listen, class).await;
     if !matches!(step, Step::Accepted | Step::Opening) {
-        surroundings.seen.notified().await;
+        environment.observed.notified().await;
     }
     assert!(first.signal(signal).unwrap());
     let status = first.end().await.unwrap();
-    assert!(signal == "KILL" || status.success(), "{what}: {status}");
+    assert!(signal == "KILL" || status.success(), "{case}: {status}");
 
-    surroundings.second.set(true);
-    let finals_before = surroundings.finals.borrow().len();
-    surroundings.list.replace(list(2, Some(endpoint)));
-    let listen = own_address();
-    let mut second = start(&state, &beside, &configuration(listen, discovery, list(2, Some(endpoint))));
-    assert!(ready(listen, LONG).await, "{what}");
-    let delivered = || surroundings.calls.borrow().iter().any(|(_, second)| *second);
-    let told_platform = || {
-        step != Step::FinalOutcome && finals_before > 0 || surroundings.finals.borrow().len() > finals_before
+    environment.restarted.set(true);
+    let outcomes_before = environment.final_outcomes.borrow().len();
+    environment.list.replace(list(2, Some(endpoint)));
+    let listen = unused_address();
+    let mut second = start(&state, &files, &configuration(listen, discovery, list(2, Some(endpoint))));
+    assert!(ready(listen, TEST_TIMEOUT).await, "{case}");
+    let delivered = || environment.requests.borrow().iter().any(|(_, by_second)| *by_second);
+    let outcome_reported = || {
+        step != Step::FinalOutcome && outcomes_before > 0
+            || environment.final_outcomes.borrow().len() > outcomes_before
     };
-    while !delivered() && !told_platform() {
-        surroundings.seen.notified().await;
+    while !delivered() && !outcome_reported() {
+        environment.observed.notified().await;
     }
-    assert!(second.signal("TERM").unwrap()); // it ends once nothing is pending
-    assert!(second.end().await.unwrap().success(), "{what}");
+    assert!(second.signal("TERM").unwrap()); // it exits once no message is pending
+    assert!(second.end().await.unwrap().success(), "{case}");
 
-    assert_one_outcome(&surroundings, step, class, signal);
+    assert_single_outcome(&environment, step, class, signal);
 }
 
-/// Checks what the endpoint and the platform saw of one message's life.
-fn assert_one_outcome(surroundings: &Surroundings, step: Step, class: &str, signal: &str) {
-    let what = format!("{step:?}, {class}, {signal}");
-    let delivered = || surroundings.calls.borrow().iter().any(|(_, second)| *second);
-    let (calls, finals) = (surroundings.calls.borrow(), surroundings.finals.borrow());
-    let before = calls.iter().filter(|(_, second)| !second).count();
-    let kinds = |kind: &str| finals.iter().filter(|line| line.contains(kind)).count();
-    let (dead, bounced) = (kinds("\"dead\""), kinds("\"bounced\""));
-    assert_eq!((dead + bounced, dead * bounced), (finals.len(), 0), "{what}: {finals:?}");
-    assert_eq!(u32::from(delivered()) + u32::from(!finals.is_empty()), 1, "{what}: one outcome");
+/// Checks which requests and final outcomes the endpoint and the platform received.
+fn assert_single_outcome(environment: &Environment, step: Step, class: &str, signal: &str) {
+    let case = format!("{step:?}, {class}, {signal}");
+    let delivered = || environment.requests.borrow().iter().any(|(_, by_second)| *by_second);
+    let (requests, outcomes) = (environment.requests.borrow(), environment.final_outcomes.borrow());
+    let by_first = requests.iter().filter(|(_, by_second)| !by_second).count();
+    let count = |result: &str| outcomes.iter().filter(|line| line.contains(result)).count();
+    let (abandoned, rejected) = (count("\"dead\""), count("\"bounced\""));
+    assert_eq!((abandoned + rejected, abandoned * rejected), (outcomes.len(), 0), "{case}: {outcomes:?}");
+    assert_eq!(u32::from(delivered()) + u32::from(!outcomes.is_empty()), 1, "{case}: one outcome");
     match (step, class) {
         (Step::Accepted | Step::Opening, _) => {
-            assert_eq!((before, calls.len()), (0, 1), "{what}: attempted once")
+            assert_eq!((by_first, requests.len()), (0, 1), "{case}: attempted once")
         }
-        // Whether the last byte of a request that has begun still came is chance, and nobody knows.
-        (Step::Begun, "once") => assert!(calls.len() <= 1 && dead > 0, "{what}: never twice"),
-        (_, "once") => assert_eq!((calls.len(), dead > 0), (1, true), "{what}: never twice"),
+        // The endpoint may or may not have received the rest of the request, which the instance cannot know.
+        (Step::RequestStarted, "once") => {
+            assert!(requests.len() <= 1 && abandoned > 0, "{case}: never twice")
+        }
+        (_, "once") => assert_eq!((requests.len(), abandoned > 0), (1, true), "{case}: never twice"),
         (_, "marked") => {
-            let late = calls.iter().any(|(at, _)| *at > calls[0].0 + DEDUPLICATION_WINDOW + SLACK);
-            assert!(!late && dead == 0 && (signal == "TERM" || delivered()), "{what}: {calls:?}");
+            let late =
+                requests.iter().any(|(time, _)| *time > requests[0].0 + DEDUPLICATION_WINDOW + TOLERANCE);
+            assert!(!late && abandoned == 0 && (signal == "TERM" || delivered()), "{case}: {requests:?}");
         }
-        _ => assert!(delivered(), "{what}: retried"),
+        _ => assert!(delivered(), "{case}: retried"),
     }
 }
 
+/// Guards against messages that are lost, finished twice or executed twice because their process was terminated or
+/// killed, at each step of their handling.
 #[test]
-fn a_message_has_one_outcome_wherever_in_its_life_the_process_is_stopped_or_killed() {
+fn a_message_has_one_outcome_at_whichever_step_the_process_is_terminated_or_killed() {
     on_one_thread(async {
-        let mut lives = Vec::new();
+        let mut cases = Vec::new();
         for signal in ["KILL", "TERM"] {
-            for step in [Step::Accepted, Step::Opening, Step::Begun, Step::Complete, Step::HalfResponse] {
-                lives.extend(EFFECTS.map(|class| (step, class, signal)));
+            for step in [
+                Step::Accepted,
+                Step::Opening,
+                Step::RequestStarted,
+                Step::RequestReceived,
+                Step::PartialResponse,
+            ] {
+                cases.extend(SERVICE_CLASSES.map(|class| (step, class, signal)));
             }
-            lives.push((Step::FinalOutcome, "once", signal));
+            cases.push((Step::FinalOutcome, "once", signal));
         }
-        let ends = lives.into_iter().map(|(step, class, signal)| {
-            let life = timeout(LONG, life(step, class, signal));
-            (spawn_local(life), (step, class, signal))
+        let running = cases.into_iter().map(|(step, class, signal)| {
+            let check = timeout(TEST_TIMEOUT, check_restart(step, class, signal));
+            (spawn_local(check), (step, class, signal))
         });
-        for (life, what) in ends.collect::<Vec<_>>() {
-            assert!(life.await.unwrap().is_ok(), "no outcome: {what:?}");
+        for (check, case) in running.collect::<Vec<_>>() {
+            assert!(check.await.unwrap().is_ok(), "no outcome: {case:?}");
         }
     });
 }
 
+/// Guards against a process that does not exit, or fails, because a signal arrives before it is ready or while it already
+/// shuts down.
 #[test]
-fn signals_that_cross_a_start_or_a_stop_end_the_process_as_one_does() {
-    let whole = async {
-        let (state, beside) = (Folder::new(), Folder::new());
-        let (listen, silent) = (own_address(), TcpListener::bind("127.0.0.1:0").await.unwrap());
-        let plan = configuration(listen, silent.local_addr().unwrap(), list(1, None));
-        // Before it is ready, perhaps before it can catch any.
-        let mut early = start(&state, &beside, &plan);
+fn signals_during_startup_or_shutdown_end_the_process_as_a_single_one_does() {
+    let test = async {
+        let (state, files) = (Folder::new(), Folder::new());
+        let (listen, silent) = (unused_address(), TcpListener::bind("127.0.0.1:0").await.unwrap());
+        let configuration = configuration(listen, silent.local_addr().unwrap(), list(1, None));
+        // Before the process is ready, and possibly before it has installed its signal handlers.
+        let mut early = start(&state, &files, &configuration);
         assert!(early.signal("TERM").unwrap());
-        let ended = early.end().await.unwrap();
-        assert!(ended.success() || ended.code().is_none(), "{ended}");
-        // With a message pending, so that the stop lasts.
-        let mut instance = start(&state, &beside, &plan);
-        assert!(ready(listen, LONG).await);
+        let status = early.end().await.unwrap();
+        assert!(status.success() || status.code().is_none(), "{status}");
+        // With a message pending, so that the shutdown takes some time.
+        let mut instance = start(&state, &files, &configuration);
+        assert!(ready(listen, TEST_TIMEOUT).await);
         submit(listen, "free").await;
         for signal in ["TERM", "HUP", "INT", "HUP", "TERM"] {
             assert!(instance.signal(signal).unwrap());
         }
         assert!(instance.end().await.unwrap().success());
     };
-    on_one_thread(async { timeout(LONG, whole).await.expect("it does not end") });
+    on_one_thread(async { timeout(TEST_TIMEOUT, test).await.expect("the process does not exit") });
 }
