--- a/crates/quillhub-server/src/instance/recovery_tests.rs
+++ b/crates/quillhub-server/src/instance/recovery_tests.rs
@@ -160,10 +160,10 @@
     record_ends.push(size());
     log.record_finished(1).unwrap();
     record_ends.push(size());
-    let octets = std::fs::read(&path).unwrap();
-    for cut in 0..=octets.len() {
+    let content = std::fs::read(&path).unwrap();
+    for cut in 0..=content.len() {
         let directory = StateDirectory::new();
-        std::fs::write(directory.0.join("wal-0000000000"), &octets[..cut]).unwrap();
+        std::fs::write(directory.0.join("wal-0000000000"), &content[..cut]).unwrap();
         // After 0 to 6 complete records: nothing; an attempt; abandoned, because the attempt may have executed the
         // message; an attempt; abandoned; rejected; nothing.
         let expected = match record_ends.iter().filter(|end| **end <= cut as u64).count() {
@@ -179,7 +179,7 @@
             let outcomes: Vec<_> = instance.outcomes.iter().map(is_rejected).collect();
             assert!(outcomes.len() < 2, "after {cut} bytes");
             let next_step = (instance.attempts_in_flight, outcomes.first().copied());
-            assert_eq!(next_step, expected, "after {cut} of {} bytes", octets.len());
+            assert_eq!(next_step, expected, "after {cut} of {} bytes", content.len());
         });
     }
 }
--- a/crates/quillhub-server/src/wal/format_tests.rs
+++ b/crates/quillhub-server/src/wal/format_tests.rs
@@ -78,18 +78,18 @@
 
 #[test]
 fn the_encoding_of_an_attempts_start_is_unchanged() {
-    let octets = appended(|wal| wal.record_attempt_started(MESSAGE_ID, 3, from_millis(YEAR_2020_MS), "e1"));
+    let encoded = appended(|wal| wal.record_attempt_started(MESSAGE_ID, 3, from_millis(YEAR_2020_MS), "e1"));
     let expected = [
         &b"\x17\0\0\0\xaa\x8b\xcb\x3b\x02\x02\x01\0\0\0\0\0\0"[..], // length, checksum, kind, message
         b"\x03\0\0\0\0\xe8\x66\x5e\x6f\x01\0\0e1",                  // attempt, start, endpoint
     ];
-    assert_eq!(octets, expected.concat());
+    assert_eq!(encoded, expected.concat());
 }
 
 #[test]
 fn the_encoding_of_an_attempt_that_did_not_execute_its_message_is_unchanged() {
-    let octets = appended(|wal| wal.record_not_executed(MESSAGE_ID, 3));
-    assert_eq!(octets, b"\x0d\0\0\0\xfd\xc4\xbe\x8d\x03\x02\x01\0\0\0\0\0\0\x03\0\0\0");
+    let encoded = appended(|wal| wal.record_not_executed(MESSAGE_ID, 3));
+    assert_eq!(encoded, b"\x0d\0\0\0\xfd\xc4\xbe\x8d\x03\x02\x01\0\0\0\0\0\0\x03\0\0\0");
 }
 
 #[test]
