--- a/crates/quillhub-server/tests/process_signals.rs
+++ b/crates/quillhub-server/tests/process_signals.rs
@@ -46,7 +46,7 @@
     FinalOutcome,
 }
 
-/// Endpoint, discovery and platform on loopback, with case they received.
+/// Endpoint, discovery and platform on loopback, with what they received.
 struct Environment {
     step: Step,
     /// Set once the first process has exited; the endpoint and the platform respond normally from then on.
