--- a/crates/quillhub-server/tests/restarts.rs
+++ b/crates/quillhub-server/tests/restarts.rs
@@ -102,8 +102,7 @@
         let healthy = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let hanging_address = hanging.local_addr().unwrap();
         let known: Vec<_> = (0..200).map(|n| member(format!("e{n}"), hanging_address, 9)).collect();
-        let with_healthy =
-            [known.clone(), vec![member("f".into(), healthy.local_addr().unwrap(), 10)]].concat();
+        let extended = [known.clone(), vec![member("f".into(), healthy.local_addr().unwrap(), 10)]].concat();
         let (attempts, opened) = (Rc::new(Cell::new(0)), Rc::new(Notify::new()));
         let (attempt_count, attempt_opened) = (attempts.clone(), opened.clone());
         spawn_local(async move {
@@ -134,7 +133,7 @@
         let (unused, at_healthy) = (Rc::new(Notify::new()), delivered.clone());
         spawn_local(async move {
             while let Ok((stream, _)) = discovery_listener.accept().await {
-                spawn_local(serve(stream, list(2, &with_healthy), unused.clone()));
+                spawn_local(serve(stream, list(2, &extended), unused.clone()));
             }
         });
         spawn_local(async move {
@@ -156,9 +155,7 @@
         println!("the client was served");
         delivered.notified().await;
     };
-    on_one_thread(async {
-        timeout(TEST_TIMEOUT, test).await.expect("no descriptor is left for one of them")
-    });
+    on_one_thread(async { timeout(TEST_TIMEOUT, test).await.expect("file descriptors ran out") });
 }
 
 /// Guards against a restart that takes too long because the instance recovers many messages or waits for discovery, which
