--- a/crates/quillhub-server/src/configuration.rs
+++ b/crates/quillhub-server/src/configuration.rs
@@ -127,7 +127,8 @@
     Ok(mode == Some("subscribe"))
 }
 
-/// Returns the names of the top-level settings that differ between `old` and `new` and take effect only after a restart.
+/// Returns the names of the top-level settings that differ between `old` and `new` and take effect only after a
+/// restart.
 pub fn settings_requiring_restart(old: &Value, new: &Value) -> Vec<String> {
     let names =
         |value: &Value| value.as_object().map_or(Vec::new(), |settings| settings.keys().cloned().collect());
--- a/crates/quillhub-server/src/instance/recovery.rs
+++ b/crates/quillhub-server/src/instance/recovery.rs
@@ -36,8 +36,8 @@
 }
 
 impl Recovered {
-    /// Passes the message and its earlier attempts to the dispatcher. Returns `false` if the dispatcher does not know the
-    /// message's service class.
+    /// Passes the message and its earlier attempts to the dispatcher. Returns `false` if the dispatcher does not know
+    /// the message's service class.
     fn restore_in(&self, dispatcher: &mut Dispatcher) -> bool {
         let accepted = dispatcher.accept(NewMessage {
             id: self.id,
@@ -59,8 +59,8 @@
 /// Returns the time from `start` to `now`, or [`UNKNOWN_ATTEMPT_AGE`] if `start` is later.
 ///
 /// Guards against a wall clock that was set back in the meantime. The real age of the attempt is then unknown, so that
-/// no endpoint may be expected to still know the idempotency key, and a retry could execute the message twice. May cause
-/// a message to be abandoned that a retry would have delivered.
+/// no endpoint may be expected to still know the idempotency key, and a retry could execute the message twice. May
+/// cause a message to be abandoned that a retry would have delivered.
 fn elapsed_since(start: SystemTime, now: SystemTime) -> Duration {
     now.duration_since(start).unwrap_or(UNKNOWN_ATTEMPT_AGE)
 }
--- a/crates/quillhub-server/src/instance/recovery_tests.rs
+++ b/crates/quillhub-server/src/instance/recovery_tests.rs
@@ -23,6 +23,8 @@
     instance
 }
 
+/// Guards against lost messages and against a second execution: at the crash, the endpoint has received the requests
+/// and not responded.
 #[test]
 fn messages_in_flight_at_a_crash_are_recovered_and_an_at_most_once_one_is_not_retried() {
     let directory = StateDirectory::new();
@@ -44,6 +46,7 @@
     });
 }
 
+/// Guards against attempts for a message whose client or platform may already know that it was rejected.
 #[test]
 fn a_recorded_outcome_is_final_across_a_restart() {
     let directory = StateDirectory::new();
@@ -64,6 +67,8 @@
     assert!(pending_in(&directory).is_empty());
 }
 
+/// Guards against a message that stays in the log without an outcome because the settings no longer define its service
+/// class.
 #[test]
 fn a_recovered_message_of_an_unknown_service_class_is_abandoned() {
     let directory = StateDirectory::new();
@@ -225,6 +230,7 @@
     }
 }
 
+/// Guards against abandoning a message that a retry can still deliver, and against breaking the order of its key.
 #[test]
 fn a_message_whose_deduplication_window_still_allows_an_attempt_after_a_restart_is_retried_first() {
     let directory = StateDirectory::new();
--- a/crates/quillhub-server/src/instance/submission.rs
+++ b/crates/quillhub-server/src/instance/submission.rs
@@ -80,8 +80,8 @@
 }
 
 impl Instance {
-    /// Accepts a message unless the submission is invalid, the dispatcher finishes the message immediately, or its record
-    /// cannot be written.
+    /// Accepts a message unless the submission is invalid, the dispatcher finishes the message immediately, or its
+    /// record cannot be written.
     pub fn submit(&mut self, submission: Submission) -> SubmitOutcome {
         self.messages.forget_old_client_ids(self.now());
         // Refuses ids of pending messages: endpoints could not distinguish two messages with the same id.
--- a/crates/quillhub-server/src/instance/tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -8,6 +8,8 @@
 };
 use quillhub::{AttemptOutcome, Driver, EndpointState};
 
+/// Guards against a request that lacks the message's ids or changes its body, and against a delivered message that
+/// stays pending and is sent again after a restart.
 #[test]
 fn a_message_is_forwarded_unchanged_and_finished_by_a_200() {
     let directory = StateDirectory::new();
@@ -25,6 +27,8 @@
     assert!(pending_in(&directory).is_empty());
 }
 
+/// Guards against submissions that are refused but still take a place in the queue, in the log or among the final
+/// outcomes, because the instance stores the message before the dispatcher decides.
 #[test]
 fn a_message_rejected_at_submission_leaves_nothing_pending() {
     let directory = StateDirectory::new();
@@ -46,6 +50,7 @@
     assert_eq!(pending_in(&directory).len(), 8);
 }
 
+/// Guards against a state directory that exceeds its budget while endpoints do not respond.
 #[test]
 fn a_full_state_directory_rejects_messages() {
     let directory = StateDirectory::new();
@@ -61,6 +66,7 @@
     });
 }
 
+/// Guards against a message that is sent but unknown after a crash, because its record could not be written.
 #[test]
 fn a_message_that_cannot_be_recorded_is_neither_accepted_nor_sent() {
     let directory = StateDirectory::new();
@@ -79,6 +85,7 @@
     });
 }
 
+/// Guards against attempts after a restart for a message whose client never learned that it was accepted.
 #[test]
 fn a_withdrawn_message_leaves_nothing_pending() {
     let directory = StateDirectory::new();
@@ -92,6 +99,8 @@
     assert!(pending_in(&directory).is_empty());
 }
 
+/// Guards against an instance without a dispatcher: it is taken out while an event is handled, and a panic skips the
+/// rest of the handler.
 #[test]
 fn a_panic_in_an_event_leaves_the_dispatcher_in_place() {
     let directory = StateDirectory::new();
@@ -104,6 +113,7 @@
     });
 }
 
+/// Guards against attempts that start shortly before the process exits and would be interrupted.
 #[test]
 fn after_stop_deciding_messages_are_accepted_but_not_attempted() {
     let directory = StateDirectory::new();
@@ -166,6 +176,8 @@
     }
 }
 
+/// Guards against two messages with the same client id, which endpoints and the platform could not distinguish, for
+/// example when a client submits a message again after a restart of the instance.
 #[test]
 fn a_duplicate_client_id_is_rejected_and_the_first_message_stays() {
     let directory = StateDirectory::new();
--- a/crates/quillhub-server/src/lib.rs
+++ b/crates/quillhub-server/src/lib.rs
@@ -36,11 +36,11 @@
 
 /// Runs an instance with the configuration in `text` until `stop` completes, and then shuts it down.
 ///
-/// The shutdown ends when all messages are finished or when its deadlines have passed. Messages that are unfinished then
-/// remain in `state_directory` for the next process.
+/// The shutdown ends when all messages are finished or when its deadlines have passed. Messages that are unfinished
+/// then remain in `state_directory` for the next process.
 ///
-/// `next_configuration` is called repeatedly. It waits for a new configuration and returns its text. Only the address of
-/// discovery and the platform can change while the instance runs.
+/// `next_configuration` is called repeatedly. It waits for a new configuration and returns its text. Only the address
+/// of discovery and the platform can change while the instance runs.
 ///
 /// # Errors
 ///
--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -18,6 +18,7 @@
 /// Delay that lets the tasks of an instance run.
 const TASK_DELAY: Duration = Duration::from_millis(5);
 
+/// Guards against error messages that span several lines or do not name the faulty setting.
 #[test]
 fn an_unusable_configuration_is_reported_in_one_line() {
     for (name, value, expected) in [
@@ -39,6 +40,7 @@
     assert!(check(&configuration().to_string()).is_ok());
 }
 
+/// Guards against an instance that does not return after a requested stop, or that starts without its state directory.
 #[test]
 fn an_idle_instance_stops_on_request_and_an_unusable_state_directory_is_reported() {
     let directory = StateDirectory::new();
@@ -51,6 +53,8 @@
     assert!(error.starts_with("the state directory cannot be used"), "{error}");
 }
 
+/// Guards against an address that is taken from a configuration with an error elsewhere, and against a reload that ends
+/// after the first invalid configuration.
 #[test]
 fn a_reload_changes_discoverys_address_and_an_invalid_configuration_changes_nothing() {
     let started_with = configuration();
@@ -80,8 +84,8 @@
     });
 }
 
-/// Guards against recovered messages that are sent to endpoints that drain or were removed: the list in the configuration
-/// may be outdated, and discovery's current list arrives only after the process has started.
+/// Guards against recovered messages that are sent to endpoints that drain or were removed: the list in the
+/// configuration may be outdated, and discovery's current list arrives only after the process has started.
 #[test]
 fn recovered_messages_follow_discoverys_list_at_startup() {
     let directory = StateDirectory::new();
@@ -108,8 +112,8 @@
     });
 }
 
-/// Guards against a client that receives no reply because its command arrived only in part before shutdown was requested,
-/// and against an accepted message that is lost because the dispatcher makes no more decisions.
+/// Guards against a client that receives no reply because its command arrived only in part before shutdown was
+/// requested, and against an accepted message that is lost because the dispatcher makes no more decisions.
 #[test]
 fn a_command_completed_late_in_a_shutdown_is_answered_and_its_message_left_to_the_next_process() {
     let directory = StateDirectory::new();
--- a/crates/quillhub-server/src/reload.rs
+++ b/crates/quillhub-server/src/reload.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// Applies each configuration that `next_configuration` returns. `address` publishes the address of discovery and the platform.
+/// Applies each configuration that `next_configuration` returns. `address` publishes the address of discovery and the
+/// platform.
 pub async fn follow(
     started_with: &Value,
     address: &watch::Sender<SocketAddr>,
--- a/crates/quillhub-server/src/shutdown.rs
+++ b/crates/quillhub-server/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown in four phases: accept new connections, attempt pending messages, wait for attempts in flight, send
-//! final outcomes to the platform. Each phase but the first ends early once it has nothing left to wait for.
+//! Graceful shutdown in four phases: accept new connections, attempt pending messages, wait for attempts in flight,
+//! send final outcomes to the platform. Each phase but the first ends early once it has nothing left to wait for.
 //!
 //! Invariant: the last phase is over before the process would be killed, 3.7 s after shutdown was requested.
 
--- a/crates/quillhub-server/src/startup.rs
+++ b/crates/quillhub-server/src/startup.rs
@@ -34,8 +34,8 @@
 /// Divisor of the unreserved descriptors that yields the limit for connections of clients: a half, because each client
 /// may cause an attempt, which needs another one.
 const CLIENTS_DIVISOR: usize = 2;
-/// Divisor of the unreserved descriptors that yields the limit for idle connections to endpoints: a quarter. Attempts in
-/// flight have the remaining quarter and displace idle connections if they need more.
+/// Divisor of the unreserved descriptors that yields the limit for idle connections to endpoints: a quarter. Attempts
+/// in flight have the remaining quarter and displace idle connections if they need more.
 const IDLE_DIVISOR: usize = 4;
 /// Interval between searches for expired idle connections; well below the time that a connection stays in the pool.
 const CLOSE_EXPIRED_INTERVAL: Duration = Duration::from_millis(500);
@@ -194,8 +194,8 @@
     instance.borrow_mut().recover(recovered);
 }
 
-/// Spawns a task that should run as long as the process, and restarts it whenever it panics. A panic therefore ends only
-/// the work that the task was doing at the time.
+/// Spawns a task that should run as long as the process, and restarts it whenever it panics. A panic therefore ends
+/// only the work that the task was doing at the time.
 pub fn supervise<F: Future<Output = ()> + 'static>(create_task: impl Fn() -> F + 'static) {
     spawn_local(async move {
         while spawn_local(create_task()).await.is_err() {
--- a/crates/quillhub-server/src/test_support.rs
+++ b/crates/quillhub-server/src/test_support.rs
@@ -36,7 +36,8 @@
             {"name": "marked", "effect": "guarded", "memorySpanUs": 3000000, "aimUs": 1000000, "giveUpUs": 9000000}]}})
 }
 
-/// Builder of an instance that recovers the messages of a state directory and knows the endpoint `e` of [`DESTINATION`].
+/// Builder of an instance that recovers the messages of a state directory and knows the endpoint `e` of
+/// [`DESTINATION`].
 pub struct InstanceBuilder<'a> {
     directory: &'a StateDirectory,
     endpoint: SocketAddr,
--- a/crates/quillhub-server/src/wal/format_tests.rs
+++ b/crates/quillhub-server/src/wal/format_tests.rs
@@ -1,6 +1,6 @@
 //! Pins version 1 of the state directory's format: the encoding of each kind of record, and a directory in this format
-//! under `tests/fixtures`. After a change that breaks one of these tests, an instance cannot read the state directory of
-//! an older one.
+//! under `tests/fixtures`. After a change that breaks one of these tests, an instance cannot read the state directory
+//! of an older one.
 
 use super::record::{RecordedAttempt, from_millis};
 use super::*;
--- a/crates/quillhub-server/src/wal/mod.rs
+++ b/crates/quillhub-server/src/wal/mod.rs
@@ -35,7 +35,7 @@
 /// take. Keeps replay short, and keeps the directory as small after a day as after a minute where its files count as
 /// memory.
 const MAX_FINISHED_BYTES: u64 = 512 * 1024;
-/// Approximate maximum size of the records that follow a message's acceptance.
+/// Approximate maximum size of the records of one message that follow the record of its acceptance.
 const MAX_LATER_RECORDS_BYTES: u64 = 512;
 
 /// Write-ahead log, open for appending.
@@ -61,7 +61,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the directory or one of its segments cannot be read, or if the new segment cannot be created.
+    /// Returns an error if the directory or one of its segments cannot be read, or if the new segment cannot be
+    /// created.
     pub fn open(directory: &Path, budget: u64) -> io::Result<(Self, BTreeMap<MessageId, RecoveredMessage>)> {
         let Replay { messages, record_sizes, segments, next_id, .. } = Replay::read_from(directory)?;
         let number = segments.back().map_or(0, |last| last.number + 1);
--- a/crates/quillhub-server/src/wal/tests.rs
+++ b/crates/quillhub-server/src/wal/tests.rs
@@ -28,6 +28,7 @@
     Wal::open(&directory.0, BUDGET_BYTES).unwrap().1
 }
 
+/// Guards against a restart that loses a message, an attempt or an outcome, or that brings back a finished message.
 #[test]
 fn pending_messages_are_read_back_with_their_history() {
     let directory = StateDirectory::new();
@@ -56,6 +57,7 @@
     assert_eq!(read_back(&directory), pending, "reading does not modify the directory");
 }
 
+/// Guards against absent keys that are read back as empty or zero ones.
 #[test]
 fn a_message_without_ordering_or_idempotency_key_is_read_back_without() {
     let directory = StateDirectory::new();
@@ -65,6 +67,7 @@
     assert_eq!(read_back(&directory)[&1], bare);
 }
 
+/// Guards against a new message that counts as finished because it has the id of an earlier one in the log.
 #[test]
 fn an_id_is_not_reused_after_a_restart() {
     let directory = StateDirectory::new();
@@ -107,6 +110,7 @@
     assert_eq!(read_back(&directory).into_keys().collect::<Vec<_>>(), [1, 3]);
 }
 
+/// Guards against compaction that comes too late for the budget, or that drops records of a pending message.
 #[test]
 fn the_directory_stays_within_its_budget_and_loses_no_pending_message() {
     let directory = StateDirectory::new();
@@ -126,6 +130,8 @@
     );
 }
 
+/// Guards against a directory so full that the later records of accepted messages cannot be written, and against space
+/// that is not freed when messages are finished.
 #[test]
 fn capacity_shrinks_with_pending_messages_and_a_full_directory_accepts_no_more() {
     let directory = StateDirectory::new();
--- a/crates/quillhub-server/tests/configurations.rs
+++ b/crates/quillhub-server/tests/configurations.rs
@@ -1,8 +1,8 @@
 //! Tests of the program's command line and configuration files: what it accepts, and the exact error messages for what
 //! it refuses.
 //!
-//! `fixtures/complete.json` contains every setting that is read. The other two fixtures are lists of changes to it. Each
-//! replaces one value, given by its JSON pointer, or removes it if the change has no value.
+//! `fixtures/complete.json` contains every setting that is read. The other two fixtures are lists of changes to it.
+//! Each replaces one value, given by its JSON pointer, or removes it if the change has no value.
 
 use quillhub_fakes::scratch::Folder;
 use serde_json::Value;
@@ -124,6 +124,7 @@
     assert_output(check(&path), 0, ACCEPTED, "");
 }
 
+/// Guards against optional settings that are required, and against checks that are too strict.
 #[test]
 fn every_valid_change_of_the_complete_configuration_is_accepted() {
     let folder = Folder::new();
@@ -135,6 +136,7 @@
     }
 }
 
+/// Guards against invalid settings that pass the check, and against unintended changes of the messages.
 #[test]
 fn check_refuses_every_invalid_value_with_a_message_of_one_line() {
     let changes = changes(REFUSED_CHANGES);
@@ -291,6 +293,7 @@
     assert_output(serve(&path, &state.0), EXIT_FAILED, "", line);
 }
 
+/// Guards against a server that refuses to start with a configuration that passed `check`.
 #[test]
 fn serve_refuses_what_check_accepts_only_for_an_address_in_use() {
     let (folder, state) = (Folder::new(), Folder::new());
--- a/crates/quillhub-server/tests/process_signals.rs
+++ b/crates/quillhub-server/tests/process_signals.rs
@@ -271,8 +271,8 @@
     });
 }
 
-/// Guards against a process that does not exit, or fails, because a signal arrives before it is ready or while it already
-/// shuts down.
+/// Guards against a process that does not exit, or fails, because a signal arrives before it is ready or while it
+/// already shuts down.
 #[test]
 fn signals_during_startup_or_shutdown_end_the_process_as_a_single_one_does() {
     let test = async {
--- a/crates/quillhub-server/tests/restarts.rs
+++ b/crates/quillhub-server/tests/restarts.rs
@@ -91,8 +91,8 @@
     }
 }
 
-/// Guards against an instance that can no longer reach discovery, endpoints or clients, because idle clients and attempts
-/// without a response have used up all file descriptors.
+/// Guards against an instance that can no longer reach discovery, endpoints or clients, because idle clients and
+/// attempts without a response have used up all file descriptors.
 #[test]
 fn descriptors_remain_for_discovery_and_endpoints_despite_idle_clients_and_hanging_attempts() {
     let test = async {
@@ -142,8 +142,8 @@
             }
         });
         println!("{} attempts hang, and {} clients are idle", attempts.get(), idle.len());
-        // A new client that sends a command is served. The first client has been idle longest, and the instance may have
-        // closed its connection.
+        // A new client that sends a command is served. The first client has been idle longest, and the instance may
+        // have closed its connection.
         let mut id = 300;
         loop {
             let mut client = TcpStream::connect(listen).await.unwrap();
@@ -158,8 +158,8 @@
     on_one_thread(async { timeout(TEST_TIMEOUT, test).await.expect("file descriptors ran out") });
 }
 
-/// Guards against a restart that takes too long because the instance recovers many messages or waits for discovery, which
-/// refuses connections, does not accept them, or does not respond.
+/// Guards against a restart that takes too long because the instance recovers many messages or waits for discovery,
+/// which refuses connections, does not accept them, or does not respond.
 #[test]
 fn an_instance_is_ready_in_time_with_a_full_state_directory_and_discovery_unreachable() {
     let test = async {
