--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -94,7 +94,10 @@
         tokio::time::pause();
         let (old, mut old_requests) = answering(vec![OK]).await;
         let (new, mut new_requests) = answering(vec![OK]).await;
-        let member = |id: &str, address: SocketAddr, phase: &str| json!({"id": id, "host_port": address.to_string(), "cell": 9, "phase": phase});
+        let member = |id: &str, address: SocketAddr, phase: &str| {
+            json!({"id": id, "host_port": address.to_string(),
+                "cell": 9, "phase": phase})
+        };
         let members = [member("e", old, "draining"), member("f", new, "up")];
         let list = format!("{}\n", json!({"revision": 2, "complete": false, "members": members}));
         let response =
--- a/crates/quillhub-server/tests/process_signals.rs
+++ b/crates/quillhub-server/tests/process_signals.rs
@@ -123,7 +123,10 @@
 
 /// Returns an endpoint list with at most one endpoint.
 fn list(revision: u64, endpoint: Option<SocketAddr>) -> Value {
-    let member = |address: SocketAddr| json!({"id": format!("e{revision}"), "host_port": address.to_string(), "cell": 9, "phase": "up"});
+    let member = |address: SocketAddr| {
+        json!({"id": format!("e{revision}"), "host_port": address.to_string(),
+            "cell": 9, "phase": "up"})
+    };
     let members: Vec<_> = endpoint.into_iter().map(member).collect();
     json!({"revision": revision, "complete": true, "members": members})
 }
--- a/crates/quillhub-server/tests/restarts.rs
+++ b/crates/quillhub-server/tests/restarts.rs
@@ -38,7 +38,10 @@
 /// Returns the configuration of an instance.
 fn configuration(listen: SocketAddr, discovery: SocketAddr, known: Value) -> Value {
     let deadline_us = 60_000_000;
-    let class = |name: &str, effect: &str| json!({"name": name, "effect": effect, "aimUs": deadline_us, "giveUpUs": deadline_us});
+    let class = |name: &str, effect: &str| {
+        json!({"name": name, "effect": effect,
+            "aimUs": deadline_us, "giveUpUs": deadline_us})
+    };
     json!({"listen": listen.to_string(), "discovery": discovery.to_string(), "seed": "7", "known": known,
         "limits": {"sockets": DESCRIPTORS, "disk_mb": 8}, "settings": {"familyInfo": {"maxCalls": 400},
         "limits": {"mostTries": 9, "maxOpen": 100_000},
