--- a/crates/quillhub-server/src/attempts/tests.rs
+++ b/crates/quillhub-server/src/attempts/tests.rs
@@ -1,6 +1,6 @@
 use super::response::parse_load_report;
 use super::*;
-use crate::test_support::{LONG, OK, answering, on_one_thread};
+use crate::test_support::{OK, UNREACHED_TIMEOUT, answering, on_one_thread};
 use quillhub::{AttemptOutcome, LoadReport};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -15,7 +15,8 @@
     request: impl Fn(Duration) -> Vec<u8>,
     may_send_request: impl Fn() -> bool,
 ) -> (Result<Response, CallError>, Option<HttpConnection>) {
-    let attempt = Attempt { pooled, address, connect_timeout: LONG, timeout, request, may_send_request };
+    let attempt =
+        Attempt { pooled, address, connect_timeout: UNREACHED_TIMEOUT, timeout, request, may_send_request };
     let AttemptEnd { result, reusable } = attempt.run().await;
     (result, reusable)
 }
@@ -25,7 +26,8 @@
 fn verdict_on(answer: &'static [u8]) -> (AttemptOutcome, bool, bool) {
     on_one_thread(async {
         let (address, _requests) = answering(vec![answer]).await;
-        let (result, connection) = attempt(None, address, LONG, |_| b"x".to_vec(), || true).await;
+        let (result, connection) =
+            attempt(None, address, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await;
         let Verdict { outcome, finished } = Verdict::of(&result, false);
         (outcome, finished, connection.is_some())
     })
@@ -106,7 +108,8 @@
         on_one_thread(async {
             let (address, _requests) = answering(vec![answer]).await;
             let connection = if on_new_connection { None } else { HttpConnection::open(address).await.ok() };
-            let (result, _) = attempt(connection, address, LONG, |_| b"x".to_vec(), || true).await;
+            let (result, _) =
+                attempt(connection, address, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await;
             assert_eq!(Verdict::of(&result, load_reports), Verdict { outcome: expected, finished: false });
         });
     }
@@ -169,7 +172,7 @@
         let short = Duration::from_millis(20);
         let closed = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         assert!(matches!(
-            attempt(None, closed, LONG, |_| b"x".to_vec(), || true).await.0,
+            attempt(None, closed, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await.0,
             Err(CallError::ConnectFailed)
         ));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -185,7 +188,8 @@
             attempt(open().await, silent, short, |_| endless.clone(), || true).await.0,
             Err(CallError::ConnectFailed)
         ));
-        let (result, connection) = attempt(None, silent, LONG, |_| b"x".to_vec(), || false).await;
+        let (result, connection) =
+            attempt(None, silent, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || false).await;
         assert!(matches!(result, Err(CallError::NotSent)) && connection.is_some());
         let ends =
             [CallError::NotSent, CallError::ConnectFailed, CallError::ConnectionReset, CallError::TimedOut]
@@ -241,7 +245,7 @@
                 rest
             });
             let (result, connection) =
-                attempt(Some(pooled), address, LONG, |_| b"xyz".to_vec(), || true).await;
+                attempt(Some(pooled), address, UNREACHED_TIMEOUT, |_| b"xyz".to_vec(), || true).await;
             // The second connection is refused, since the listener is closed: the message was not executed.
             assert!(matches!(result, Err(CallError::ConnectFailed)) && connection.is_none());
             assert!(!peer.await.unwrap().ends_with(b"z"), "the last byte was not sent");
--- a/crates/quillhub-server/src/instance/tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -1,12 +1,15 @@
-use super::messages::CLIENT_ID_REMEMBERED;
+use super::messages::CLIENT_ID_RETENTION;
 use super::submission::{InvalidSubmission, SubmitFailure};
 use super::*;
 use crate::test_support::{
-    OK, STATE_BUDGET, StateDirectory, TIME_TO_LIVE, answering, endpoint_in, instance, on_one_thread,
-    pending_in, silent_endpoint, submission, submit, submit_body, until_attempts_ended, until_idle,
+    OK, STATE_BUDGET_BYTES, StateDirectory, TIME_TO_LIVE, answering, endpoint_update, instance,
+    on_one_thread, pending_in, silent_endpoint, submission, submit, submit_body, until_attempts_ended,
+    until_idle,
 };
 use quillhub::{AttemptOutcome, Driver, EndpointState};
 
+/// Guards against a request that lacks the message's ids or changes its body, and against a delivered message that
+/// stays pending and is sent again after a restart.
 #[test]
 fn a_message_is_forwarded_unchanged_and_finished_by_a_200() {
     let directory = StateDirectory::new();
@@ -15,8 +18,8 @@
         let instance = instance(&directory, address);
         assert_eq!(submit(&instance, "once"), SubmitOutcome::Accepted(1));
         let request = requests.recv().await.unwrap();
-        for part in ["POST /events HTTP/1.1\r\n", "\r\nX-Request-Id: ab", "\r\nIdempotency-Key: k\r\n"] {
-            assert!(request.contains(part), "{request}");
+        for expected in ["POST /events HTTP/1.1\r\n", "\r\nX-Request-Id: ab", "\r\nIdempotency-Key: k\r\n"] {
+            assert!(request.contains(expected), "{request}");
         }
         assert!(request.ends_with("\r\nContent-Length: 5\r\n\r\n\0body"), "{request}");
         until_idle(&instance).await;
@@ -24,6 +27,8 @@
     assert!(pending_in(&directory).is_empty());
 }
 
+/// Guards against submissions that are refused but still take a place in the queue, in the log or among the final
+/// outcomes, because the instance stores the message before the dispatcher decides.
 #[test]
 fn a_message_rejected_at_submission_leaves_nothing_pending() {
     let directory = StateDirectory::new();
@@ -38,13 +43,14 @@
         assert_eq!(
             submit(&instance, "once"),
             SubmitOutcome::Busy { retry_after: None },
-            "the queue is short"
+            "the queue is nearly full"
         );
         assert!(instance.borrow().outcomes.is_empty());
     });
     assert_eq!(pending_in(&directory).len(), 8);
 }
 
+/// Guards against a state directory that exceeds its budget while endpoints do not respond.
 #[test]
 fn a_full_state_directory_rejects_messages() {
     let directory = StateDirectory::new();
@@ -56,10 +62,11 @@
         let accepted = (0..9).take_while(|_| matches!(submit(), SubmitOutcome::Accepted(_))).count();
         assert!((3..9).contains(&accepted));
         assert_eq!(submit(), SubmitOutcome::Busy { retry_after: None });
-        assert!(directory.size() <= STATE_BUDGET);
+        assert!(directory.size() <= STATE_BUDGET_BYTES);
     });
 }
 
+/// Guards against a message that is sent but unknown after a crash, because its record could not be written.
 #[test]
 fn a_message_that_cannot_be_recorded_is_neither_accepted_nor_sent() {
     let directory = StateDirectory::new();
@@ -67,7 +74,7 @@
         let (address, mut requests) = answering(vec![OK, OK, OK]).await;
         let instance = instance(&directory, address);
         std::fs::remove_dir_all(&directory.0).unwrap();
-        let body = vec![0; 60_000]; // one fills a segment, and the next needs a new file
+        let body = vec![0; 60_000]; // one message fills a segment, so that the next one needs a new file
         let submit = || submit_body(&instance, "free", &body);
         assert_eq!(submit(), SubmitOutcome::Accepted(1));
         for _ in 0..2 {
@@ -78,6 +85,7 @@
     });
 }
 
+/// Guards against attempts after a restart for a message whose client never learned that it was accepted.
 #[test]
 fn a_withdrawn_message_leaves_nothing_pending() {
     let directory = StateDirectory::new();
@@ -91,6 +99,8 @@
     assert!(pending_in(&directory).is_empty());
 }
 
+/// Guards against an instance without a dispatcher: it is taken out while an event is handled, and a panic skips the
+/// rest of the handler.
 #[test]
 fn a_panic_in_an_event_leaves_the_dispatcher_in_place() {
     let directory = StateDirectory::new();
@@ -103,6 +113,7 @@
     });
 }
 
+/// Guards against attempts that start shortly before the process exits and would be interrupted.
 #[test]
 fn after_stop_deciding_messages_are_accepted_but_not_attempted() {
     let directory = StateDirectory::new();
@@ -116,12 +127,13 @@
     assert_eq!(pending_in(&directory).len(), 1);
 }
 
-/// Each comes between the decision and the attempt's first octet, while its connection opens.
+/// Guards against attempts that are sent on the strength of an outdated decision. Each change happens after the
+/// dispatcher started the attempt and before the attempt's first byte, while its connection opens.
 #[test]
-fn an_attempt_sends_nothing_once_its_client_left_or_its_endpoint_drained_or_asked_to_wait() {
+fn an_attempt_sends_nothing_after_its_client_left_or_its_endpoint_drained_or_requested_a_wait() {
     let listed = |state| {
         move |instance: &mut Instance| {
-            instance.handle_event(|dispatcher| dispatcher.endpoint_updated(endpoint_in(state)))
+            instance.handle_event(|dispatcher| dispatcher.endpoint_updated(endpoint_update(state)))
         }
     };
     let rejected = AttemptResult {
@@ -138,12 +150,12 @@
         ("the endpoint drains", Box::new(listed(EndpointState::Draining))),
         ("the endpoint is removed", Box::new(listed(EndpointState::Removed))),
         (
-            "the endpoint asks to wait",
+            "the endpoint requests a wait",
             Box::new(move |instance| instance.handle_event(|dispatcher| dispatcher.attempt_ended(rejected))),
         ),
         ("nothing", Box::new(|_| ())),
     ];
-    for (what, change) in changes {
+    for (description, change) in changes {
         let directory = StateDirectory::new();
         on_one_thread(async {
             let (address, mut requests) = answering(vec![OK; 9]).await;
@@ -155,11 +167,17 @@
             change(&mut instance.borrow_mut());
             until_attempts_ended(&instance).await;
             let mut received = std::iter::from_fn(|| requests.try_recv().ok());
-            assert_eq!(received.any(|request| request.ends_with("body")), what == "nothing", "{what}");
+            assert_eq!(
+                received.any(|request| request.ends_with("body")),
+                description == "nothing",
+                "{description}"
+            );
         });
     }
 }
 
+/// Guards against two messages with the same client id, which endpoints and the platform could not distinguish, for
+/// example when a client submits a message again after a restart of the instance.
 #[test]
 fn a_duplicate_client_id_is_rejected_and_the_first_message_stays() {
     let directory = StateDirectory::new();
@@ -174,17 +192,17 @@
         let duplicate = SubmitOutcome::Invalid(InvalidSubmission::DuplicateClientId);
         assert_eq!(submit(&first, b"a", 9), SubmitOutcome::Accepted(1));
         assert_eq!(submit(&first, b"a", 9), duplicate);
-        let elsewhere = submit(&first, b"b", 404);
-        assert_eq!(elsewhere, SubmitOutcome::Invalid(InvalidSubmission::UnknownDestination));
+        let unknown = submit(&first, b"b", 404);
+        assert_eq!(unknown, SubmitOutcome::Invalid(InvalidSubmission::UnknownDestination));
         assert_eq!((first.borrow().messages.len(), first.borrow().attempts_in_flight), (1, 1));
         drop(first);
         let second = instance(&directory, address);
-        assert_eq!(submit(&second, b"a", 9), duplicate, "after a restart too");
+        assert_eq!(submit(&second, b"a", 9), duplicate, "also after a restart");
         second.borrow_mut().abandon(1);
         second.borrow_mut().outcomes_confirmed(1);
-        assert_eq!(submit(&second, b"a", 9), duplicate, "and for a while");
-        second.borrow_mut().clock_offset += CLIENT_ID_REMEMBERED;
+        assert_eq!(submit(&second, b"a", 9), duplicate, "also after the message is finished");
+        second.borrow_mut().clock_offset += CLIENT_ID_RETENTION;
         assert!(matches!(submit(&second, b"a", 9), SubmitOutcome::Accepted(_)));
-        assert_eq!(second.borrow().messages.remembered(), 0);
+        assert_eq!(second.borrow().messages.remembered_count(), 0);
     });
 }
