--- a/src/policy/tests/connections.rs
+++ b/src/policy/tests/connections.rs
@@ -10,7 +10,7 @@
     for at in 1..=20 {
         dispatcher.advance_to(ms(at * 200));
         let attempt = attempt_at("a", dispatcher.state.now);
-        judge(&mut dispatcher, &attempt, AttemptOutcome::ConnectionLimit);
+        process_outcome(&mut dispatcher, &attempt, AttemptOutcome::ConnectionLimit);
     }
     let route = route(&dispatcher);
     assert!(route.limit.paused_until().is_zero() && !route.streak.is_suspect(dispatcher.state.now));
--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -272,7 +272,8 @@
 fn a_route_stays_suspect_while_its_last_endpoint_is_replaced() {
     let mut dispatcher = one_of_many(2, 1, 10.0, &["a"]);
     let attempt = attempt_at("a", ms(1));
-    (0..FailureStreak::SUSPECT).for_each(|_| judge(&mut dispatcher, &attempt, AttemptOutcome::Failed));
+    (0..FailureStreak::SUSPECT)
+        .for_each(|_| process_outcome(&mut dispatcher, &attempt, AttemptOutcome::Failed));
     dispatcher.endpoint_list_ended(Some(&BTreeSet::new()), false);
     assert!(dispatcher.state.destinations[&9].endpoints.is_empty());
     dispatcher.endpoint_updated(listed_with_rate("b", 10.0));
@@ -287,7 +288,8 @@
         let mut dispatcher = one_of_many(200, seed, 20.0, &["a"]);
         dispatcher.advance_to(ms(60_000));
         let attempt = attempt_at("a", ms(59_900));
-        (0..FailureStreak::SUSPECT).for_each(|_| judge(&mut dispatcher, &attempt, AttemptOutcome::Failed));
+        (0..FailureStreak::SUSPECT)
+            .for_each(|_| process_outcome(&mut dispatcher, &attempt, AttemptOutcome::Failed));
         dispatcher
     };
     let mut instances: Vec<_> = (0..200).map(failed).collect();
@@ -321,7 +323,12 @@
             dispatcher.set_overload_tolerance(ms(2_000));
             dispatcher.advance_to(ms(20_000));
             route_mut(&mut dispatcher).retry_budget.on_attempt(ms(19_900), false);
-            judge_with_report(&mut dispatcher, &attempt_at("a", ms(19_900)), rejected(), load_report);
+            process_outcome_with_report(
+                &mut dispatcher,
+                &attempt_at("a", ms(19_900)),
+                rejected(),
+                load_report,
+            );
             dispatcher.advance_to(ms(27_000));
             dispatcher.accept(NewMessage { deadline: ms(37_000), ..message(1) }).unwrap();
             dispatcher
--- a/src/policy/tests/latency.rs
+++ b/src/policy/tests/latency.rs
@@ -49,9 +49,9 @@
     dispatcher.advance_to(ms(2_000));
     endpoint_mut(&mut dispatcher, "a").health.set_last_delivery(ms(1_900));
     let attempt = attempt_at("a", ms(50));
-    (0..2).for_each(|_| judge(&mut dispatcher, &attempt, AttemptOutcome::TimedOut));
+    (0..2).for_each(|_| process_outcome(&mut dispatcher, &attempt, AttemptOutcome::TimedOut));
     let share = |dispatcher: &crate::Dispatcher| dispatcher.state.shared.isolated_losses.share;
     assert!(share(&dispatcher) >= HIGH_LOSS_SHARE, "the minimum timeout depends on the free slots");
-    (0..60).for_each(|_| judge(&mut dispatcher, &attempt, AttemptOutcome::Delivered));
+    (0..60).for_each(|_| process_outcome(&mut dispatcher, &attempt, AttemptOutcome::Delivered));
     assert!(share(&dispatcher) < HIGH_LOSS_SHARE / 10.0);
 }
--- a/src/policy/tests/outlier.rs
+++ b/src/policy/tests/outlier.rs
@@ -71,13 +71,13 @@
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     endpoint_mut(&mut dispatcher, "a").health.set_last_delivery(ms(50));
     for at in 1..=4 {
-        judge(&mut dispatcher, &attempt_at("a", ms(at)), AttemptOutcome::TimedOut);
+        process_outcome(&mut dispatcher, &attempt_at("a", ms(at)), AttemptOutcome::TimedOut);
     }
     assert_eq!(endpoint(&dispatcher, "a").health.status(), Health::Healthy);
     for (now, status) in [(80, Health::Healthy), (2_100, Health::Ejected)] {
         dispatcher.advance_to(ms(now));
         for at in 60..=61 {
-            judge(&mut dispatcher, &attempt_at("a", ms(at)), AttemptOutcome::TimedOut);
+            process_outcome(&mut dispatcher, &attempt_at("a", ms(at)), AttemptOutcome::TimedOut);
         }
         assert_eq!(endpoint(&dispatcher, "a").health.status(), status, "at {now}");
     }
@@ -90,7 +90,7 @@
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     for id in 1..=5 {
         dispatcher.advance_to(ms(id * 100));
-        judge(&mut dispatcher, &attempt_at("a", ms(id * 100)), rejected());
+        process_outcome(&mut dispatcher, &attempt_at("a", ms(id * 100)), rejected());
     }
     assert_eq!(endpoint(&dispatcher, "a").health.status(), Health::Healthy);
     assert!(route(&dispatcher).limit.paused_until() > ms(500), "but its route pauses");
@@ -102,7 +102,7 @@
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let mut status_after = |at, outcome| {
         dispatcher.advance_to(ms(at + 9));
-        judge(&mut dispatcher, &attempt_at("a", ms(at)), outcome);
+        process_outcome(&mut dispatcher, &attempt_at("a", ms(at)), outcome);
         endpoint(&dispatcher, "a").health.status()
     };
     for at in (0..5_000).step_by(100) {
@@ -122,7 +122,7 @@
     for (load_report, expected) in [(report(0.0), true), (report(4.0), false), (None, false)] {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         let attempt = attempt_at("a", ms(1));
-        (0..2).for_each(|_| judge_with_report(&mut dispatcher, &attempt, rejected(), load_report));
+        (0..2).for_each(|_| process_outcome_with_report(&mut dispatcher, &attempt, rejected(), load_report));
         let suspect = route(&dispatcher).streak.is_suspect(dispatcher.state.now);
         let healthy = endpoint(&dispatcher, "a").health.status() == Health::Healthy;
         assert_eq!(!healthy || suspect, expected, "{load_report:?}");
--- a/src/policy/tests/rate_limit.rs
+++ b/src/policy/tests/rate_limit.rs
@@ -83,9 +83,9 @@
 fn rejected_attempts_that_were_in_flight_together_cause_one_pause() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.advance_to(ms(100));
-    (0..12).for_each(|at| judge(&mut dispatcher, &attempt_at("a", ms(at)), rejected()));
+    (0..12).for_each(|at| process_outcome(&mut dispatcher, &attempt_at("a", ms(at)), rejected()));
     let limit = &route(&dispatcher).limit;
     assert!(limit.paused_until <= ms(100) + BASE_DELAY && limit.rejections == 12);
-    judge(&mut dispatcher, &attempt_at("a", ms(100)), rejected());
+    process_outcome(&mut dispatcher, &attempt_at("a", ms(100)), rejected());
     assert_eq!(route(&dispatcher).limit.pauses, 2);
 }
--- a/src/policy/tests/retry_budget.rs
+++ b/src/policy/tests/retry_budget.rs
@@ -35,11 +35,11 @@
         route.retry_budget.allows(now, route.streak.has_failures())
     };
     for (now_ms, allowed) in [(1, true), (2, false)] {
-        judge(&mut dispatcher, &attempt_at("a", ms(now_ms)), AttemptOutcome::ConnectFailed);
+        process_outcome(&mut dispatcher, &attempt_at("a", ms(now_ms)), AttemptOutcome::ConnectFailed);
         assert_eq!(allows(&dispatcher, ms(now_ms)), allowed);
         route_mut(&mut dispatcher).retry_budget.on_attempt(ms(now_ms), true);
     }
-    judge(&mut dispatcher, &attempt_at("b", ms(3)), AttemptOutcome::Delivered);
+    process_outcome(&mut dispatcher, &attempt_at("b", ms(3)), AttemptOutcome::Delivered);
     assert!(allows(&dispatcher, ms(4)));
 }
 
@@ -62,7 +62,7 @@
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let outcomes = [(AttemptOutcome::Delivered, 1.25), (rejected(), 1.0), (AttemptOutcome::Failed, 1.0)];
     for (outcome, balance) in outcomes {
-        judge(&mut dispatcher, &attempt_at("a", ms(1)), outcome);
+        process_outcome(&mut dispatcher, &attempt_at("a", ms(1)), outcome);
         assert_eq!(dispatcher.state.shared.retry_credit.balance, balance);
     }
 }
--- a/src/policy/tests/verdict.rs
+++ b/src/policy/tests/verdict.rs
@@ -30,7 +30,7 @@
     assert_eq!(endpoint(&dispatcher, "b").health.status(), Health::WarmingUp { since: ms(1) });
     dispatcher.allow_gossip(true);
     eject(&mut dispatcher);
-    judge(&mut dispatcher, &attempt_at("a", ms(1)), AttemptOutcome::Delivered);
+    process_outcome(&mut dispatcher, &attempt_at("a", ms(1)), AttemptOutcome::Delivered);
     assert!(actions(&mut dispatcher).contains(&format!("broadcast {gossip:?}")));
 }
 
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -1,6 +1,6 @@
 //! Verdict: effects of the end of an attempt on its message, its endpoint, its route and the rest of the state.
 //!
-//! Each outcome is reported to the mechanisms that it concerns and summarized as an [`Assessment`], from which the
+//! Each outcome is reported to the mechanisms that it concerns and summarized as an [`OutcomeEffect`], from which the
 //! endpoint's health and the slow-start budgets of the route's endpoints are updated. Gossip about recoveries at other
 //! instances is handled here too.
 
@@ -14,7 +14,7 @@
 
 /// Consequence of an outcome for all endpoints of its route.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Signal {
+enum RouteEffect {
     None,
     /// The route requested a Retry-After longer than a rate limit explains, so it is unavailable.
     Unavailable,
@@ -25,16 +25,16 @@
 }
 
 /// Effect of one outcome on the health of its endpoint and route.
-struct Assessment {
+struct OutcomeEffect {
     /// Weight in the failing share of the endpoint, from 0 to 1; 0 if the outcome is no failure.
     failure_weight: f64,
     /// `true` if the outcome indicates that the endpoint does not respond to any call.
     indicates_outage: bool,
-    signal: Signal,
+    route_effect: RouteEffect,
 }
 
-impl Assessment {
-    const NONE: Self = Self { failure_weight: 0.0, indicates_outage: false, signal: Signal::None };
+impl OutcomeEffect {
+    const NONE: Self = Self { failure_weight: 0.0, indicates_outage: false, route_effect: RouteEffect::None };
 
     fn failure(failure_weight: f64) -> Self {
         Self { failure_weight, ..Self::NONE }
@@ -62,8 +62,8 @@
 }
 
 impl OutcomeContext<'_> {
-    /// Reports the outcome to the mechanisms that it concerns, and returns its assessment.
-    fn assess(&mut self, result: &AttemptResult) -> Assessment {
+    /// Reports the outcome to the mechanisms that it concerns, and returns its effect.
+    fn process(&mut self, result: &AttemptResult) -> OutcomeEffect {
         match result.outcome {
             AttemptOutcome::Delivered => self.on_delivery(result),
             AttemptOutcome::Rejected { retry_after } | AttemptOutcome::AmbiguousRejection { retry_after } => {
@@ -71,13 +71,13 @@
             }
             AttemptOutcome::Failed => {
                 self.route.streak.add_failures(1);
-                Assessment::failure(outlier::FAILURE_WEIGHT)
+                OutcomeEffect::failure(outlier::FAILURE_WEIGHT)
             }
             AttemptOutcome::TimedOut => self.on_timeout(),
             AttemptOutcome::ConnectFailed => self.on_connect_failure(),
             AttemptOutcome::ConnectionReset => {
                 self.route.streak.add_failures(1);
-                Assessment::failure(outlier::MINOR_FAILURE_WEIGHT)
+                OutcomeEffect::failure(outlier::MINOR_FAILURE_WEIGHT)
             }
             // Keeps an endpoint whose connection table is full, with the connections of many instances, from being
             // treated as failed or rate-limited: it works, and the next connection may succeed at another endpoint or
@@ -85,13 +85,13 @@
             AttemptOutcome::ConnectionLimit => {
                 self.shared.connections.on_connect_failure(&self.endpoint.kind);
                 self.endpoint.last_used = None;
-                Assessment::NONE
+                OutcomeEffect::NONE
             }
-            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => Assessment::NONE,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => OutcomeEffect::NONE,
         }
     }
 
-    fn on_delivery(&mut self, result: &AttemptResult) -> Assessment {
+    fn on_delivery(&mut self, result: &AttemptResult) -> OutcomeEffect {
         let now = self.now;
         let class_latency = self.shared.class_latency.entry(self.attempt.class).or_default();
         class_latency.on_delivery(now, result.duration);
@@ -110,10 +110,13 @@
         }
         let ends_outage = self.route.streak.is_outage(now);
         self.route.streak.reset();
-        Assessment { signal: if ends_outage { Signal::Recovered } else { Signal::None }, ..Assessment::NONE }
+        OutcomeEffect {
+            route_effect: if ends_outage { RouteEffect::Recovered } else { RouteEffect::None },
+            ..OutcomeEffect::NONE
+        }
     }
 
-    fn on_rejection(&mut self, retry_after: Duration, result: &AttemptResult) -> Assessment {
+    fn on_rejection(&mut self, retry_after: Duration, result: &AttemptResult) -> OutcomeEffect {
         let now = self.now;
         let route = &mut *self.route;
         let is_reported = route.limit.is_reported();
@@ -147,39 +150,39 @@
         } else {
             0.0
         };
-        let signal = match (is_unavailable, is_first_rejection) {
-            (true, _) => Signal::Unavailable,
-            (false, true) => Signal::FirstRejection,
-            (false, false) => Signal::None,
+        let route_effect = match (is_unavailable, is_first_rejection) {
+            (true, _) => RouteEffect::Unavailable,
+            (false, true) => RouteEffect::FirstRejection,
+            (false, false) => RouteEffect::None,
         };
-        Assessment { failure_weight, indicates_outage: false, signal }
+        OutcomeEffect { failure_weight, indicates_outage: false, route_effect }
     }
 
     /// Handles an attempt timeout: counts it as an isolated loss if the endpoint delivered another call recently.
     ///
     /// Keeps single losses, as on a bad network, from being treated as an outage: while other calls are answered, one
     /// loss says little about the endpoint. May delay an ejection.
-    fn on_timeout(&mut self) -> Assessment {
+    fn on_timeout(&mut self) -> OutcomeEffect {
         let indicates_outage = self.endpoint.health.is_unresponsive(self.now, self.attempt.started);
         if indicates_outage {
             self.latency.on_timeout();
         } else {
             self.shared.isolated_losses.on_isolated_timeout();
         }
-        self.on_unanswered_call(indicates_outage)
+        self.on_missing_response(indicates_outage)
     }
 
-    fn on_connect_failure(&mut self) -> Assessment {
+    fn on_connect_failure(&mut self) -> OutcomeEffect {
         self.shared.connections.on_connect_failure(&self.endpoint.kind);
         let indicates_outage = !self.endpoint.health.delivered_since(self.attempt.started);
-        self.on_unanswered_call(indicates_outage)
+        self.on_missing_response(indicates_outage)
     }
 
-    fn on_unanswered_call(&mut self, indicates_outage: bool) -> Assessment {
+    fn on_missing_response(&mut self, indicates_outage: bool) -> OutcomeEffect {
         self.route.streak.add_failures(1);
         let failure_weight =
             if indicates_outage { outlier::NO_RESPONSE_WEIGHT } else { outlier::MINOR_FAILURE_WEIGHT };
-        Assessment { failure_weight, indicates_outage, signal: Signal::None }
+        OutcomeEffect { failure_weight, indicates_outage, route_effect: RouteEffect::None }
     }
 
     /// Releases the attempt's permit, and records its connection as idle if it stays open and the endpoint has no other
@@ -215,10 +218,12 @@
     }
 
     /// Returns `true` if the slow-start budgets of the route's endpoints start to apply with this outcome.
-    fn begins_slow_start(&self, signal: Signal, after: Health) -> bool {
+    fn begins_slow_start(&self, route_effect: RouteEffect, after: Health) -> bool {
         let ejected = self.prior.health == Health::Healthy && after == Health::Ejected;
         let newly_suspect = !self.prior.suspect && self.route.streak.is_suspect(self.now);
-        matches!(signal, Signal::Unavailable | Signal::FirstRejection) || ejected || newly_suspect
+        matches!(route_effect, RouteEffect::Unavailable | RouteEffect::FirstRejection)
+            || ejected
+            || newly_suspect
     }
 }
 
@@ -237,7 +242,7 @@
 fn update_route_endpoints(
     destination: &mut Destination,
     route: &str,
-    signal: Signal,
+    route_effect: RouteEffect,
     begins_slow_start: bool,
     shared: &mut Shared,
     now: Duration,
@@ -245,11 +250,11 @@
     for endpoint in destination.endpoints.values_mut().filter(|endpoint| endpoint.route == route) {
         // Prevents a burst of calls at the end of the Retry-After of an unavailable route: all its endpoints recover
         // cold, so all are ejected, and the first call to each is a health check.
-        if signal == Signal::Unavailable {
+        if route_effect == RouteEffect::Unavailable {
             endpoint.health.on_failure(now, outlier::UNAVAILABLE_WEIGHT);
         }
         // Prevents the first delivery at each of many instances from releasing all messages that wait there.
-        if signal == Signal::Recovered && endpoint.health.status() == Health::Healthy {
+        if route_effect == RouteEffect::Recovered && endpoint.health.status() == Health::Healthy {
             endpoint.health.start_warm_up(now);
         }
         // Prevents many instances from each sending a call at once, out of budgets earned while the route was healthy.
@@ -268,8 +273,8 @@
             self.process_result(&attempt, result);
         }
         if let Some(key) = attempt.ordering_key {
-            let answered = matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::Failed);
-            let may_be_executed = !outcome.never_executed() && !answered;
+            let is_processed = matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::Failed);
+            let may_be_executed = !outcome.never_executed() && !is_processed;
             self.ordering.on_ended(key, result.message, may_be_executed, self.now);
         }
         if result.finished {
@@ -315,19 +320,19 @@
             shared: &mut self.shared,
             prior,
         };
-        let assessment = context.assess(result);
+        let effect = context.process(result);
         if is_failure_or_rejection(result.outcome) {
             context.route.streak.begin(now);
         }
-        context.release(result.outcome, assessment.indicates_outage);
-        let after = context.update_health(result.outcome, assessment.failure_weight);
-        let begins_slow_start = context.begins_slow_start(assessment.signal, after);
-        if begins_slow_start || assessment.signal == Signal::Recovered {
+        context.release(result.outcome, effect.indicates_outage);
+        let after = context.update_health(result.outcome, effect.failure_weight);
+        let begins_slow_start = context.begins_slow_start(effect.route_effect, after);
+        if begins_slow_start || effect.route_effect == RouteEffect::Recovered {
             let route = context.endpoint.route.clone();
             update_route_endpoints(
                 destination,
                 &route,
-                assessment.signal,
+                effect.route_effect,
                 begins_slow_start,
                 &mut self.shared,
                 now,
