--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: acceptance of messages, tenant quotas, and the choice of the message to reject when capacity is short.
 
-use super::state::{MaybeExecutedAttempt, PendingMessage, State};
+use super::state::{PendingMessage, RecordedPossibleExecution, State};
 use crate::{
     DestinationId, Driver, LogEvent, MessageId, NewMessage, RecoveredAttempts, RetrySafety,
     UnknownServiceClass, ms,
@@ -161,7 +161,7 @@
             in_flight: 0,
             not_before: Duration::ZERO,
             last_outcome: None,
-            first_execution: None,
+            first_possible_execution: None,
             is_recovered_untried: false,
         };
         self.pending.insert(message.id, pending);
@@ -190,15 +190,15 @@
     /// Prevents a message from being executed twice because of a restart.
     pub(crate) fn restore_attempts(&mut self, id: MessageId, attempts: RecoveredAttempts) {
         let Some(destination) = self.pending.get(&id).map(|message| message.destination) else { return };
-        let first_execution = attempts.first_execution.map(|execution| MaybeExecutedAttempt {
+        let first_possible_execution = attempts.first_execution.map(|execution| RecordedPossibleExecution {
             started: execution.started,
             zone: self.zone_of(destination, execution.endpoint),
         });
         let Some(message) = self.pending.get_mut(&id) else { return };
         message.attempts = attempts.count;
-        message.first_execution = first_execution;
+        message.first_possible_execution = first_possible_execution;
         message.is_recovered_untried = attempts.count == 0;
-        if let Some(key) = message.ordering_key.filter(|_| message.first_execution.is_some()) {
+        if let Some(key) = message.ordering_key.filter(|_| message.first_possible_execution.is_some()) {
             self.ordering.pause_others(key, id, self.now);
         }
     }
@@ -207,8 +207,10 @@
     pub(super) fn may_reject(&self, message: &PendingMessage) -> bool {
         match self.class(message).retry_safety {
             RetrySafety::Idempotent => true,
-            RetrySafety::Deduplicated { per_zone, .. } => message.first_execution.is_none() || !per_zone,
-            RetrySafety::AtMostOnce => message.first_execution.is_none(),
+            RetrySafety::Deduplicated { per_zone, .. } => {
+                message.first_possible_execution.is_none() || !per_zone
+            }
+            RetrySafety::AtMostOnce => message.first_possible_execution.is_none(),
         }
     }
 
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -13,7 +13,7 @@
     pub(super) fn latest_start(&self, message: &PendingMessage) -> Duration {
         let typical = self.typical_latency(message.destination, message.class);
         let by_deadline = message.deadline.saturating_sub(typical);
-        match (&message.first_execution, self.class(message).retry_safety) {
+        match (&message.first_possible_execution, self.class(message).retry_safety) {
             (None, _) | (_, RetrySafety::Idempotent) => by_deadline,
             // Prevents a retry that arrives or is executed after its idempotency key was forgotten: like the deadline,
             // the window must cover a typical call. May give up a message whose retry would have been in time.
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -97,7 +97,7 @@
         let typical = self.typical_latency(message.destination, message.class);
         let value = self.value_at(message, self.now + typical);
         let class = self.class(message);
-        let failure_tolerance = match &message.first_execution {
+        let failure_tolerance = match &message.first_possible_execution {
             _ if !candidate.is_health_check() => FailureTolerance::NotHealthCheck,
             Some(_) => FailureTolerance::MayHaveBeenExecuted,
             None if class.retry_safety == RetrySafety::Idempotent => FailureTolerance::Idempotent,
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -227,7 +227,7 @@
     fn required_zone<'a>(&self, message: &'a PendingMessage) -> Option<&'a String> {
         let per_zone =
             matches!(self.class(message).retry_safety, RetrySafety::Deduplicated { per_zone: true, .. });
-        message.first_execution.as_ref().filter(|_| per_zone).map(|first| &first.zone)
+        message.first_possible_execution.as_ref().filter(|_| per_zone).map(|first| &first.zone)
     }
 }
 
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -153,7 +153,7 @@
 }
 
 /// Attempt that may have been executed, with the zone of the endpoint that was called.
-pub(crate) struct MaybeExecutedAttempt {
+pub(crate) struct RecordedPossibleExecution {
     pub(super) started: Duration,
     /// Zone of the endpoint; empty if the endpoint was already removed.
     pub(super) zone: String,
@@ -179,7 +179,7 @@
     pub(super) not_before: Duration,
     pub(super) last_outcome: Option<AttemptOutcome>,
     /// First attempt that may have been executed, if any.
-    pub(super) first_execution: Option<MaybeExecutedAttempt>,
+    pub(super) first_possible_execution: Option<RecordedPossibleExecution>,
     /// `true` if the message was recovered after a restart and has never been attempted.
     pub(super) is_recovered_untried: bool,
 }
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -8,7 +8,7 @@
 use super::latency::LatencyWindow;
 use super::outlier::{self, Health};
 use super::rate_limit::Rejection;
-use super::state::{Attempt, Destination, Endpoint, MaybeExecutedAttempt, Route, Shared, State};
+use super::state::{Attempt, Destination, Endpoint, RecordedPossibleExecution, Route, Shared, State};
 use crate::{AttemptOutcome, AttemptResult, EndpointState, LogEvent, MessageId, gossip};
 use std::time::Duration;
 
@@ -293,9 +293,11 @@
         message.last_outcome = Some(outcome);
         message.not_before =
             self.now + full_jitter(&mut self.shared.rng, message.failures, BASE_DELAY, MAX_DELAY);
-        let is_first = message.first_execution.as_ref().is_none_or(|first| first.started > attempt.started);
+        let is_first =
+            message.first_possible_execution.as_ref().is_none_or(|first| first.started > attempt.started);
         if !outcome.never_executed() && is_first {
-            message.first_execution = Some(MaybeExecutedAttempt { started: attempt.started, zone });
+            message.first_possible_execution =
+                Some(RecordedPossibleExecution { started: attempt.started, zone });
         }
     }
 
