--- a/crates/quillhub-experiments/src/baselines.rs
+++ b/crates/quillhub-experiments/src/baselines.rs
@@ -368,7 +368,7 @@
             self.ends.remove(&(deadline, id));
             return;
         }
-        if !outcome.never_executed() && pending.first_execution.is_none() {
+        if !outcome.known_not_executed() && pending.first_execution.is_none() {
             pending.first_execution = Some((pending.started, zone));
         }
         let (attempts, started) = (pending.attempts, pending.started);
--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -65,7 +65,7 @@
             if let Some(message) = self.messages.remove(id.message) {
                 self.messages.remember_client_id(self.now(), message.client_id);
             }
-        } else if verdict.outcome.never_executed() {
+        } else if verdict.outcome.known_not_executed() {
             log_failed_write(
                 id.message,
                 RecordKind::NotExecuted,
--- a/crates/quillhub-simulator/src/simulation/calls.rs
+++ b/crates/quillhub-simulator/src/simulation/calls.rs
@@ -235,7 +235,7 @@
         outcome: AttemptOutcome,
     ) {
         let Some(message) = self.instances[instance].pending.get_mut(&message_id) else { return };
-        if outcome.never_executed() {
+        if outcome.known_not_executed() {
             message.may_have_run.remove(&attempt);
         }
         if outcome == AttemptOutcome::Delivered {
--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -36,7 +36,7 @@
 
 impl AttemptOutcome {
     /// Returns `true` if the message is known not to have been executed by the attempt.
-    pub fn never_executed(self) -> bool {
+    pub fn known_not_executed(self) -> bool {
         matches!(self, Self::Rejected { .. } | Self::ConnectFailed | Self::ConnectionLimit | Self::NotSent)
     }
 }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -250,9 +250,9 @@
 
     /// Postpones the next health check after a failed call to an ejected endpoint; it is never moved to an earlier
     /// time.
-    pub(super) fn on_failure(&mut self, now: Duration, never_executed: bool, rng: &mut Pcg64Mcg) {
+    pub(super) fn on_failure(&mut self, now: Duration, known_not_executed: bool, rng: &mut Pcg64Mcg) {
         self.count += 1;
-        let cap = if never_executed { MAX_CHECK_INTERVAL } else { MAX_COSTLY_CHECK_INTERVAL };
+        let cap = if known_not_executed { MAX_CHECK_INTERVAL } else { MAX_COSTLY_CHECK_INTERVAL };
         self.next = self.next.max(now + equal_jitter(rng, self.count, cap));
     }
 }
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -204,7 +204,7 @@
         }
         let after = self.endpoint.health.status();
         if after == Health::Ejected && outcome != AttemptOutcome::Delivered {
-            self.route.checks.on_failure(self.now, outcome.never_executed(), &mut self.shared.rng);
+            self.route.checks.on_failure(self.now, outcome.known_not_executed(), &mut self.shared.rng);
         }
         if self.prior.health.differs_from(after) {
             self.shared.log_events.push(LogEvent::HealthChanged {
@@ -274,7 +274,7 @@
         }
         if let Some(key) = attempt.ordering_key {
             let is_processed = matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::Failed);
-            let may_be_executed = !outcome.never_executed() && !is_processed;
+            let may_be_executed = !outcome.known_not_executed() && !is_processed;
             self.ordering.on_ended(key, result.message, may_be_executed, self.now);
         }
         if result.finished {
@@ -295,7 +295,7 @@
             self.now + full_jitter(&mut self.shared.rng, message.failures, BASE_DELAY, MAX_DELAY);
         let is_first =
             message.first_possible_execution.as_ref().is_none_or(|first| first.started > attempt.started);
-        if !outcome.never_executed() && is_first {
+        if !outcome.known_not_executed() && is_first {
             message.first_possible_execution =
                 Some(RecordedPossibleExecution { started: attempt.started, zone });
         }
