--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns the number of permits left, which is negative after the limit was cut below the calls in flight.
-    pub(super) fn available(&self) -> i64 {
+    pub(super) fn free_permits(&self) -> i64 {
         self.limit as i64 - i64::from(self.in_flight)
     }
 
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -2,7 +2,7 @@
 
 use super::backoff::equal_jitter;
 use super::latency::MIN_ATTEMPT_TIMEOUT;
-use super::rate_limit::OUTAGE_THRESHOLD;
+use super::rate_limit::MAX_RATE_LIMIT_REJECTION_PERIOD;
 use super::slow_start::SlowStart;
 use crate::ms;
 use rand_pcg::Pcg64Mcg;
@@ -17,12 +17,12 @@
 pub(super) const FAILURE_WEIGHT: f64 = 0.2;
 /// Weight of a failed connection, of a timeout, or of a rejection after the route has rejected for long: two in a row
 /// eject an endpoint.
-pub(super) const NO_RESPONSE_WEIGHT: f64 = 0.35;
+pub(super) const MAJOR_FAILURE_WEIGHT: f64 = 0.35;
 /// Weight of a rejection, of a connection reset, or of a call without a response while others were answered: seven in a
 /// row eject an endpoint.
 pub(super) const MINOR_FAILURE_WEIGHT: f64 = 0.1;
 /// Weight of the route being unavailable, which ejects an endpoint at once.
-pub(super) const UNAVAILABLE_WEIGHT: f64 = 1.0;
+pub(super) const LONG_RETRY_AFTER_WEIGHT: f64 = 1.0;
 /// Failing share above which an endpoint is ejected: more than half of its calls fail.
 const EJECTION_FAILING_SHARE: f64 = 0.5;
 /// Maximum failing share of an endpoint that starts to warm up, so high that one or two further failures eject it
@@ -202,13 +202,13 @@
     }
 
     /// Returns `true` if the streak has continued for longer than a rate limit explains.
-    fn is_prolonged(&self, now: Duration) -> bool {
-        self.since.is_some_and(|since| since + OUTAGE_THRESHOLD < now)
+    fn is_long(&self, now: Duration) -> bool {
+        self.since.is_some_and(|since| since + MAX_RATE_LIMIT_REJECTION_PERIOD < now)
     }
 
     /// Returns `true` if calls failed more than once in a streak that is longer than a rate limit explains.
     pub(super) fn is_outage(&self, now: Duration) -> bool {
-        self.failures >= SUSPECT_FAILURES && self.is_prolonged(now)
+        self.failures >= SUSPECT_FAILURES && self.is_long(now)
     }
 
     /// Returns `true` if the route is suspect: after two failures, or after prolonged rejections without a reported
@@ -217,7 +217,7 @@
     /// Counting the rejections covers instances that call too seldom to observe two failures. May hold back calls that
     /// a rate limit would have accepted.
     pub(super) fn is_suspect(&self, now: Duration) -> bool {
-        self.failures >= SUSPECT_FAILURES || self.rejected_without_limit && self.is_prolonged(now)
+        self.failures >= SUSPECT_FAILURES || self.rejected_without_limit && self.is_long(now)
     }
 }
 
--- a/src/policy/rate_limit.rs
+++ b/src/policy/rate_limit.rs
@@ -25,7 +25,7 @@
 const LISTED_RATE_ERROR_FACTOR: f64 = 1.5;
 /// Duration of rejections or of a Retry-After above which a route counts as unavailable: a rate limit, measured over a
 /// second or two, does not reject for so long.
-pub(super) const OUTAGE_THRESHOLD: Duration = ms(2_500);
+pub(super) const MAX_RATE_LIMIT_REJECTION_PERIOD: Duration = ms(2_500);
 
 /// Estimates of a route's rate, in calls per second, for the token bucket and for slow start.
 #[derive(Clone, Copy)]
@@ -229,14 +229,14 @@
     }
 
     /// Returns `true` if the rest of the Retry-After is longer than a rate limit explains.
-    pub(super) fn is_unavailable(&self, now: Duration) -> bool {
-        self.retry_after_end > now + OUTAGE_THRESHOLD
+    pub(super) fn has_long_retry_after(&self, now: Duration) -> bool {
+        self.retry_after_end > now + MAX_RATE_LIMIT_REJECTION_PERIOD
     }
 
     /// Returns `true` if the route has rejected calls, without a delivery in between, for longer than a rate limit
     /// explains.
-    pub(super) fn rejects_persistently(&self, now: Duration) -> bool {
-        now > self.first_rejection + OUTAGE_THRESHOLD
+    pub(super) fn has_long_rejection_series(&self, now: Duration) -> bool {
+        now > self.first_rejection + MAX_RATE_LIMIT_REJECTION_PERIOD
     }
 
     /// Returns the earliest time at which the rate limit allows the next call.
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -95,7 +95,7 @@
     // Rate limits count calls, so messages that wait for the same endpoint are added to a call at no cost to the limit.
     // May lose all of them with one call.
     let is_batched = endpoint.batch.can_join(now) && !is_ejected && retry_after <= now;
-    Readiness { earliest_start, has_permit: endpoint.concurrency.available() > 0, is_batched }
+    Readiness { earliest_start, has_permit: endpoint.concurrency.free_permits() > 0, is_batched }
 }
 
 impl State {
--- a/src/policy/tests/concurrency.rs
+++ b/src/policy/tests/concurrency.rs
@@ -5,11 +5,11 @@
 #[test]
 fn a_lost_call_halves_the_concurrency_limit_and_a_delivery_raises_it() {
     let mut concurrency = ConcurrencyLimit { limit: 4.0, in_flight: 4 };
-    assert_eq!(concurrency.available(), 0);
+    assert_eq!(concurrency.free_permits(), 0);
     concurrency.release(true);
-    assert_eq!((concurrency.limit, concurrency.available()), (2.0, -1));
+    assert_eq!((concurrency.limit, concurrency.free_permits()), (2.0, -1));
     concurrency.release(false);
-    assert!(concurrency.limit > 2.0 && concurrency.available() == 0);
+    assert!(concurrency.limit > 2.0 && concurrency.free_permits() == 0);
 }
 
 /// Guards against one destination, or several that fail together, using up all slots, and against a share that rounds
--- a/src/policy/tests/outlier.rs
+++ b/src/policy/tests/outlier.rs
@@ -29,9 +29,9 @@
 fn an_ejected_endpoint_warms_up_after_a_delivery_and_is_healthy_after_the_warm_up() {
     let slow_start = SlowStart { overload_factor: 2.0, initial_share: 0.2, warm_up: ms(10_000) };
     let mut health = EndpointHealth::new(Health::Healthy);
-    health.on_failure(ms(1), NO_RESPONSE_WEIGHT);
+    health.on_failure(ms(1), MAJOR_FAILURE_WEIGHT);
     assert_eq!(health.status(), Health::Healthy);
-    health.on_failure(ms(2), NO_RESPONSE_WEIGHT);
+    health.on_failure(ms(2), MAJOR_FAILURE_WEIGHT);
     assert_eq!(health.status(), Health::Ejected);
     health.on_delivery(ms(100));
     assert_eq!(health.status(), Health::WarmingUp { since: ms(100) });
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -17,7 +17,7 @@
 enum RouteEffect {
     None,
     /// The route requested a Retry-After longer than a rate limit explains, so it is unavailable.
-    Unavailable,
+    LongRetryAfter,
     /// The attempt got the first rejection since the last delivery on a route that reports no rate limit.
     FirstRejection,
     /// The message was delivered after an outage of the route.
@@ -133,25 +133,25 @@
         route.limit.on_rejection(rejection, &mut self.shared.rng);
         self.shared.retry_credit.on_rejection();
 
-        let is_unavailable = route.limit.is_unavailable(now);
+        let has_long_retry_after = route.limit.has_long_retry_after(now);
         let is_first_rejection = !is_reported && route.streak.on_rejection_without_limit();
         // Rejections count as failures if the route reports that it has no rate limit, or if there were many in a row:
         // the route is then unavailable, or its queue is full.
         let is_unlimited = result.load_report.is_some_and(|report| report.rate_limit <= 0.0);
         let is_rejection_streak = route.limit.rejections() >= outlier::REJECTION_STREAK;
         route.streak.add_failures(u32::from(is_unlimited || is_rejection_streak));
-        if is_unavailable {
+        if has_long_retry_after {
             route.streak.mark_suspect();
         }
-        let failure_weight = if route.limit.rejects_persistently(now) {
-            outlier::NO_RESPONSE_WEIGHT
+        let failure_weight = if route.limit.has_long_rejection_series(now) {
+            outlier::MAJOR_FAILURE_WEIGHT
         } else if self.attempt.started >= self.endpoint.health.last_failure() {
             outlier::MINOR_FAILURE_WEIGHT
         } else {
             0.0
         };
-        let route_effect = match (is_unavailable, is_first_rejection) {
-            (true, _) => RouteEffect::Unavailable,
+        let route_effect = match (has_long_retry_after, is_first_rejection) {
+            (true, _) => RouteEffect::LongRetryAfter,
             (false, true) => RouteEffect::FirstRejection,
             (false, false) => RouteEffect::None,
         };
@@ -181,7 +181,7 @@
     fn on_missing_response(&mut self, indicates_outage: bool) -> OutcomeEffect {
         self.route.streak.add_failures(1);
         let failure_weight =
-            if indicates_outage { outlier::NO_RESPONSE_WEIGHT } else { outlier::MINOR_FAILURE_WEIGHT };
+            if indicates_outage { outlier::MAJOR_FAILURE_WEIGHT } else { outlier::MINOR_FAILURE_WEIGHT };
         OutcomeEffect { failure_weight, indicates_outage, route_effect: RouteEffect::None }
     }
 
@@ -221,7 +221,7 @@
     fn begins_slow_start(&self, route_effect: RouteEffect, after: Health) -> bool {
         let ejected = self.prior.health == Health::Healthy && after == Health::Ejected;
         let newly_suspect = !self.prior.suspect && self.route.streak.is_suspect(self.now);
-        matches!(route_effect, RouteEffect::Unavailable | RouteEffect::FirstRejection)
+        matches!(route_effect, RouteEffect::LongRetryAfter | RouteEffect::FirstRejection)
             || ejected
             || newly_suspect
     }
@@ -250,8 +250,8 @@
     for endpoint in destination.endpoints.values_mut().filter(|endpoint| endpoint.route == route) {
         // Prevents a burst of calls at the end of the Retry-After of an unavailable route: all its endpoints recover
         // cold, so all are ejected, and the first call to each is a health check.
-        if route_effect == RouteEffect::Unavailable {
-            endpoint.health.on_failure(now, outlier::UNAVAILABLE_WEIGHT);
+        if route_effect == RouteEffect::LongRetryAfter {
+            endpoint.health.on_failure(now, outlier::LONG_RETRY_AFTER_WEIGHT);
         }
         // Prevents the first delivery at each of many instances from releasing all messages that wait there.
         if route_effect == RouteEffect::Recovered && endpoint.health.status() == Health::Healthy {
