--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -43,20 +43,20 @@
     /// With `None`, one attempt may be in flight at a time, and the other two are unlimited.
     pub fn set_limits(
         &mut self,
-        concurrency: Option<usize>,
+        slots: Option<usize>,
         queue_capacity: Option<usize>,
         max_attempts: Option<u32>,
     ) {
-        self.state.slots.set(concurrency.unwrap_or(1));
+        self.state.slots.set(slots.unwrap_or(1));
         self.state.admission.set_queue_capacity(queue_capacity.unwrap_or(usize::MAX));
         self.state.max_attempts = max_attempts.unwrap_or(u32::MAX);
     }
 
-    /// Lowers the limit of attempts in flight to `max_in_flight`, or to 1 if that is 0.
+    /// Lowers the limit of attempts in flight to `max_slots`, or to 1 if that is 0.
     ///
     /// For hosts that have less capacity than the settings allow.
-    pub fn cap_concurrency(&mut self, max_in_flight: usize) {
-        self.state.slots.cap(max_in_flight);
+    pub fn cap_concurrency(&mut self, max_slots: usize) {
+        self.state.slots.cap(max_slots);
     }
 
     /// Sets the maximum `retry_after` of [`Driver::reject`]; with `None`, rejections carry none.
@@ -234,7 +234,7 @@
 impl Dispatcher {
     /// Applies the rules until none acts, then requests the next timer.
     pub fn apply_rules(&mut self, driver: &mut dyn Driver) {
-        self.write_events(driver);
+        self.flush_outputs(driver);
         let state = &mut self.state;
         loop {
             state.next_due = Duration::MAX;
@@ -245,7 +245,7 @@
         state.set_timer(driver);
     }
 
-    fn write_events(&mut self, driver: &mut dyn Driver) {
+    fn flush_outputs(&mut self, driver: &mut dyn Driver) {
         let shared = &mut self.state.shared;
         shared.log_events.drain(..).for_each(|event| driver.log(&event));
         for (destination, route) in shared.gossip.recovered_routes.drain(..) {
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -1,16 +1,16 @@
 //! Concurrency limits: attempts in flight of the whole instance, of a destination and of one endpoint.
 
 /// Maximum share of the slots that one destination may use.
-const DESTINATION_SHARE: f64 = 0.75;
+const MAX_DESTINATION_SLOT_SHARE: f64 = 0.75;
 /// Maximum share of the slots that all impaired destinations may use together.
-const IMPAIRED_SHARE: f64 = 0.5;
+const MAX_IMPAIRED_SLOT_SHARE: f64 = 0.5;
 /// Initial concurrency limit of an endpoint, in calls: as many as an endpoint of typical latency serves at a time, so
 /// that a slow one uses no more slots.
 const INITIAL_LIMIT: f64 = 2.0;
 /// Maximum concurrency limit of an endpoint, in calls, which it reaches through deliveries.
 const MAX_LIMIT: f64 = 32.0;
 /// Divisor of an endpoint's concurrency limit after a lost call.
-const LOSS_DIVISOR: f64 = 2.0;
+const OUTAGE_DIVISOR: f64 = 2.0;
 
 /// Slots of the instance, which bound the calls in flight.
 pub(crate) struct Slots {
@@ -27,9 +27,9 @@
         self.max = max;
     }
 
-    /// Lowers the number of slots to the capacity of the host, `host_max`, or to 1 if that is 0.
-    pub(crate) fn cap(&mut self, host_max: usize) {
-        self.max = self.max.min(host_max.max(1));
+    /// Lowers the number of slots to the capacity of the host, `max_slots`, or to 1 if that is 0.
+    pub(crate) fn cap(&mut self, max_slots: usize) {
+        self.max = self.max.min(max_slots.max(1));
     }
 
     /// Returns `true` if no slot is free while `in_use` are used.
@@ -44,12 +44,12 @@
 
     /// Returns the number of slots that one destination may use, at least 1.
     pub(super) fn for_destination(&self) -> usize {
-        self.portion(DESTINATION_SHARE)
+        self.portion(MAX_DESTINATION_SLOT_SHARE)
     }
 
     /// Returns the number of slots that all impaired destinations may use together, at least 1.
     pub(super) fn for_impaired(&self) -> usize {
-        self.portion(IMPAIRED_SHARE)
+        self.portion(MAX_IMPAIRED_SLOT_SHARE)
     }
 
     /// Returns the number of slots in `share` of all slots, rounded down but at least 1.
@@ -108,11 +108,11 @@
         self.in_flight += 1;
     }
 
-    /// Puts a permit back and adapts the limit; `lost` is `true` if the call indicates that the endpoint does not
+    /// Puts a permit back and adapts the limit; `indicates_outage` is `true` if the call indicates that the endpoint does not
     /// respond.
-    pub(super) fn release(&mut self, lost: bool) {
-        if lost {
-            self.limit = (self.limit / LOSS_DIVISOR).max(1.0);
+    pub(super) fn release(&mut self, indicates_outage: bool) {
+        if indicates_outage {
+            self.limit = (self.limit / OUTAGE_DIVISOR).max(1.0);
         } else if f64::from(self.in_flight) * 2.0 >= self.limit {
             self.limit = (self.limit + 1.0 / self.limit).min(MAX_LIMIT);
         }
