--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -129,9 +129,9 @@
         let Some(endpoint) = destination.endpoints.get_mut(&candidate.endpoint) else { return };
         let Some(route) = destination.routes.get_mut(&endpoint.route) else { return };
         driver.start_attempt(id, &candidate.endpoint, timeout);
-        let is_batched = endpoint.batch.can_join(now);
-        if is_batched {
-            endpoint.batch.join();
+        let added_to_call = endpoint.batch.can_add(now);
+        if added_to_call {
+            endpoint.batch.add();
         } else {
             let max_messages = self.batch_limits.get(&endpoint.kind).copied().unwrap_or(1);
             endpoint.batch = Batch::start(now, max_messages);
@@ -145,15 +145,15 @@
         if candidate.is_health_check() {
             route.checks.on_check(now, &mut self.shared.rng);
         }
-        if !is_batched && (endpoint.health.status() != Health::Healthy || route.streak.is_suspect(now)) {
+        if !added_to_call && (endpoint.health.status() != Health::Healthy || route.streak.is_suspect(now)) {
             endpoint.budget.spend();
         }
         endpoint.last_used = Some(now);
-        self.register_attempt(id, candidate, is_batched);
+        self.register_attempt(id, candidate, added_to_call);
     }
 
     /// Registers an attempt as in flight.
-    fn register_attempt(&mut self, id: MessageId, candidate: &Candidate, is_batched: bool) {
+    fn register_attempt(&mut self, id: MessageId, candidate: &Candidate, added_to_call: bool) {
         let Some(message) = self.pending.get_mut(&id) else { return };
         let endpoint = candidate.endpoint.clone();
         let key = (message.destination, endpoint);
@@ -164,7 +164,7 @@
             class: message.class,
             ordering_key: message.ordering_key,
             started: self.now,
-            is_batched,
+            added_to_call,
         };
         self.in_flight.insert((id, message.attempts), attempt);
         if let Some(key) = message.ordering_key {
@@ -178,7 +178,7 @@
     /// Returns the attempt timeout of a message, or `None` if the message is not pending.
     fn attempt_timeout(&self, id: MessageId) -> Option<Duration> {
         let message = self.pending.get(&id)?;
-        let calls_in_flight = self.in_flight.values().filter(|attempt| !attempt.is_batched).count();
+        let calls_in_flight = self.in_flight.values().filter(|attempt| !attempt.added_to_call).count();
         let min_timeout_share =
             self.shared.isolated_losses.min_timeout_share(self.slots.free_share(calls_in_flight));
         let time_left = message.deadline.saturating_sub(self.now);
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -39,7 +39,7 @@
     /// `true` if there is an idle connection to the endpoint.
     has_connection: bool,
     /// `true` if the attempt would be added to a call that starts at the current time.
-    is_batched: bool,
+    added_to_call: bool,
     rank: Rank,
 }
 
@@ -57,7 +57,7 @@
     /// `true` if the concurrency limit of the endpoint has a permit left.
     has_permit: bool,
     /// `true` if the message would be added to a call that starts at the current time.
-    is_batched: bool,
+    added_to_call: bool,
 }
 
 /// State outside an endpoint and its route on which the endpoint's readiness depends.
@@ -94,8 +94,8 @@
     }
     // Rate limits count calls, so messages that wait for the same endpoint are added to a call at no cost to the limit.
     // May lose all of them with one call.
-    let is_batched = endpoint.batch.can_join(now) && !is_ejected && retry_after <= now;
-    Readiness { earliest_start, has_permit: endpoint.concurrency.free_permits() > 0, is_batched }
+    let added_to_call = endpoint.batch.can_add(now) && !is_ejected && retry_after <= now;
+    Readiness { earliest_start, has_permit: endpoint.concurrency.free_permits() > 0, added_to_call }
 }
 
 impl State {
@@ -168,7 +168,9 @@
         {
             let Some(route) = destination.routes.get_mut(&endpoint.route) else { continue };
             let readiness = check_readiness(endpoint, route, &context);
-            if !readiness.is_batched && (is_full || readiness.earliest_start > now || !readiness.has_permit) {
+            if !readiness.added_to_call
+                && (is_full || readiness.earliest_start > now || !readiness.has_permit)
+            {
                 if readiness.earliest_start > now {
                     self.next_due = self.next_due.min(readiness.earliest_start);
                 }
@@ -180,11 +182,11 @@
             candidates.push(Candidate {
                 endpoint: key.1,
                 zone: endpoint.zone.clone(),
-                allows_retries: readiness.is_batched
+                allows_retries: readiness.added_to_call
                     || route.retry_budget.allows(now, route.streak.has_failures()),
                 has_connection,
-                is_batched: readiness.is_batched,
-                rank: rank(endpoint, readiness.is_batched, zone_cost, &self.zone, now),
+                added_to_call: readiness.added_to_call,
+                rank: rank(endpoint, readiness.added_to_call, zone_cost, &self.zone, now),
             });
         }
         candidates.sort_by_key(|candidate| candidate.rank);
@@ -208,7 +210,7 @@
         let required_zone = self.required_zone(message);
         let may_retry = |candidate: &Candidate| {
             candidate.allows_retries
-                && (!message.was_rejected() || candidate.is_batched || self.shared.retry_credit.allows())
+                && (!message.was_rejected() || candidate.added_to_call || self.shared.retry_credit.allows())
         };
         // During the backoff after a connection limit, only idle connections are used. Prevents instances from filling
         // the connection table of an endpoint.
@@ -232,14 +234,14 @@
 }
 
 /// Returns the rank of an endpoint in the selection by an instance in `own_zone`.
-fn rank(endpoint: &Endpoint, is_batched: bool, zone_cost: f64, own_zone: &str, now: Duration) -> Rank {
+fn rank(endpoint: &Endpoint, added_to_call: bool, zone_cost: f64, own_zone: &str, now: Duration) -> Rank {
     let load = i64::from(endpoint.concurrency.in_flight())
         + OTHER_ZONE_LOAD * i64::from(endpoint.zone != own_zone)
         + endpoint.health.load_penalty();
     Rank {
         is_health_check: endpoint.health.is_ejected(),
         zone_cost: (zone_cost * ZONE_COST_SCALE) as i64,
-        load: if is_batched { i64::MIN } else { load },
+        load: if added_to_call { i64::MIN } else { load },
         idle_for: endpoint.last_used.map_or(Duration::MAX, |last_used| now - last_used),
         tie_breaker: endpoint.tie_breaker,
     }
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -110,23 +110,23 @@
 pub(crate) struct Batch {
     started: Duration,
     /// Number of messages that can still be added.
-    free_places: u32,
+    remaining_messages: u32,
 }
 
 impl Batch {
     /// Starts a call for up to `max_messages` messages, which carries one so far.
     pub(super) fn start(now: Duration, max_messages: u32) -> Self {
-        Self { started: now, free_places: max_messages.saturating_sub(1) }
+        Self { started: now, remaining_messages: max_messages.saturating_sub(1) }
     }
 
     /// Returns `true` if the call starts at `now` and can carry another message.
-    pub(super) fn can_join(&self, now: Duration) -> bool {
-        self.started == now && self.free_places > 0
+    pub(super) fn can_add(&self, now: Duration) -> bool {
+        self.started == now && self.remaining_messages > 0
     }
 
     /// Adds a message to the call.
-    pub(super) fn join(&mut self) {
-        self.free_places -= 1;
+    pub(super) fn add(&mut self) {
+        self.remaining_messages -= 1;
     }
 }
 
@@ -208,7 +208,7 @@
     pub(super) ordering_key: Option<u64>,
     pub(super) started: Duration,
     /// `true` if the message was added to another message's call, with which it shares the slot and the outcome.
-    pub(super) is_batched: bool,
+    pub(super) added_to_call: bool,
 }
 
 /// Service class with the name that messages refer to it by.
--- a/src/policy/tests/scheduling.rs
+++ b/src/policy/tests/scheduling.rs
@@ -29,7 +29,7 @@
 /// Guards against rate limits, which count calls, being used up by messages that could share a call: in the run rough-2
 /// of tunis-lac, each message had its own call, and half of the messages were rejected.
 #[test]
-fn messages_waiting_for_one_endpoint_share_one_call_that_is_counted_once() {
+fn messages_waiting_for_one_endpoint_are_added_to_one_call_that_is_counted_once() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.set_batch_limit("k", 3);
     dispatcher.set_limits(Some(1), Some(100), Some(5));
--- a/src/policy/tests/support.rs
+++ b/src/policy/tests/support.rs
@@ -158,7 +158,14 @@
 /// Returns an attempt at an endpoint of [`DESTINATION`] that started at `started`.
 pub(super) fn attempt_at(endpoint: &str, started: Duration) -> Attempt {
     let endpoint = endpoint.into();
-    Attempt { destination: DESTINATION, endpoint, class: 0, ordering_key: None, started, is_batched: false }
+    Attempt {
+        destination: DESTINATION,
+        endpoint,
+        class: 0,
+        ordering_key: None,
+        started,
+        added_to_call: false,
+    }
 }
 
 /// Reports the outcome of an attempt to the mechanisms without involving a message.
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -269,7 +269,7 @@
     pub(crate) fn attempt_ended(&mut self, result: &AttemptResult) {
         let Some(attempt) = self.in_flight.remove(&(result.message, result.attempt)) else { return };
         let outcome = result.outcome;
-        if !attempt.is_batched {
+        if !attempt.added_to_call {
             self.process_result(&attempt, result);
         }
         if let Some(key) = attempt.ordering_key {
