--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -157,12 +157,12 @@
             deadline,
             value,
             attempts: 0,
-            failures: 0,
+            backoff_count: 0,
             in_flight: 0,
             not_before: Duration::ZERO,
             last_outcome: None,
             first_possible_execution: None,
-            is_recovered_untried: false,
+            is_recovered_unattempted: false,
         };
         self.pending.insert(message.id, pending);
         self.admission.just_accepted = Some(message.id);
@@ -197,7 +197,7 @@
         let Some(message) = self.pending.get_mut(&id) else { return };
         message.attempts = attempts.count;
         message.first_possible_execution = first_possible_execution;
-        message.is_recovered_untried = attempts.count == 0;
+        message.is_recovered_unattempted = attempts.count == 0;
         if let Some(key) = message.ordering_key.filter(|_| message.first_possible_execution.is_some()) {
             self.ordering.pause_others(key, id, self.now);
         }
@@ -233,7 +233,7 @@
         let waiting =
             self.pending.iter().filter(|(_, message)| message.in_flight == 0 && self.may_reject(message));
         let least_valuable = waiting.min_by(|(id, message), (other_id, other)| {
-            let by_recovery = message.is_recovered_untried.cmp(&other.is_recovered_untried);
+            let by_recovery = message.is_recovered_unattempted.cmp(&other.is_recovered_unattempted);
             let by_value =
                 || self.value_if_attempted_now(message).total_cmp(&self.value_if_attempted_now(other));
             by_recovery.then_with(by_value).then(other_id.cmp(id))
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -26,7 +26,7 @@
 
     /// Returns `true` if no further attempt of `message` can start in time.
     fn is_expired(&self, message: &PendingMessage) -> bool {
-        let next_start = self.now.max(message.not_before).max(self.retry_after(message.destination));
+        let next_start = self.now.max(message.not_before).max(self.retry_after_end(message.destination));
         message.attempts >= self.max_attempts || next_start > self.latest_start(message)
     }
 
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -42,7 +42,7 @@
     ///
     /// Prevents recovered messages, which are late and have lost value, from waiting behind all new messages until they
     /// expire without an attempt. May delay each message of more value by one call per recovered message.
-    is_recovered_untried: bool,
+    is_recovered_unattempted: bool,
     /// Value per second of slot time, scaled by [`VALUE_RATE_SCALE`].
     value_rate: i64,
     /// Time up to which the message has its full value; an earlier one takes precedence.
@@ -89,7 +89,8 @@
     /// connection and its destination has an idle one.
     fn may_be_attempted_now(&self, message: &PendingMessage) -> bool {
         message.not_before <= self.now
-            || message.hit_connection_limit() && self.shared.connections.has_any_to(message.destination)
+            || message.last_attempt_hit_connection_limit()
+                && self.shared.connections.has_any_to(message.destination)
     }
 
     /// Returns the priority of an attempt of `message` at `candidate`.
@@ -106,7 +107,7 @@
         let soft_deadline = (message.deadline + class.soft_deadline).saturating_sub(class.deadline);
         Priority {
             failure_tolerance,
-            is_recovered_untried: message.is_recovered_untried,
+            is_recovered_unattempted: message.is_recovered_unattempted,
             value_rate: (value * VALUE_RATE_SCALE / typical.as_secs_f64().max(MIN_SLOT_SECS)) as i64,
             soft_deadline: Reverse(soft_deadline),
         }
@@ -136,7 +137,7 @@
             let max_messages = self.batch_limits.get(&endpoint.kind).copied().unwrap_or(1);
             endpoint.batch = Batch::start(now, max_messages);
             route.retry_budget.on_attempt(now, message.attempts > 0);
-            if message.was_rejected() {
+            if message.last_attempt_was_rejected() {
                 self.shared.retry_credit.spend();
             }
             route.limit.bucket.take();
@@ -172,7 +173,7 @@
         }
         message.attempts += 1;
         message.in_flight += 1;
-        message.is_recovered_untried = false;
+        message.is_recovered_unattempted = false;
     }
 
     /// Returns the attempt timeout of a message, or `None` if the message is not pending.
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -73,8 +73,8 @@
     let CallContext { now, instances, slow_start, available_endpoints } = *context;
     route.limit.bucket.refill(now);
     let endpoint_rate = route.limit.bucket.safe_rate() / f64::from(instances) / available_endpoints as f64;
-    let retry_after = route.limit.retry_after_end();
-    endpoint.budget.skip_earning_until(retry_after.min(now));
+    let retry_after_end = route.limit.retry_after_end();
+    endpoint.budget.skip_earning_until(retry_after_end.min(now));
     let allowed_share = endpoint.health.allowed_share(endpoint.budget.midpoint_since_refill(now), slow_start);
     let rate =
         (allowed_share * endpoint_rate).max(endpoint.health.min_check_rate(instances, available_endpoints));
@@ -94,7 +94,7 @@
     }
     // Rate limits count calls, so messages that wait for the same endpoint are added to a call at no cost to the limit.
     // May lose all of them with one call.
-    let added_to_call = endpoint.batch.can_add(now) && !is_ejected && retry_after <= now;
+    let added_to_call = endpoint.batch.can_add(now) && !is_ejected && retry_after_end <= now;
     Readiness { earliest_start, has_permit: endpoint.concurrency.free_permits() > 0, added_to_call }
 }
 
@@ -202,7 +202,7 @@
     ) -> Option<&'a Candidate> {
         let backoff_is_over = message.not_before <= self.now;
         let is_ready = message.in_flight == 0
-            && (backoff_is_over || message.hit_connection_limit())
+            && (backoff_is_over || message.last_attempt_hit_connection_limit())
             && message.attempts < self.max_attempts;
         if !is_ready || !self.is_in_order(id, message) || self.latest_start(message) < self.now {
             return None;
@@ -210,7 +210,9 @@
         let required_zone = self.required_zone(message);
         let may_retry = |candidate: &Candidate| {
             candidate.allows_retries
-                && (!message.was_rejected() || candidate.added_to_call || self.shared.retry_credit.allows())
+                && (!message.last_attempt_was_rejected()
+                    || candidate.added_to_call
+                    || self.shared.retry_credit.allows())
         };
         // During the backoff after a connection limit, only idle connections are used. Prevents instances from filling
         // the connection table of an endpoint.
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -172,7 +172,7 @@
     pub(super) attempts: u32,
     /// Number of attempts that ended without a final outcome, not counting [`AttemptOutcome::NotSent`]; determines the
     /// backoff.
-    pub(super) failures: u32,
+    pub(super) backoff_count: u32,
     /// Number of attempts in flight.
     pub(super) in_flight: u32,
     /// End of the backoff.
@@ -181,17 +181,17 @@
     /// First attempt that may have been executed, if any.
     pub(super) first_possible_execution: Option<RecordedPossibleExecution>,
     /// `true` if the message was recovered after a restart and has never been attempted.
-    pub(super) is_recovered_untried: bool,
+    pub(super) is_recovered_unattempted: bool,
 }
 
 impl PendingMessage {
     /// Returns `true` if the last attempt was refused because the endpoint held too many connections.
-    pub(super) fn hit_connection_limit(&self) -> bool {
+    pub(super) fn last_attempt_hit_connection_limit(&self) -> bool {
         self.last_outcome == Some(AttemptOutcome::ConnectionLimit)
     }
 
     /// Returns `true` if the last attempt was rejected, ambiguously or not.
-    pub(super) fn was_rejected(&self) -> bool {
+    pub(super) fn last_attempt_was_rejected(&self) -> bool {
         matches!(
             self.last_outcome,
             Some(AttemptOutcome::Rejected { .. } | AttemptOutcome::AmbiguousRejection { .. })
@@ -359,7 +359,7 @@
     }
 
     /// Returns the earliest end of the retry-after over the routes of a destination; zero if it has no routes.
-    pub(super) fn retry_after(&self, destination: DestinationId) -> Duration {
+    pub(super) fn retry_after_end(&self, destination: DestinationId) -> Duration {
         self.routes_of(destination).map(|route| route.limit.retry_after_end()).min().unwrap_or_default()
     }
 
--- a/src/policy/tests/expiry.rs
+++ b/src/policy/tests/expiry.rs
@@ -47,5 +47,5 @@
     let outcome = AttemptOutcome::AmbiguousRejection { retry_after: Some(ms(900)) };
     dispatcher.attempt_ended(ended(1, 0, outcome));
     assert_eq!(actions(&mut dispatcher), ["abandon 1"]);
-    assert!(submit(&mut dispatcher, 2, None).is_empty() && dispatcher.state.retry_after(9) >= ms(900));
+    assert!(submit(&mut dispatcher, 2, None).is_empty() && dispatcher.state.retry_after_end(9) >= ms(900));
 }
--- a/src/policy/tests/scheduling.rs
+++ b/src/policy/tests/scheduling.rs
@@ -45,7 +45,7 @@
     (1..=3).for_each(|id| dispatcher.attempt_ended(ended(id, 0, rejected())));
     let rejections = route(&dispatcher).limit.rejections();
     assert_eq!((in_flight(&dispatcher), rejections), (0, 1)); // the outcome of the call is counted once
-    assert!(dispatcher.state.pending.values().filter(|message| message.failures == 1).count() == 3);
+    assert!(dispatcher.state.pending.values().filter(|message| message.backoff_count == 1).count() == 3);
 }
 
 /// Guards against slow destinations whose new messages use all slots, as in the incidents iaa78c2 and ide3163.
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -289,10 +289,10 @@
         let zone = self.zone_of(attempt.destination, &attempt.endpoint);
         let Some(message) = self.pending.get_mut(&result.message) else { return };
         message.in_flight -= 1;
-        message.failures += u32::from(outcome != AttemptOutcome::NotSent);
+        message.backoff_count += u32::from(outcome != AttemptOutcome::NotSent);
         message.last_outcome = Some(outcome);
         message.not_before =
-            self.now + full_jitter(&mut self.shared.rng, message.failures, BASE_DELAY, MAX_DELAY);
+            self.now + full_jitter(&mut self.shared.rng, message.backoff_count, BASE_DELAY, MAX_DELAY);
         let is_first =
             message.first_possible_execution.as_ref().is_none_or(|first| first.started > attempt.started);
         if !outcome.known_not_executed() && is_first {
