--- a/crates/quillhub-server/src/instance/submission.rs
+++ b/crates/quillhub-server/src/instance/submission.rs
@@ -107,7 +107,7 @@
         self.immediate_outcome = None;
         let deadline = self.now() + submission.time_to_live;
         let accepted = self.handle_event(|dispatcher| {
-            dispatcher.set_storage_capacity(capacity);
+            dispatcher.set_remaining_storage(capacity);
             dispatcher.accept(NewMessage {
                 id,
                 service_class: submission.service_class,
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -185,8 +185,8 @@
     /// Sets the storage, in bytes, that the host will have left after storing the message accepted next.
     ///
     /// With zero, that message is rejected.
-    pub fn set_storage_capacity(&mut self, remaining_bytes: u64) {
-        self.state.admission.set_storage_capacity(remaining_bytes);
+    pub fn set_remaining_storage(&mut self, remaining_bytes: u64) {
+        self.state.admission.set_remaining_storage(remaining_bytes);
     }
 
     /// Accepts a message that a client submitted.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -13,14 +13,14 @@
 /// Minimum time between two log events about a nearly full queue.
 const MIN_LOG_INTERVAL: Duration = ms(5_000);
 /// Quota that one message uses, in messages.
-const QUOTA_PER_MESSAGE: f64 = 1.0;
+const TOKENS_PER_MESSAGE: f64 = 1.0;
 
 /// Capacity for pending messages, and the message to which the storage capacity applies.
 pub(crate) struct Admission {
     /// Maximum number of pending messages.
     queue_capacity: usize,
     /// Storage, in bytes, that the host has left.
-    storage_capacity: u64,
+    remaining_storage_bytes: u64,
     /// Message accepted last, until the rules have been applied.
     just_accepted: Option<MessageId>,
     /// Time of the last log event about a nearly full queue.
@@ -31,7 +31,7 @@
     pub(super) fn new() -> Self {
         Self {
             queue_capacity: usize::MAX,
-            storage_capacity: u64::MAX,
+            remaining_storage_bytes: u64::MAX,
             just_accepted: None,
             last_logged: None,
         }
@@ -43,13 +43,13 @@
     }
 
     /// Sets the storage, in bytes, that the host will have left after storing the message accepted next.
-    pub(crate) fn set_storage_capacity(&mut self, bytes: u64) {
-        self.storage_capacity = bytes;
+    pub(crate) fn set_remaining_storage(&mut self, bytes: u64) {
+        self.remaining_storage_bytes = bytes;
     }
 
     /// Returns the message accepted last if the state directory has no capacity for it, and forgets that message.
     fn take_unstorable(&mut self) -> Option<MessageId> {
-        self.just_accepted.take().filter(|_| self.storage_capacity == 0)
+        self.just_accepted.take().filter(|_| self.remaining_storage_bytes == 0)
     }
 
     /// Returns `true` if `pending` messages leave less free capacity than is to be kept.
@@ -77,29 +77,29 @@
     /// Messages per second at this instance.
     rate_per_s: f64,
     /// Messages left in the bucket that fills with time.
-    time_quota: f64,
+    tokens_by_time: f64,
     /// Messages left in the bucket that fills with received messages.
-    message_quota: f64,
+    tokens_by_messages: f64,
     /// Time at which the buckets were filled last.
-    refilled: Duration,
+    refilled_at: Duration,
 }
 
 impl TenantQuota {
     /// Fills both buckets when a message of any tenant is received; `share` is the tenant's share of all quotas.
     fn on_message(&mut self, now: Duration, share: f64) {
-        let capacity = self.rate_per_s.max(QUOTA_PER_MESSAGE);
-        let earned = self.rate_per_s * (now - self.refilled).as_secs_f64();
-        self.time_quota = (self.time_quota + earned).min(capacity);
-        self.message_quota = (self.message_quota + share).min(capacity);
-        self.refilled = now;
+        let capacity = self.rate_per_s.max(TOKENS_PER_MESSAGE);
+        let earned = self.rate_per_s * (now - self.refilled_at).as_secs_f64();
+        self.tokens_by_time = (self.tokens_by_time + earned).min(capacity);
+        self.tokens_by_messages = (self.tokens_by_messages + share).min(capacity);
+        self.refilled_at = now;
     }
 
     /// Returns `true` if one more message is within the quota, and deducts it if so.
     fn take(&mut self) -> bool {
-        let is_sufficient = self.time_quota.max(self.message_quota) >= QUOTA_PER_MESSAGE;
+        let is_sufficient = self.tokens_by_time.max(self.tokens_by_messages) >= TOKENS_PER_MESSAGE;
         if is_sufficient {
-            self.time_quota = (self.time_quota - QUOTA_PER_MESSAGE).max(0.0);
-            self.message_quota = (self.message_quota - QUOTA_PER_MESSAGE).max(0.0);
+            self.tokens_by_time = (self.tokens_by_time - TOKENS_PER_MESSAGE).max(0.0);
+            self.tokens_by_messages = (self.tokens_by_messages - TOKENS_PER_MESSAGE).max(0.0);
         }
         is_sufficient
     }
@@ -119,8 +119,12 @@
 
     /// Adds a tenant with a quota of `rate_per_s` messages per second at this instance.
     pub(super) fn add(&mut self, name: &str, rate_per_s: f64, excess_value_share: f64) {
-        let quota =
-            TenantQuota { rate_per_s, time_quota: rate_per_s, message_quota: 0.0, refilled: Duration::ZERO };
+        let quota = TenantQuota {
+            rate_per_s,
+            tokens_by_time: rate_per_s,
+            tokens_by_messages: 0.0,
+            refilled_at: Duration::ZERO,
+        };
         self.quotas.insert(name.into(), quota);
         self.excess_value_share = excess_value_share;
     }
@@ -149,7 +153,7 @@
         if let Some(key) = ordering_key {
             self.ordering.on_accepted(key, message.id);
         }
-        self.earn_slow_start_budgets(message.destination);
+        self.credit_slow_start_budgets(message.destination);
         let pending = PendingMessage {
             class,
             destination: message.destination,
@@ -172,7 +176,7 @@
     /// Credits a message for a destination to the slow-start budgets of its endpoints, in equal shares.
     ///
     /// Endpoints for which a retry-after is in force receive nothing.
-    fn earn_slow_start_budgets(&mut self, id: DestinationId) {
+    fn credit_slow_start_budgets(&mut self, id: DestinationId) {
         let Some(destination) = self.destinations.get_mut(&id) else { return };
         let endpoint_share = 1.0 / destination.available_endpoints().max(1) as f64;
         let (now, slow_start, routes) = (self.now, self.slow_start, &destination.routes);
--- a/src/policy/tests/admission.rs
+++ b/src/policy/tests/admission.rs
@@ -54,12 +54,12 @@
 
 /// Guards against rejecting messages that are already stored when the state directory is full.
 #[test]
-fn without_storage_capacity_only_the_message_accepted_last_is_rejected() {
+fn without_remaining_storage_only_the_message_accepted_last_is_rejected() {
     let mut dispatcher = dispatcher_for(DEDUPLICATED);
     assert_eq!(submit(&mut dispatcher, 1, None), ["attempt 1 a"]);
-    dispatcher.set_storage_capacity(0);
+    dispatcher.set_remaining_storage(0);
     assert_eq!(submit(&mut dispatcher, 2, None), ["reject 2 false"]);
-    dispatcher.set_storage_capacity(1);
+    dispatcher.set_remaining_storage(1);
     assert_eq!(submit(&mut dispatcher, 3, None).len(), 1);
     assert!(dispatcher.state.pending.contains_key(&1) && dispatcher.state.pending.contains_key(&3));
 }
