--- a/src/policy/connections.rs
+++ b/src/policy/connections.rs
@@ -68,7 +68,7 @@
     }
 
     /// Creates the idle timeout of `kind` when the first call to one of its endpoints ends.
-    pub(super) fn on_call(&mut self, kind: &str) {
+    pub(super) fn ensure_timeout(&mut self, kind: &str) {
         if !self.timeouts.contains_key(kind) {
             let timeout = IdleTimeout::new(self.endpoint_timeout, self.instances);
             self.timeouts.insert(kind.to_owned(), timeout);
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -18,9 +18,9 @@
 /// 6 s.
 const MAX_POLL_INTERVAL: Duration = ms(5_000);
 /// Range of the random factor of [`MAX_POLL_INTERVAL`], which spreads out the polls of many instances.
-const MAX_INTERVAL_JITTER: Range<f64> = 0.8..1.0;
+const POLL_INTERVAL_JITTER: Range<f64> = 0.8..1.0;
 /// Range of the random factor of the poll period, which spreads out the polls of many instances.
-const PERIOD_JITTER: Range<f64> = 0.5..1.0;
+const POLL_PERIOD_JITTER: Range<f64> = 0.5..1.0;
 /// Time for which a destination is known after its last endpoint has left the endpoint list.
 const KNOWN_DESTINATION_RETENTION: Duration = ms(600_000);
 
@@ -31,7 +31,7 @@
     /// Period in which each instance should poll discovery once.
     period: Duration,
     /// `true` while a poll, or the watch that it opened, is in progress.
-    is_watching: bool,
+    is_poll_in_progress: bool,
     /// Start of the last poll.
     last_poll_started: Duration,
     /// Number of failures since the last endpoint list; at least 1 before the first one.
@@ -47,7 +47,7 @@
         Self {
             must_poll: false,
             period: zero,
-            is_watching: false,
+            is_poll_in_progress: false,
             last_poll_started: zero,
             failures: 1,
             next_poll: zero,
@@ -64,9 +64,9 @@
 
     /// Returns `true` if a poll is due, and registers its start if so.
     fn start_poll_if_due(&mut self, now: Duration) -> bool {
-        let due = self.must_poll && !self.is_watching && self.next_poll <= now;
+        let due = self.must_poll && !self.is_poll_in_progress && self.next_poll <= now;
         if due {
-            self.is_watching = true;
+            self.is_poll_in_progress = true;
             self.last_poll_started = now;
         }
         due
@@ -74,7 +74,7 @@
 
     /// Registers a list from discovery, which ends the series of failures.
     fn on_list(&mut self) {
-        self.is_watching = true;
+        self.is_poll_in_progress = true;
         self.failures = 0;
     }
 
@@ -84,19 +84,19 @@
     /// unanswered. [`MAX_POLL_INTERVAL`] applies from the start of one poll to the start of the next, unless the first
     /// one takes too long for that.
     pub(crate) fn on_failure(&mut self, now: Duration, rng: &mut Pcg64Mcg) {
-        self.is_watching = false;
+        self.is_poll_in_progress = false;
         self.failures += 1;
         let earliest = now + MAX_FIRST_RETRY_DELAY.mul_f64(rng.random());
-        let period = self.period.mul_f64(rng.random_range(PERIOD_JITTER));
+        let period = self.period.mul_f64(rng.random_range(POLL_PERIOD_JITTER));
         let desired = now + full_jitter(rng, self.failures, MAX_FIRST_RETRY_DELAY, MAX_DELAY) + period;
         let latest =
-            self.last_poll_started + MAX_POLL_INTERVAL.mul_f64(rng.random_range(MAX_INTERVAL_JITTER));
+            self.last_poll_started + MAX_POLL_INTERVAL.mul_f64(rng.random_range(POLL_INTERVAL_JITTER));
         self.next_poll = if self.failures > 1 { desired.min(latest).max(earliest) } else { earliest };
     }
 
     /// Returns the time until the next poll, or `None` if none is planned.
     pub(super) fn time_until_poll(&self, now: Duration) -> Option<Duration> {
-        (self.must_poll && !self.is_watching).then(|| self.next_poll.saturating_sub(now))
+        (self.must_poll && !self.is_poll_in_progress).then(|| self.next_poll.saturating_sub(now))
     }
 }
 
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -25,7 +25,7 @@
     }
 
     /// Returns `true` if no further attempt of `message` can start in time.
-    fn is_expired(&self, message: &PendingMessage) -> bool {
+    fn cannot_be_attempted_again(&self, message: &PendingMessage) -> bool {
         let next_start = self.now.max(message.not_before).max(self.retry_after_end(message.destination));
         message.attempts >= self.max_attempts || next_start > self.latest_start(message)
     }
@@ -33,7 +33,7 @@
     /// Rule: gives up the first message that can no longer be delivered.
     pub(crate) fn give_up_expired(&mut self, driver: &mut dyn Driver) -> bool {
         let mut waiting = self.pending.iter().filter(|(_, message)| message.in_flight == 0);
-        let expired = waiting.find(|(_, message)| self.is_expired(message));
+        let expired = waiting.find(|(_, message)| self.cannot_be_attempted_again(message));
         let Some(id) = expired.map(|(id, _)| *id) else {
             let waiting = self.pending.values().filter(|message| message.in_flight == 0);
             if let Some(next) = waiting.map(|message| self.latest_start(message)).min() {
--- a/src/policy/ordering.rs
+++ b/src/policy/ordering.rs
@@ -10,7 +10,7 @@
 #[derive(Default)]
 struct OrderingQueue {
     /// Pending messages in order of acceptance.
-    waiting: VecDeque<MessageId>,
+    pending: VecDeque<MessageId>,
     /// Messages of the attempts in flight, some of which may already have a final outcome.
     in_flight: Vec<MessageId>,
     paused_until: Duration,
@@ -21,14 +21,14 @@
 impl OrderingQueue {
     /// Returns `true` if an attempt of the message may start at `now`.
     fn may_start(&self, id: MessageId, now: Duration) -> bool {
-        self.waiting.front() == Some(&id)
+        self.pending.front() == Some(&id)
             && self.in_flight.iter().all(|other| *other == id)
             && (self.paused_until <= now || self.pause_exempt == Some(id))
     }
 
     /// Returns `true` if the queue restricts no message at `now` and can be removed.
     fn is_unused(&self, now: Duration) -> bool {
-        self.waiting.is_empty() && self.in_flight.is_empty() && self.paused_until <= now
+        self.pending.is_empty() && self.in_flight.is_empty() && self.paused_until <= now
     }
 }
 
@@ -47,7 +47,7 @@
 
     /// Adds an accepted message to the queue of its ordering key.
     pub(super) fn on_accepted(&mut self, key: u64, id: MessageId) {
-        self.queues.entry(key).or_default().waiting.push_back(id);
+        self.queues.entry(key).or_default().pending.push_back(id);
     }
 
     /// Returns `true` if the ordering key permits an attempt of the message to start at `now`.
@@ -63,10 +63,10 @@
     }
 
     /// Registers the end of an attempt, and pauses its ordering key if the attempt may still be executed.
-    pub(super) fn on_ended(&mut self, key: u64, id: MessageId, may_be_executed: bool, now: Duration) {
+    pub(super) fn on_ended(&mut self, key: u64, id: MessageId, may_still_be_executed: bool, now: Duration) {
         let Some(queue) = self.queues.get_mut(&key) else { return };
         queue.in_flight.retain(|other| *other != id);
-        if may_be_executed {
+        if may_still_be_executed {
             self.pause_others(key, id, now);
         }
     }
@@ -82,7 +82,7 @@
     /// Removes a message that has its final outcome, and the queues that are no longer needed.
     pub(super) fn on_finished(&mut self, key: u64, id: MessageId, now: Duration) {
         if let Some(queue) = self.queues.get_mut(&key) {
-            queue.waiting.retain(|other| *other != id);
+            queue.pending.retain(|other| *other != id);
             self.queues.retain(|_, queue| !queue.is_unused(now));
         }
     }
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -274,8 +274,8 @@
         }
         if let Some(key) = attempt.ordering_key {
             let is_processed = matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::Failed);
-            let may_be_executed = !outcome.known_not_executed() && !is_processed;
-            self.ordering.on_ended(key, result.message, may_be_executed, self.now);
+            let may_still_be_executed = !outcome.known_not_executed() && !is_processed;
+            self.ordering.on_ended(key, result.message, may_still_be_executed, self.now);
         }
         if result.finished {
             self.finish(result.message);
@@ -310,7 +310,7 @@
         route.limit.bucket.refill(now);
         route.limit.on_load_report(result.load_report);
         let prior = PriorHealth { health: endpoint.health.status(), suspect: route.streak.is_suspect(now) };
-        self.shared.connections.on_call(&endpoint.kind);
+        self.shared.connections.ensure_timeout(&endpoint.kind);
         let mut context = OutcomeContext {
             now,
             instances: self.instances,
