--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -21,7 +21,7 @@
     State::poll_discovery,
     State::shed_unstorable,
     State::give_up_expired,
-    State::start_most_valuable,
+    State::start_highest_priority,
     State::shed_least_valuable,
     State::close_idle_connections,
 ];
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -184,7 +184,7 @@
             if routes.get(&endpoint.route).is_some_and(|route| route.limit.retry_after_end() > now) {
                 continue;
             }
-            let allowed_share = endpoint.health.allowed_share(now, slow_start);
+            let allowed_share = endpoint.health.update_allowed_share(now, slow_start);
             endpoint.budget.on_message(allowed_share, endpoint_share);
         }
     }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -12,7 +12,7 @@
 /// Consecutive failures after which a route is suspect and its calls need slow-start budget: a call and its retry.
 const SUSPECT_FAILURES: u32 = 2;
 /// Consecutive rejections from which on each counts as a failure of the route: a rate limit seldom rejects so many.
-pub(super) const REJECTION_STREAK: u32 = 3;
+pub(super) const MIN_REJECTION_STREAK: u32 = 3;
 /// Weight, in the failing share, of a response that reports an error: four in a row eject an endpoint.
 pub(super) const FAILURE_WEIGHT: f64 = 0.2;
 /// Weight of a failed connection, of a timeout, or of a rejection after the route has rejected for long: two in a row
@@ -31,14 +31,14 @@
 /// Calls in flight that a failing share of 1 counts as when endpoints are compared by load, so that a retry prefers
 /// another endpoint.
 const MAX_LOAD_PENALTY_CALLS: f64 = 4.0;
-/// Upper bound of the delay before the next health check, unless `MAX_COSTLY_CHECK_INTERVAL` applies.
+/// Upper bound of the delay before the next health check, unless `MAX_CHECK_INTERVAL_AFTER_POSSIBLE_EXECUTION` applies.
 const MAX_CHECK_INTERVAL: Duration = ms(1_000);
 /// Upper bound of the delay before the next health check after a failed call whose message may have been executed; each
 /// such call can cost its message.
-const MAX_COSTLY_CHECK_INTERVAL: Duration = ms(1_500);
+const MAX_CHECK_INTERVAL_AFTER_POSSIBLE_EXECUTION: Duration = ms(1_500);
 /// Health checks per second that all instances together may make at a destination's endpoints while they are ejected or
 /// suspect.
-const CHECKS_PER_S: f64 = 1.0;
+const MIN_CHECKS_PER_S: f64 = 1.0;
 
 /// Health of an endpoint, as assessed by one gateway instance; variants are ordered from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -142,7 +142,7 @@
     /// Returns the share of its full rate that the endpoint may receive at `time`.
     ///
     /// Ends a warm-up whose full length has passed without a failure: the endpoint is healthy then.
-    pub(super) fn allowed_share(&mut self, time: Duration, slow_start: SlowStart) -> f64 {
+    pub(super) fn update_allowed_share(&mut self, time: Duration, slow_start: SlowStart) -> f64 {
         match self.status {
             Health::WarmingUp { since } if time >= since + slow_start.warm_up => {
                 self.status = Health::Healthy
@@ -159,7 +159,7 @@
         if matches!(self.status, Health::WarmingUp { .. }) {
             return 0.0;
         }
-        CHECKS_PER_S / f64::from(instances) / endpoints as f64
+        MIN_CHECKS_PER_S / f64::from(instances) / endpoints as f64
     }
 }
 
@@ -168,9 +168,9 @@
 pub(super) struct FailureStreak {
     failures: u32,
     /// Time of the first failure or rejection, if any.
-    since: Option<Duration>,
+    started_at: Option<Duration>,
     /// `true` after a rejection on a route that has not reported a rate limit.
-    rejected_without_limit: bool,
+    had_rejection_without_reported_limit: bool,
 }
 
 impl FailureStreak {
@@ -193,17 +193,17 @@
 
     /// Sets the start of the streak to `now`, unless it has started already.
     pub(super) fn begin(&mut self, now: Duration) {
-        self.since = self.since.or(Some(now));
+        self.started_at = self.started_at.or(Some(now));
     }
 
     /// Records a rejection on a route that has not reported a rate limit, and returns `true` if it is the first.
-    pub(super) fn on_rejection_without_limit(&mut self) -> bool {
-        !std::mem::replace(&mut self.rejected_without_limit, true)
+    pub(super) fn on_rejection_without_reported_limit(&mut self) -> bool {
+        !std::mem::replace(&mut self.had_rejection_without_reported_limit, true)
     }
 
     /// Returns `true` if the streak has continued for longer than a rate limit explains.
     fn is_long(&self, now: Duration) -> bool {
-        self.since.is_some_and(|since| since + MAX_RATE_LIMIT_REJECTION_PERIOD < now)
+        self.started_at.is_some_and(|started_at| started_at + MAX_RATE_LIMIT_REJECTION_PERIOD < now)
     }
 
     /// Returns `true` if calls failed more than once in a streak that is longer than a rate limit explains.
@@ -217,7 +217,7 @@
     /// Counting the rejections covers instances that call too seldom to observe two failures. May hold back calls that
     /// a rate limit would have accepted.
     pub(super) fn is_suspect(&self, now: Duration) -> bool {
-        self.failures >= SUSPECT_FAILURES || self.rejected_without_limit && self.is_long(now)
+        self.failures >= SUSPECT_FAILURES || self.had_rejection_without_reported_limit && self.is_long(now)
     }
 }
 
@@ -252,7 +252,8 @@
     /// time.
     pub(super) fn on_failure(&mut self, now: Duration, known_not_executed: bool, rng: &mut Pcg64Mcg) {
         self.count += 1;
-        let cap = if known_not_executed { MAX_CHECK_INTERVAL } else { MAX_COSTLY_CHECK_INTERVAL };
+        let cap =
+            if known_not_executed { MAX_CHECK_INTERVAL } else { MAX_CHECK_INTERVAL_AFTER_POSSIBLE_EXECUTION };
         self.next = self.next.max(now + equal_jitter(rng, self.count, cap));
     }
 }
--- a/src/policy/rate_limit.rs
+++ b/src/policy/rate_limit.rs
@@ -130,7 +130,7 @@
     /// Delay that the response requested; zero if none.
     pub(super) retry_after: Duration,
     /// Recent attempts per second of this instance on the route.
-    pub(super) attempt_rate: f64,
+    pub(super) attempts_per_s: f64,
     pub(super) instances: u32,
 }
 
@@ -150,7 +150,7 @@
     /// Pauses since the last delivery; their random length grows with the number.
     pauses: u32,
     /// Start of the last pause.
-    last_pause: Duration,
+    last_pause_started: Duration,
 }
 
 impl RouteLimit {
@@ -163,7 +163,7 @@
             rejections: 0,
             first_rejection: Duration::ZERO,
             pauses: 0,
-            last_pause: Duration::ZERO,
+            last_pause_started: Duration::ZERO,
         }
     }
 
@@ -215,10 +215,10 @@
         }
         self.rejections += 1;
         // Rejected attempts that were in flight together cause only one pause.
-        if rejection.started >= self.last_pause {
+        if rejection.started >= self.last_pause_started {
             self.pauses += 1;
-            self.last_pause = now;
-            self.bucket.cut_rate(rejection.attempt_rate, rejection.instances);
+            self.last_pause_started = now;
+            self.bucket.cut_rate(rejection.attempts_per_s, rejection.instances);
             self.bucket.tokens = 1.0 - delay_factor;
             let pause = full_jitter(rng, self.pauses, BASE_DELAY, MAX_DELAY);
             self.paused_until = self.paused_until.max(now + pause);
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -14,14 +14,14 @@
 const RETRIES_WITHOUT_DELIVERY: f64 = 1.0;
 /// Credit for retries after rejections that a delivery earns and a rejection costs; it runs out once half of the calls
 /// are rejected.
-const CREDIT_PER_DELIVERY: f64 = 0.25;
+const CREDIT_STEP: f64 = 0.25;
 /// Credit for retries after rejections that an instance starts with, before it has delivered anything.
 const INITIAL_CREDIT: f64 = 1.0;
 /// Credit that one retry costs.
 const RETRY_COST: f64 = 1.0;
 
 /// Attempts started within one second of the clock.
-struct SecondOfAttempts {
+struct AttemptCounts {
     second: u64,
     first_attempts: u32,
     retries: u32,
@@ -39,7 +39,7 @@
 /// is added.
 #[derive(Default)]
 pub(super) struct RetryBudget {
-    seconds: VecDeque<SecondOfAttempts>,
+    seconds: VecDeque<AttemptCounts>,
 }
 
 impl RetryBudget {
@@ -47,7 +47,7 @@
         let second = now.as_secs();
         self.seconds.retain(|attempts| attempts.second + WINDOW.as_secs() > second);
         if self.seconds.back().is_none_or(|attempts| attempts.second != second) {
-            self.seconds.push_back(SecondOfAttempts { second, first_attempts: 0, retries: 0 });
+            self.seconds.push_back(AttemptCounts { second, first_attempts: 0, retries: 0 });
         }
         let last = self.seconds.back_mut().expect("the current second was appended if it was missing");
         if is_retry {
@@ -70,7 +70,7 @@
     }
 
     /// Returns the recent attempts per second, averaged over at least `min_period`.
-    pub(super) fn attempt_rate(&self, now: Duration, min_period: Duration) -> f64 {
+    pub(super) fn attempts_per_s(&self, now: Duration, min_period: Duration) -> f64 {
         let Totals { first_second, first_attempts, retries } = self.totals(now);
         let seconds = (now.as_secs() - first_second + 1) as f64;
         f64::from(first_attempts + retries) / seconds.max(min_period.as_secs_f64())
@@ -109,11 +109,11 @@
     }
 
     pub(super) fn on_delivery(&mut self) {
-        self.balance = (self.balance + CREDIT_PER_DELIVERY).min(RETRIES_PER_S * WINDOW.as_secs_f64());
+        self.balance = (self.balance + CREDIT_STEP).min(RETRIES_PER_S * WINDOW.as_secs_f64());
     }
 
     pub(super) fn on_rejection(&mut self) {
-        self.balance = (self.balance - CREDIT_PER_DELIVERY).max(0.0);
+        self.balance = (self.balance - CREDIT_STEP).max(0.0);
     }
 
     /// Returns `true` if a message that was rejected may be retried.
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -51,7 +51,7 @@
 
 impl State {
     /// Rule: starts the attempt of the highest priority.
-    pub(crate) fn start_most_valuable(&mut self, driver: &mut dyn Driver) -> bool {
+    pub(crate) fn start_highest_priority(&mut self, driver: &mut dyn Driver) -> bool {
         let slots_full = self.slots.are_full(self.slots_in_use());
         if slots_full && self.batch_limits.is_empty() || self.pending.is_empty() {
             return false;
@@ -67,7 +67,7 @@
             }
         }
         let Some((_, id, candidate)) = best else {
-            self.schedule_next_start();
+            self.update_next_due();
             return false;
         };
         self.start_attempt(id, candidate, driver);
@@ -114,7 +114,7 @@
     }
 
     /// Ensures that the rules are applied again when a backoff or an ordering pause ends.
-    fn schedule_next_start(&mut self) {
+    fn update_next_due(&mut self) {
         let backoffs = self.pending.values().map(|message| message.not_before).filter(|at| *at > self.now);
         if let Some(next) = backoffs.chain(self.ordering.next_pause_end(self.now)).min() {
             self.next_due = self.next_due.min(next);
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Calls in flight that are added to the load of an endpoint in another zone, as its latency and cost are higher.
-const OTHER_ZONE_LOAD: i64 = 2;
+const OTHER_ZONE_LOAD_CALLS: i64 = 2;
 /// Factor by which zone costs, in points, are multiplied before they are rounded for the comparison.
 const ZONE_COST_SCALE: f64 = 1e6;
 
@@ -75,7 +75,8 @@
     let endpoint_rate = route.limit.bucket.safe_rate() / f64::from(instances) / available_endpoints as f64;
     let retry_after_end = route.limit.retry_after_end();
     endpoint.budget.skip_earning_until(retry_after_end.min(now));
-    let allowed_share = endpoint.health.allowed_share(endpoint.budget.midpoint_since_refill(now), slow_start);
+    let allowed_share =
+        endpoint.health.update_allowed_share(endpoint.budget.midpoint_since_refill(now), slow_start);
     let rate =
         (allowed_share * endpoint_rate).max(endpoint.health.min_check_rate(instances, available_endpoints));
     let budget_wait = endpoint.budget.refill(now, rate);
@@ -84,9 +85,9 @@
     // An endpoint that is not healthy, or whose route is suspect, is limited by its slow-start budget. Prevents an
     // overload by many instances, each of which makes too few calls to eject the endpoint. May slow down an endpoint
     // that loses some calls.
-    let is_healthy = endpoint.health.status() == Health::Healthy && !route.streak.is_suspect(now);
+    let is_unrestricted = endpoint.health.status() == Health::Healthy && !route.streak.is_suspect(now);
     let mut earliest_start = route.limit.next_call_at(now);
-    if !is_healthy {
+    if !is_unrestricted {
         earliest_start = earliest_start.max(now + budget_wait);
     }
     if is_ejected {
@@ -238,7 +239,7 @@
 /// Returns the rank of an endpoint in the selection by an instance in `own_zone`.
 fn rank(endpoint: &Endpoint, added_to_call: bool, zone_cost: f64, own_zone: &str, now: Duration) -> Rank {
     let load = i64::from(endpoint.concurrency.in_flight())
-        + OTHER_ZONE_LOAD * i64::from(endpoint.zone != own_zone)
+        + OTHER_ZONE_LOAD_CALLS * i64::from(endpoint.zone != own_zone)
         + endpoint.health.load_penalty();
     Rank {
         is_health_check: endpoint.health.is_ejected(),
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -103,8 +103,9 @@
 
     /// Adds what a message accepted for the destination earns: `part` of it counts for this endpoint, whose allowed
     /// load is `share`.
-    pub(super) fn on_message(&mut self, share: f64, part: f64) {
-        self.by_messages = (self.by_messages + share * EARNED_PER_MESSAGE * part).min(ATTEMPT_COST);
+    pub(super) fn on_message(&mut self, allowed_share: f64, endpoint_share: f64) {
+        self.by_messages =
+            (self.by_messages + allowed_share * EARNED_PER_MESSAGE * endpoint_share).min(ATTEMPT_COST);
     }
 }
 
--- a/src/policy/tests/outlier.rs
+++ b/src/policy/tests/outlier.rs
@@ -35,7 +35,7 @@
     assert_eq!(health.status(), Health::Ejected);
     health.on_delivery(ms(100));
     assert_eq!(health.status(), Health::WarmingUp { since: ms(100) });
-    health.allowed_share(ms(10_100), slow_start);
+    health.update_allowed_share(ms(10_100), slow_start);
     assert_eq!(health.status(), Health::Healthy);
 }
 
--- a/src/policy/tests/slow_start.rs
+++ b/src/policy/tests/slow_start.rs
@@ -20,9 +20,9 @@
         let mut health = EndpointHealth::new(Health::WarmingUp { since: ms(100) });
         for at in (100..3_100).step_by(20) {
             if rng.random_bool(messages_per_s * 0.02 / f64::from(instances)) {
-                budget.on_message(health.allowed_share(ms(at), slow_start), 1.0);
+                budget.on_message(health.update_allowed_share(ms(at), slow_start), 1.0);
             }
-            let share = health.allowed_share(budget.midpoint_since_refill(ms(at)), slow_start);
+            let share = health.update_allowed_share(budget.midpoint_since_refill(ms(at)), slow_start);
             let part = 10.0 / f64::from(instances);
             budget.refill(ms(at), (share * part).max(health.min_check_rate(instances, 1)));
             if budget.is_ready() {
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -127,18 +127,18 @@
             now,
             started: self.attempt.started,
             retry_after,
-            attempt_rate: route.retry_budget.attempt_rate(now, min_period),
+            attempts_per_s: route.retry_budget.attempts_per_s(now, min_period),
             instances: self.instances,
         };
         route.limit.on_rejection(rejection, &mut self.shared.rng);
         self.shared.retry_credit.on_rejection();
 
         let has_long_retry_after = route.limit.has_long_retry_after(now);
-        let is_first_rejection = !is_reported && route.streak.on_rejection_without_limit();
+        let is_first_rejection = !is_reported && route.streak.on_rejection_without_reported_limit();
         // Rejections count as failures if the route reports that it has no rate limit, or if there were many in a row:
         // the route is then unavailable, or its queue is full.
         let is_unlimited = result.load_report.is_some_and(|report| report.rate_limit <= 0.0);
-        let is_rejection_streak = route.limit.rejections() >= outlier::REJECTION_STREAK;
+        let is_rejection_streak = route.limit.rejections() >= outlier::MIN_REJECTION_STREAK;
         route.streak.add_failures(u32::from(is_unlimited || is_rejection_streak));
         if has_long_retry_after {
             route.streak.mark_suspect();
