--- a/src/driver.rs
+++ b/src/driver.rs
@@ -54,7 +54,7 @@
     /// Closes the instance's idle connections to `endpoint`.
     fn close_idle_connections(&mut self, endpoint: &str);
     /// Sends a gossip message to every other instance, without any guarantee of delivery.
-    fn broadcast(&mut self, gossip: &[u8]);
+    fn broadcast(&mut self, datagram: &[u8]);
     /// Schedules a call of [`Dispatcher::timer_fired`](crate::Dispatcher::timer_fired) after `wait`.
     fn set_timer(&mut self, wait: Duration);
     /// Asks discovery to report changes of the endpoint list from now on.
--- a/src/gossip_tests.rs
+++ b/src/gossip_tests.rs
@@ -63,7 +63,7 @@
         decay: ValueDecay::Linear,
         ordered: false,
     };
-    dispatcher.add_service_class("free", class);
+    dispatcher.add_service_class("idempotent", class);
     if separate_routes {
         dispatcher.separate_routes("kind");
     }
@@ -77,7 +77,7 @@
     });
     let message = NewMessage {
         id: MESSAGE,
-        service_class: "free",
+        service_class: "idempotent",
         ordering_key: None,
         deadline: one_hour,
         tenant: None,
@@ -92,7 +92,7 @@
         if driver.attempts == attempts_before {
             continue;
         }
-        assert!(driver.datagrams.is_empty(), "no gossip of failures");
+        assert!(driver.datagrams.is_empty(), "no gossip is sent before the recovery");
         if driver.attempts > FAILED_ATTEMPTS {
             dispatcher.attempt_ended(result(attempts_before, AttemptOutcome::Delivered));
             dispatcher.apply_rules(&mut driver);
@@ -104,12 +104,12 @@
 }
 
 #[test]
-fn the_recovery_of_a_destination_is_gossiped_in_these_octets() {
+fn gossip_of_a_destinations_recovery_contains_version_and_destination() {
     assert_eq!(recovery_datagrams(false), [b"\x01\x08\x07\x06\x05\x04\x03\x02\x01"]);
 }
 
 #[test]
-fn the_recovery_of_a_route_is_gossiped_in_these_octets() {
+fn gossip_of_a_routes_recovery_also_contains_the_route_name() {
     assert_eq!(recovery_datagrams(true), [b"\x01\x08\x07\x06\x05\x04\x03\x02\x01e1"]);
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,6 +27,6 @@
 use std::time::Duration;
 
 /// Shorthand for [`Duration::from_millis`].
-pub(crate) const fn ms(count: u64) -> Duration {
-    Duration::from_millis(count)
+pub(crate) const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
--- a/src/policy/tests/admission.rs
+++ b/src/policy/tests/admission.rs
@@ -7,10 +7,10 @@
 fn a_nearly_full_queue_rejects_the_message_of_the_least_value() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.set_limits(Some(0), Some(3), None);
-    for (id, service_class) in [(1, "dear"), (2, "g"), (3, "dear")] {
+    for (id, service_class) in [(1, "valuable"), (2, "standard"), (3, "valuable")] {
         dispatcher.accept(NewMessage { service_class, ..message(id) }).unwrap();
     }
-    assert_eq!(actions(&mut dispatcher), ["reject 2 false"]);
+    assert_eq!(actions(&mut dispatcher), ["reject 2, retry-after: false"]);
 }
 
 /// Guards against a tenant that exceeds its quota and displaces the messages of other tenants.
@@ -58,7 +58,7 @@
     let mut dispatcher = dispatcher_for(DEDUPLICATED);
     assert_eq!(submit(&mut dispatcher, 1, None), ["attempt 1 a"]);
     dispatcher.set_remaining_storage(0);
-    assert_eq!(submit(&mut dispatcher, 2, None), ["reject 2 false"]);
+    assert_eq!(submit(&mut dispatcher, 2, None), ["reject 2, retry-after: false"]);
     dispatcher.set_remaining_storage(1);
     assert_eq!(submit(&mut dispatcher, 3, None).len(), 1);
     assert!(dispatcher.state.pending.contains_key(&1) && dispatcher.state.pending.contains_key(&3));
@@ -69,7 +69,7 @@
 fn a_message_possibly_executed_before_a_restart_is_retried_only_if_a_second_execution_is_harmless() {
     for (retry_safety, ago_ms, expected) in [
         (DEDUPLICATED, 4_000, "attempt 1 a"),
-        (DEDUPLICATED, 7_000, "reject 1 false"),
+        (DEDUPLICATED, 7_000, "reject 1, retry-after: false"),
         (RetrySafety::AtMostOnce, 4_000, "abandon 1"),
         (RetrySafety::Idempotent, 7_000, "attempt 1 a"),
     ] {
@@ -96,10 +96,11 @@
         dispatcher.accept(NewMessage { deadline: ms(11_000), ..message(1) }).unwrap();
         dispatcher.restore_attempts(1, RecoveredAttempts { count, first_execution: None });
         for id in [2, 3] {
-            let service_class = if id == 2 { "g" } else { "dear" };
+            let service_class = if id == 2 { "standard" } else { "valuable" };
             dispatcher.accept(NewMessage { service_class, deadline: ms(18_000), ..message(id) }).unwrap();
         }
-        let rejected = if count == 0 { "reject 2 false" } else { "reject 1 false" };
+        let rejected =
+            if count == 0 { "reject 2, retry-after: false" } else { "reject 1, retry-after: false" };
         assert_eq!(actions(&mut dispatcher), [first, rejected], "after {count} attempts");
     }
 }
--- a/src/policy/tests/connections.rs
+++ b/src/policy/tests/connections.rs
@@ -4,11 +4,11 @@
 
 /// With 318 instances and no failures, full connection tables were mistaken for outages 20,137 times.
 #[test]
-fn a_full_connection_table_shortens_the_idle_timeout_and_is_no_outage() {
+fn a_full_connection_table_shortens_the_idle_timeout_and_is_not_treated_as_an_outage() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.set_endpoint_idle_timeout(ms(5_000));
-    for at in 1..=20 {
-        dispatcher.advance_to(ms(at * 200));
+    for step in 1..=20 {
+        dispatcher.advance_to(ms(step * 200));
         let attempt = attempt_at("a", dispatcher.state.now);
         process_outcome(&mut dispatcher, &attempt, AttemptOutcome::ConnectionLimit);
     }
--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -38,7 +38,7 @@
 /// Guards against changes that an instance learns too late: it is expected to know of them 6 s after discovery becomes
 /// reachable, which may be just after a poll was lost.
 #[test]
-fn the_next_poll_starts_within_five_seconds_of_the_start_of_a_lost_one() {
+fn the_next_poll_starts_within_five_seconds_of_the_start_of_a_failed_one() {
     for period in [0, 2_000, 10_000, 60_000].map(ms) {
         for fails_after in [0, 100, 2_000, 2_500, 4_990].map(ms) {
             for seed in 0..40 {
@@ -91,7 +91,7 @@
     };
     let mut dispatchers: Vec<_> = (0..u64::from(instances)).map(start).collect();
     let mut queue: VecDeque<(Duration, usize, bool)> = VecDeque::new();
-    let (time_per_poll, mut free_at, mut notified) = (ms(8_000) / instances, ms(0), BTreeSet::new());
+    let (time_per_poll, mut busy_until, mut with_list) = (ms(8_000) / instances, ms(0), BTreeSet::new());
     for now in (0..30_000).step_by(10).map(ms) {
         while queue.front().is_some_and(|(answered, ..)| *answered <= now) {
             let (_, index, in_time) = queue.pop_front().unwrap();
@@ -100,22 +100,22 @@
             } else {
                 dispatchers[index].endpoint_list_failed()
             }
-            notified.extend(in_time.then_some(index));
+            with_list.extend(in_time.then_some(index));
         }
         for (index, dispatcher) in dispatchers.iter_mut().enumerate() {
             dispatcher.advance_to(now);
             if !actions(dispatcher).is_empty() {
-                free_at = free_at.max(now);
-                if free_at > now + ms(3_000) {
+                busy_until = busy_until.max(now);
+                if busy_until > now + ms(3_000) {
                     dispatcher.endpoint_list_failed();
                     continue;
                 }
-                free_at += time_per_poll;
-                queue.push_back((free_at.min(now + ms(2_000)), index, free_at <= now + ms(2_000)));
+                busy_until += time_per_poll;
+                queue.push_back((busy_until.min(now + ms(2_000)), index, busy_until <= now + ms(2_000)));
             }
         }
     }
-    notified.len()
+    with_list.len()
 }
 
 /// Guards against polls that are repeated faster than discovery can answer them, so that all time out and no instance
@@ -178,9 +178,9 @@
     };
     let mut dispatchers: Vec<_> = (0..100).map(waiting).collect();
     let calls: Vec<_> = (0..30)
-        .map(|tenth| {
+        .map(|step| {
             let started = |dispatcher: &mut Dispatcher| {
-                dispatcher.advance_to(ms(100 * tenth + 1));
+                dispatcher.advance_to(ms(100 * step + 1));
                 actions(dispatcher).len()
             };
             dispatchers.iter_mut().map(started).sum::<usize>()
@@ -211,15 +211,15 @@
                     bucket.on_delivery(Some(allowance / limit));
                     accepted[usize::from(at > 150)] += 1;
                 } else {
-                    bucket.cut_by_rejection(0.67, instances);
+                    bucket.lower_rate_after_rejection(0.67, instances);
                 }
             }
         }
     }
     assert!(accepted[1] as f64 > 0.5 * limit * 15.0, "{accepted:?}");
     assert!(buckets.iter().all(|bucket| {
-        let (rate, least) = bucket.rate_and_minimum(limit, instances);
-        rate >= least
+        let (rate, min_rate) = bucket.rate_and_minimum(limit, instances);
+        rate >= min_rate
     }));
 }
 
@@ -272,7 +272,7 @@
 fn a_route_stays_suspect_while_its_last_endpoint_is_replaced() {
     let mut dispatcher = one_of_many(2, 1, 10.0, &["a"]);
     let attempt = attempt_at("a", ms(1));
-    (0..FailureStreak::SUSPECT)
+    (0..FailureStreak::FAILURES_UNTIL_SUSPECT)
         .for_each(|_| process_outcome(&mut dispatcher, &attempt, AttemptOutcome::Failed));
     dispatcher.endpoint_list_ended(Some(&BTreeSet::new()), false);
     assert!(dispatcher.state.destinations[&9].endpoints.is_empty());
@@ -288,7 +288,7 @@
         let mut dispatcher = one_of_many(200, seed, 20.0, &["a"]);
         dispatcher.advance_to(ms(60_000));
         let attempt = attempt_at("a", ms(59_900));
-        (0..FailureStreak::SUSPECT)
+        (0..FailureStreak::FAILURES_UNTIL_SUSPECT)
             .for_each(|_| process_outcome(&mut dispatcher, &attempt, AttemptOutcome::Failed));
         dispatcher
     };
@@ -316,7 +316,7 @@
 /// Guards against overloading a route that many instances share: in a run of glenmuir-claims with 188 instances, a
 /// route of 0.66 calls per second was closed. Each instance was rejected only once, seconds before its next call.
 #[test]
-fn instances_with_one_rejection_each_send_far_less_if_the_limit_is_not_reported() {
+fn instances_with_one_rejection_each_start_less_than_a_third_of_the_attempts_if_the_limit_is_not_reported() {
     let rejected_once = |load_report: Option<LoadReport>| {
         move |seed| {
             let mut dispatcher = one_of_many(188, seed, 0.66, &["a"]);
--- a/src/policy/tests/latency.rs
+++ b/src/policy/tests/latency.rs
@@ -21,7 +21,7 @@
 /// Destinations without samples that were merely slow had 7% of their calls time out and were ejected 157 times. An
 /// at-most-once message is lost with its attempt, so its timeout extends to its deadline.
 #[test]
-fn a_destination_with_few_samples_gets_the_timeout_of_its_class_and_an_at_most_once_message_all_its_time() {
+fn with_few_samples_the_timeout_is_that_of_the_class_and_extends_to_the_deadline_if_at_most_once() {
     let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
     [3_000, 400, 400].iter().for_each(|duration| {
         let class_latency = &mut dispatcher.state.shared.class_latency;
--- a/src/policy/tests/outlier.rs
+++ b/src/policy/tests/outlier.rs
@@ -14,7 +14,7 @@
 
 impl FailureStreak {
     /// Number of failures that make a route suspect.
-    pub(crate) const SUSPECT: u32 = SUSPECT_FAILURES;
+    pub(crate) const FAILURES_UNTIL_SUSPECT: u32 = SUSPECT_FAILURES;
 }
 
 impl HealthChecks {
@@ -51,10 +51,10 @@
 /// Only a few calls of each instance are rejected by an unavailable route. If its endpoints stayed healthy, or budgets
 /// accumulated during the Retry-After, all messages that wait for its end would be sent at once.
 #[test]
-fn a_route_with_a_long_retry_after_is_ejected_and_accumulates_no_budget() {
+fn a_long_retry_after_ejects_the_endpoints_of_its_route_and_accumulates_no_budget() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     submit(&mut dispatcher, 1, None);
-    dispatcher.attempt_ended(ended(1, 0, rejected_for(ms(4_000))));
+    dispatcher.attempt_ended(ended(1, 0, rejected_with_retry_after(ms(4_000))));
     for endpoint in dispatcher.state.destinations[&DESTINATION].endpoints.values() {
         let status = endpoint.health.status();
         assert_eq!(status, Health::Ejected, "the Retry-After is in force for all endpoints of the route");
@@ -93,12 +93,12 @@
         process_outcome(&mut dispatcher, &attempt_at("a", ms(id * 100)), rejected());
     }
     assert_eq!(endpoint(&dispatcher, "a").health.status(), Health::Healthy);
-    assert!(route(&dispatcher).limit.paused_until() > ms(500), "but its route pauses");
+    assert!(route(&dispatcher).limit.paused_until() > ms(500), "the route is paused");
 }
 
 /// With four connections in ten reset, endpoints that delivered all other calls were ejected.
 #[test]
-fn resets_between_deliveries_do_not_eject_an_endpoint_and_failed_connections_do() {
+fn resets_between_deliveries_do_not_eject_an_endpoint_but_failed_connections_do() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let mut status_after = |at, outcome| {
         dispatcher.advance_to(ms(at + 9));
--- a/src/policy/tests/rate_limit.rs
+++ b/src/policy/tests/rate_limit.rs
@@ -19,7 +19,7 @@
     }
 
     /// Lowers the rate as a rejection does at an instance that sends `sent_per_s` calls per second.
-    pub(crate) fn cut_by_rejection(&mut self, sent_per_s: f64, instances: u32) {
+    pub(crate) fn lower_rate_after_rejection(&mut self, sent_per_s: f64, instances: u32) {
         self.cut_rate(sent_per_s, instances);
     }
 
@@ -44,7 +44,7 @@
 fn a_retry_after_pauses_all_calls_to_the_route() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     assert_eq!(submit(&mut dispatcher, 1, None), ["attempt 1 a"]);
-    dispatcher.attempt_ended(ended(1, 0, rejected_for(ms(900))));
+    dispatcher.attempt_ended(ended(1, 0, rejected_with_retry_after(ms(900))));
     assert!(submit(&mut dispatcher, 2, None).is_empty());
     dispatcher.advance_to(ms(900));
     assert!(actions(&mut dispatcher).is_empty());
@@ -61,9 +61,9 @@
         (ListedRateAccuracy::Approximate, Some(4.0)),
         (ListedRateAccuracy::Absent, None),
     ];
-    for (listed, safe_rate) in cases {
+    for (accuracy, safe_rate) in cases {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
-        dispatcher.set_discovery(false, listed);
+        dispatcher.set_discovery(false, accuracy);
         let update =
             |rate| EndpointUpdate { destination: 8, listed_rate: Some(rate), ..endpoint_of("c", "x") };
         let estimate = |dispatcher: &crate::Dispatcher| {
--- a/src/policy/tests/retry_budget.rs
+++ b/src/policy/tests/retry_budget.rs
@@ -45,7 +45,7 @@
 
 /// With 41% of all calls rejected, the retries of rejected messages took the capacity of first attempts.
 #[test]
-fn deliveries_earn_retries_after_rejections_if_rejections_have_a_cost() {
+fn retries_after_rejections_need_credit_from_deliveries_if_rejections_have_a_cost() {
     let attempts_and_balance = |cost: f64, balance: f64| {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         dispatcher.set_rejection_cost(cost);
--- a/src/policy/tests/scheduling.rs
+++ b/src/policy/tests/scheduling.rs
@@ -50,7 +50,7 @@
 
 /// Guards against slow destinations whose new messages use all slots, as in the incidents iaa78c2 and ide3163.
 #[test]
-fn if_slots_are_scarce_the_message_of_most_value_per_second_of_slot_time_is_attempted_first() {
+fn if_slots_are_scarce_the_message_of_the_highest_value_per_second_of_slot_time_is_attempted_first() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.endpoint_updated(EndpointUpdate { destination: 8, ..endpoint_of("c", "x") });
     dispatcher.set_limits(Some(0), Some(100), None);
@@ -69,13 +69,13 @@
 #[test]
 fn a_health_check_is_made_with_a_message_that_can_be_executed_again_if_possible() {
     let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
-    dispatcher.add_service_class("again", class_of(RetrySafety::Idempotent, 0.1));
+    dispatcher.add_service_class("idempotent", class_of(RetrySafety::Idempotent, 0.1));
     for name in ["a", "b"] {
         let endpoint = endpoint_mut(&mut dispatcher, name);
         endpoint.health.set_status(Health::Ejected);
         endpoint.budget.fill();
     }
     dispatcher.accept(message(1)).unwrap();
-    dispatcher.accept(NewMessage { service_class: "again", ..message(2) }).unwrap();
+    dispatcher.accept(NewMessage { service_class: "idempotent", ..message(2) }).unwrap();
     assert_eq!(actions(&mut dispatcher), ["attempt 2 a"]);
 }
--- a/src/policy/tests/selection.rs
+++ b/src/policy/tests/selection.rs
@@ -11,7 +11,7 @@
     assert_eq!(attempts, ["attempt 1 a", "attempt 2 a", "attempt 3 b", "attempt 4 b"]);
     let mut other = Dispatcher::new(7, 2, "z");
     other.set_limits(Some(8), Some(100), None);
-    other.add_service_class("g", class_of(RetrySafety::Idempotent, 1.0));
+    other.add_service_class("standard", class_of(RetrySafety::Idempotent, 1.0));
     ["a", "b", "c"].iter().for_each(|name| other.endpoint_updated(endpoint_of(name, "x")));
     let attempts: BTreeSet<_> = (1..=3).flat_map(|id| submit(&mut other, id, None)).collect();
     assert_eq!(attempts.len(), 3);
--- a/src/policy/tests/slow_start.rs
+++ b/src/policy/tests/slow_start.rs
@@ -23,8 +23,8 @@
                 budget.on_message(health.update_allowed_share(ms(at), slow_start), 1.0);
             }
             let share = health.update_allowed_share(budget.midpoint_since_refill(ms(at)), slow_start);
-            let part = 10.0 / f64::from(instances);
-            budget.refill(ms(at), (share * part).max(health.min_check_rate(instances, 1)));
+            let rate_per_instance = 10.0 / f64::from(instances);
+            budget.refill(ms(at), (share * rate_per_instance).max(health.min_check_rate(instances, 1)));
             if budget.is_ready() {
                 budget.spend();
                 sent += 1;
--- a/src/policy/tests/support.rs
+++ b/src/policy/tests/support.rs
@@ -23,7 +23,7 @@
         self.0.push(format!("attempt {message} {endpoint}"));
     }
     fn reject(&mut self, message: MessageId, retry_after: Option<Duration>) {
-        self.0.push(format!("reject {message} {}", retry_after.is_some()));
+        self.0.push(format!("reject {message}, retry-after: {}", retry_after.is_some()));
     }
     fn abandon(&mut self, message: MessageId) {
         self.0.push(format!("abandon {message}"));
@@ -31,8 +31,8 @@
     fn close_idle_connections(&mut self, endpoint: &str) {
         self.0.push(format!("close idle connections {endpoint}"));
     }
-    fn broadcast(&mut self, gossip: &[u8]) {
-        self.0.push(format!("broadcast {gossip:?}"));
+    fn broadcast(&mut self, datagram: &[u8]) {
+        self.0.push(format!("broadcast {datagram:?}"));
     }
     fn set_timer(&mut self, wait: Duration) {
         self.0.push(format!("timer {}", wait.as_micros()));
@@ -92,7 +92,7 @@
 
 /// Returns the dispatcher of one of two instances, with eight slots, in zone `x`.
 ///
-/// [`DESTINATION`] has the endpoints `a` and `b` in the zones `x` and `y`. The service classes are `g`, and `dear` with
+/// [`DESTINATION`] has the endpoints `a` and `b` in the zones `x` and `y`. The service classes are `standard`, and `valuable` with
 /// twice the value.
 pub(super) fn dispatcher_for(retry_safety: RetrySafety) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(7, 2, "x");
@@ -100,19 +100,19 @@
     dispatcher.set_max_retry_after(Some(ms(3_000)));
     dispatcher.set_slow_start(2.0, 0.2, ms(10_000));
     dispatcher.set_ordering_pause(ms(700));
-    dispatcher.add_service_class("g", class_of(retry_safety, 1.0));
-    dispatcher.add_service_class("dear", class_of(retry_safety, 2.0));
+    dispatcher.add_service_class("standard", class_of(retry_safety, 1.0));
+    dispatcher.add_service_class("valuable", class_of(retry_safety, 2.0));
     dispatcher.endpoint_updated(endpoint_of("a", "x"));
     dispatcher.endpoint_updated(endpoint_of("b", "y"));
     dispatcher.advance_to(ms(1));
     dispatcher
 }
 
-/// Returns a message of class `g` for [`DESTINATION`] with a deadline of 9.5 s after the start.
+/// Returns a message of class `standard` for [`DESTINATION`] with a deadline of 9.5 s after the start.
 pub(super) fn message(id: MessageId) -> NewMessage<'static> {
     NewMessage {
         id,
-        service_class: "g",
+        service_class: "standard",
         ordering_key: None,
         deadline: ms(9_500),
         tenant: None,
@@ -151,7 +151,7 @@
 }
 
 /// Returns a rejection with a retry-after.
-pub(super) fn rejected_for(retry_after: Duration) -> AttemptOutcome {
+pub(super) fn rejected_with_retry_after(retry_after: Duration) -> AttemptOutcome {
     AttemptOutcome::Rejected { retry_after: Some(retry_after) }
 }
 
--- a/src/policy/tests/verdict.rs
+++ b/src/policy/tests/verdict.rs
@@ -6,7 +6,7 @@
 /// Without the gossip, each instance would notice a recovery only through its own health checks. Gossip that is
 /// malformed, of another version, or about an unknown destination or route must not change any health.
 #[test]
-fn recovery_gossip_warms_up_an_ejected_route_and_other_gossip_is_ignored() {
+fn recovery_gossip_warms_up_the_ejected_endpoints_of_its_route_and_other_gossip_is_ignored() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let eject = |dispatcher: &mut Dispatcher| {
         ["a", "b"].iter().for_each(|name| endpoint_mut(dispatcher, name).health.set_status(Health::Ejected));
@@ -41,7 +41,7 @@
     for (now, status) in [(1_000, Health::Healthy), (2_100, Health::WarmingUp { since: ms(2_100) })] {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         endpoint_mut(&mut dispatcher, "a").health.set_last_delivery(ms(100));
-        route_mut(&mut dispatcher).streak.add_failures(FailureStreak::SUSPECT);
+        route_mut(&mut dispatcher).streak.add_failures(FailureStreak::FAILURES_UNTIL_SUSPECT);
         dispatcher.advance_to(ms(now));
         dispatcher.gossip_received(&gossip::encode_recovery(9, ""));
         assert_eq!(endpoint(&dispatcher, "a").health.status(), status);
@@ -59,7 +59,7 @@
         |dispatcher: &Dispatcher, id, attempt, now_ms| dispatcher.may_send_request(id, attempt, ms(now_ms));
     assert!(may_send_request(&dispatcher, 1, 0, 1) && may_send_request(&dispatcher, 2, 0, 1));
     assert!(!may_send_request(&dispatcher, 1, 1, 1));
-    dispatcher.attempt_ended(ended(2, 0, rejected_for(ms(500))));
+    dispatcher.attempt_ended(ended(2, 0, rejected_with_retry_after(ms(500))));
     assert!(!may_send_request(&dispatcher, 1, 0, 500) && may_send_request(&dispatcher, 1, 0, 501));
     dispatcher.endpoint_updated(EndpointUpdate { state: EndpointState::Draining, ..endpoint_of("a", "x") });
     assert!(!may_send_request(&dispatcher, 1, 0, 501));
