--- a/src/message.rs
+++ b/src/message.rs
@@ -4,20 +4,20 @@
 
 /// Identifier of a message, assigned by the host.
 pub type MessageId = u64;
-/// Number of a destination, assigned by the host.
+/// Identifier of a destination, assigned by the host.
 pub type DestinationId = u64;
 
-/// Conditions under which a message may be retried after an attempt that may have been executed.
+/// Conditions under which a message may be retried after an attempt by which it may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
     /// The message can be executed again without harm.
     Idempotent,
     /// The message carries an idempotency key by which its destination recognizes a retry.
     Deduplicated {
-        /// Deduplication window: how long the destination remembers the key, counted from the first attempt that may
-        /// have been executed.
+        /// Deduplication window: time during which the destination recognizes the key, counted from the first attempt
+        /// by which the message may have been executed.
         window: Duration,
-        /// `true` if only the endpoints in the zone that first received the key know it.
+        /// `true` if only endpoints in the zone that first received the key recognize it.
         per_zone: bool,
     },
     /// The message must never be executed twice.
@@ -27,25 +27,26 @@
 /// Decline of a message's value after its soft deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueDecay {
-    /// The value falls linearly until the deadline.
+    /// The value falls linearly to the share left at the deadline.
     Linear,
-    /// The value halves with each further period as long as the soft deadline, down to the share left at the deadline.
+    /// The value halves every `soft_deadline` after the soft deadline, but does not fall below the share left at the
+    /// deadline.
     Halving,
 }
 
 /// Service class of a message: its value, its deadlines, and the constraints on its attempts.
 ///
-/// The age of a message counts from its submission, or from an earlier time if the client asks for a shorter
-/// deadline: at [`NewMessage::deadline`], the age is always `deadline`.
+/// The age of a message is measured back from its deadline: it equals `deadline` at the time [`NewMessage::deadline`].
+/// It thus counts from the submission, unless the client asked for an earlier deadline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceClass {
-    /// Conditions for a retry after an attempt that may have been executed.
+    /// Conditions for a retry after an attempt by which it may have been executed.
     pub retry_safety: RetrySafety,
     /// Age up to which a delivered message has its full value.
     pub soft_deadline: Duration,
     /// Age at which an undelivered message is given up.
     pub deadline: Duration,
-    /// Value of a message delivered by its soft deadline, in a unit common to all service classes.
+    /// Value of a message delivered by its soft deadline, in points, the unit of value and cost.
     pub value: f64,
     /// Share of the value that is left at the deadline, from 0 to 1.
     pub late_value_share: f64,
@@ -102,13 +103,14 @@
 /// Message submitted by a client.
 #[derive(Clone, Copy, Debug)]
 pub struct NewMessage<'a> {
-    /// Identifier; no pending message may have the same one.
+    /// Identifier, unique among the pending messages.
     pub id: MessageId,
     /// Name of the message's service class.
     pub service_class: &'a str,
     /// Ordering key, if any: messages with the same key are delivered in order if their service class is ordered.
     pub ordering_key: Option<u64>,
-    /// Time by which the message is to have its final outcome, capped by the deadline of its service class.
+    /// Time by which the message is to have its final outcome; at most [`ServiceClass::deadline`] after its acceptance,
+    /// whatever is given here.
     pub deadline: Duration,
     /// Name of the tenant whose quota applies, if any.
     pub tenant: Option<&'a str>,
@@ -126,11 +128,11 @@
 pub struct RecoveredAttempts<'a> {
     /// Number of attempts made.
     pub count: u32,
-    /// First attempt that may have been executed, if any.
+    /// First attempt by which the message may have been executed, if any.
     pub first_execution: Option<PossibleExecution<'a>>,
 }
 
-/// Attempt that may have been executed at its endpoint.
+/// Attempt by which the message may have been executed at the endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct PossibleExecution<'a> {
     /// Time at which the attempt started.
