--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -28,7 +28,7 @@
     ConnectionReset,
     /// The attempt was cancelled; the message may have been executed.
     Cancelled,
-    /// The request never left this instance.
+    /// The host did not send the request.
     NotSent,
     /// The endpoint refused the call because it holds as many connections as it allows.
     ConnectionLimit,
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -18,9 +18,9 @@
 pub enum ListedRateAccuracy {
     /// No rates are listed, or they are meaningless.
     Absent,
-    /// The listed rates are those that the endpoints accept.
+    /// The listed rates are those that the routes accept.
     Exact,
-    /// The listed rates are up to half too high or too low.
+    /// The listed rates are too high or too low by a factor of up to 1.5.
     Approximate,
 }
 
@@ -31,12 +31,12 @@
     pub name: &'a str,
     /// Zone in which the endpoint runs.
     pub zone: &'a str,
-    /// Kind of the endpoint's destination, to which batch limits and separate routes apply.
+    /// Kind of the endpoint's destination: batch limits and separate routes apply to kinds of destinations.
     pub kind: &'a str,
     /// Destination that the endpoint belongs to.
     pub destination: DestinationId,
     /// State of the endpoint from now on.
     pub state: EndpointState,
-    /// Calls per second that the destination accepts, if listed.
+    /// Calls per second that the endpoint's route accepts, if listed.
     pub listed_rate: Option<f64>,
 }
