--- a/src/driver.rs
+++ b/src/driver.rs
@@ -45,19 +45,20 @@
     /// Starts an attempt to deliver `message` to `endpoint`. Without a response within `timeout`, its outcome is
     /// [`AttemptOutcome::TimedOut`](crate::AttemptOutcome::TimedOut).
     fn start_attempt(&mut self, message: MessageId, endpoint: &str, timeout: Duration);
-    /// Gives `message` the final outcome rejected: it was not delivered and is safe to submit again, preferably after
-    /// `retry_after`.
+    /// Gives `message` the final outcome rejected: it is not known to have been delivered, and the client may submit it
+    /// again, preferably after `retry_after`, the suggested delay.
     fn reject(&mut self, message: MessageId, retry_after: Option<Duration>);
     /// Gives `message` the final outcome abandoned: it is not known to have been delivered, but may have been
     /// executed.
     fn abandon(&mut self, message: MessageId);
     /// Closes the instance's idle connections to `endpoint`.
     fn close_idle_connections(&mut self, endpoint: &str);
-    /// Sends a gossip message to every other instance, without any guarantee of delivery.
+    /// Sends a gossip datagram to every other instance, without any guarantee of delivery.
     fn broadcast(&mut self, datagram: &[u8]);
-    /// Schedules a call of [`Dispatcher::timer_fired`](crate::Dispatcher::timer_fired) after `wait`.
+    /// Schedules a call of [`Dispatcher::timer_fired`](crate::Dispatcher::timer_fired) after `wait`. A timer requested
+    /// earlier may still fire.
     fn set_timer(&mut self, wait: Duration);
-    /// Asks discovery to report changes of the endpoint list from now on.
+    /// Polls discovery once for the endpoint list; the response may stay open as a watch that reports later changes.
     fn watch_endpoints(&mut self);
     /// Writes an event to the log.
     fn log(&mut self, event: &LogEvent);
