--- a/src/gossip_tests.rs
+++ b/src/gossip_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the gossip wire format: the octets that are sent once a route has recovered, and the decoding of datagrams.
+//! Tests of the gossip wire format: the bytes that are sent once a route has recovered, and the decoding of datagrams.
 
 use crate::{
     AttemptOutcome, AttemptResult, DestinationId, Dispatcher, Driver, EndpointState, EndpointUpdate,
@@ -6,12 +6,12 @@
 };
 use std::time::Duration;
 
-/// Destination whose octets all differ, so that a wrong byte order is detected.
+/// Destination whose bytes all differ, so that a wrong byte order is detected.
 const DESTINATION: DestinationId = 0x0102_0304_0506_0708;
 const MESSAGE: MessageId = 1;
-/// Failed attempts after which the endpoint is certainly ejected.
+/// Number of attempts that fail before the endpoint recovers; enough to eject it.
 const FAILED_ATTEMPTS: u32 = 6;
-/// Steps of 2 s within which the endpoint has failed and recovered; health checks are less than a step apart.
+/// Maximum number of 2 s steps until the endpoint has recovered; health checks are less than a step apart.
 const MAX_STEPS: u64 = 100;
 
 /// Records the attempts and the datagrams that a dispatcher requests.
