--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -38,9 +38,9 @@
         Self { state: State::new(seed, instances, zone) }
     }
 
-    /// Limits the attempts in flight, the pending messages, and the attempts of one message.
+    /// Limits the calls in flight, the pending messages, and the attempts of one message.
     ///
-    /// With `None`, one attempt may be in flight at a time, and the other two are unlimited.
+    /// With `None` for `slots`, one call may be in flight at a time; with `None` for the other two, they are unlimited.
     pub fn set_limits(
         &mut self,
         slots: Option<usize>,
@@ -52,9 +52,9 @@
         self.state.max_attempts = max_attempts.unwrap_or(u32::MAX);
     }
 
-    /// Lowers the limit of attempts in flight to `max_slots`, or to 1 if that is 0.
+    /// Lowers the limit of calls in flight to `max_slots`, or to 1 if that is 0.
     ///
-    /// For hosts that have less capacity than the settings allow.
+    /// A host calls this if it supports fewer calls in flight than the settings allow.
     pub fn cap_concurrency(&mut self, max_slots: usize) {
         self.state.slots.cap(max_slots);
     }
@@ -72,7 +72,8 @@
         self.state.slow_start = SlowStart { overload_factor, initial_share, warm_up };
     }
 
-    /// Sets how long a recovering destination withstands overload before it fails. Zero, the default, means unknown.
+    /// Sets the time for which a recovering destination withstands overload before it fails. Zero, the default, means
+    /// unknown.
     pub fn set_overload_tolerance(&mut self, tolerance: Duration) {
         self.state.overload_tolerance = tolerance;
     }
@@ -87,14 +88,14 @@
         self.state.shared.gossip.is_allowed = allowed;
     }
 
-    /// Sets how long the other messages with an ordering key are held back after an attempt that may still be
-    /// executed.
+    /// Sets the pause of an ordering key after an attempt by which a message may still be executed; during the pause,
+    /// only that message may be attempted.
     pub fn set_ordering_pause(&mut self, pause: Duration) {
         self.state.ordering.set_pause(pause);
     }
 
-    /// Configures discovery: `must_poll` if it reports changes only to instances that poll it, and how accurate the
-    /// rates in its list are.
+    /// Configures discovery: `must_poll` is `true` if discovery reports changes only to instances that poll it, and
+    /// `rate_accuracy` is the accuracy of the rates in its list.
     pub fn set_discovery(&mut self, must_poll: bool, rate_accuracy: ListedRateAccuracy) {
         self.state.discovery.set_must_poll(must_poll);
         self.state.listed_rate_accuracy = rate_accuracy;
@@ -115,22 +116,23 @@
         self.state.separate_routes.insert(kind.into());
     }
 
-    /// Sets how many messages destinations of `kind` accept in one call.
+    /// Sets the maximum number of messages in one call to a destination of `kind`.
     ///
-    /// Only for hosts that combine the attempts started at one time and at one endpoint into one call.
+    /// Applies only to hosts that combine the attempts started at one time and at one endpoint into one call.
     pub fn set_batch_limit(&mut self, kind: &str, max_messages: u32) {
         self.state.batch_limits.insert(kind.into(), max_messages);
     }
 
-    /// Removes all batch limits set so far, for hosts that send each message in its own call whatever the
-    /// settings allow.
+    /// Removes all batch limits set so far, for hosts that send each message in its own call even if the settings allow
+    /// batches.
     pub fn disable_batching(&mut self) {
         self.state.batch_limits.clear();
     }
 
-    /// Sets the cost of rejected calls, in points of the result if there were one rejected call per first attempt.
+    /// Sets the cost of rejected calls, in points: what one rejected call per first attempt would cost.
     ///
-    /// Zero, the default, means that rejected calls cost nothing.
+    /// Zero, the default, means that rejected calls cost nothing. Any positive cost makes retries after rejections need
+    /// retry credit; its amount has no other effect.
     pub fn set_rejection_cost(&mut self, cost: f64) {
         self.state.shared.retry_credit.set_rejection_cost(cost);
     }
@@ -176,8 +178,9 @@
 
     /// Returns `true` if the destination exists according to the endpoint list.
     ///
-    /// A destination that lost its endpoints is known for a while longer, as it may get new ones. Before the first
-    /// list, every destination counts as known.
+    /// A destination stays known for 10 minutes after its last endpoint has left the endpoint list, as it may get new
+    /// ones. While no destination is known from the lists received, as before the first one, every destination counts
+    /// as known.
     pub fn knows_destination(&self, destination: DestinationId) -> bool {
         self.state.known_destinations.contains(destination)
     }
@@ -205,7 +208,7 @@
 
     /// Returns `true` if the request of an attempt may be sent at `now`, once the connection is established.
     ///
-    /// The host calls this before the first byte.
+    /// The host calls this before it writes the first byte of the request.
     pub fn may_send_request(&self, message: MessageId, attempt: u32, now: Duration) -> bool {
         self.state.may_send_request(message, attempt, now)
     }
@@ -215,17 +218,17 @@
         self.state.attempt_ended(&result);
     }
 
-    /// Stops handling a message, because its client left or because it has its final outcome.
+    /// Stops handling a message, because its client has disconnected or because it has its final outcome.
     pub fn finish(&mut self, message: MessageId) {
         self.state.finish(message);
     }
 
-    /// Handles a gossip message from another instance.
+    /// Handles a gossip datagram from another instance.
     pub fn gossip_received(&mut self, datagram: &[u8]) {
         self.state.gossip_received(datagram);
     }
 
-    /// Handles the expiry of the timer that [`Driver::set_timer`] requested last.
+    /// Handles the expiry of a timer that [`Driver::set_timer`] requested.
     pub fn timer_fired(&mut self) {
         self.state.timer_fired();
     }
