--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -1,8 +1,8 @@
 //! State of a dispatcher: its configuration, and what it knows of endpoints, messages and attempts.
 //!
-//! This module makes no decisions. The state of each mechanism is private to the mechanism's module; this module
-//! combines these states by endpoint, route, destination and instance. The rules in the other modules are methods of
-//! [`State`].
+//! This module makes no decisions. Each mechanism's module defines its state, which is private unless other mechanisms
+//! need it; this module combines these states by endpoint, route, destination and instance. The rules in the other
+//! modules are methods of [`State`].
 
 use super::admission::{Admission, TenantQuotas};
 use super::concurrency::{ConcurrencyLimit, Slots};
@@ -51,7 +51,9 @@
         available.peek().is_some() && available.all(|endpoint| endpoint.health.is_ejected())
     }
 
-    /// Removes the routes without endpoints, except those with a retry-after in force and suspect ones.
+    /// Removes the routes without endpoints, except those with a retry-after in force and suspect ones. Prevents an
+    /// unlimited load on a failing destination whose last endpoint is replaced, as its new endpoint would start with a
+    /// fresh route.
     pub(super) fn drop_unused_routes(&mut self, now: Duration) {
         let used: BTreeSet<_> = self.endpoints.values().map(|endpoint| &endpoint.route).collect();
         self.routes.retain(|name, route| {
@@ -72,7 +74,8 @@
     pub(super) concurrency: ConcurrencyLimit,
     pub(super) health: EndpointHealth,
     pub(super) budget: SlowStartBudget,
-    /// Start of the last attempt, unless the connection to the endpoint is known to be closed.
+    /// Start of the last attempt; `None` before the first one, and after the connection limit was hit or this instance
+    /// closed its idle connections to the endpoint.
     pub(super) last_used: Option<Duration>,
     pub(super) batch: Batch,
 }
@@ -105,7 +108,7 @@
     }
 }
 
-/// Last call to an endpoint, to which more messages can be added as long as it starts at the current time.
+/// Last call to an endpoint; messages can be added to it until the time advances.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Batch {
     started: Duration,
@@ -119,7 +122,7 @@
         Self { started: now, remaining_messages: max_messages.saturating_sub(1) }
     }
 
-    /// Returns `true` if the call starts at `now` and can carry another message.
+    /// Returns `true` if the call started at `now` and can carry another message.
     pub(super) fn can_add(&self, now: Duration) -> bool {
         self.started == now && self.remaining_messages > 0
     }
@@ -133,7 +136,8 @@
 /// State shared by the endpoints of a route: all endpoints of a destination, or a single one if its routes are
 /// separate.
 ///
-/// Removed once it has no endpoints, see [`Destination::drop_unused_routes`].
+/// Removed at the end of an endpoint list if it has no endpoints, no retry-after in force, and is not suspect, see
+/// [`Destination::drop_unused_routes`].
 pub(crate) struct Route {
     pub(super) limit: RouteLimit,
     pub(super) retry_budget: RetryBudget,
@@ -152,7 +156,7 @@
     }
 }
 
-/// Attempt that may have been executed, with the zone of the endpoint that was called.
+/// Attempt by which the message may have been executed, with the zone of the endpoint that was called.
 pub(crate) struct RecordedPossibleExecution {
     pub(super) started: Duration,
     /// Zone of the endpoint; empty if the endpoint was already removed.
@@ -170,15 +174,15 @@
     pub(super) value: f64,
     /// Number of attempts started, including those before a restart.
     pub(super) attempts: u32,
-    /// Number of attempts that ended without a final outcome, not counting [`AttemptOutcome::NotSent`]; determines the
-    /// backoff.
+    /// Number of attempts that ended without a final outcome, rejected ones too, but not counting
+    /// [`AttemptOutcome::NotSent`]; determines the backoff.
     pub(super) backoff_count: u32,
     /// Number of attempts in flight.
     pub(super) in_flight: u32,
     /// End of the backoff.
     pub(super) not_before: Duration,
     pub(super) last_outcome: Option<AttemptOutcome>,
-    /// First attempt that may have been executed, if any.
+    /// First attempt by which the message may have been executed, if any.
     pub(super) first_possible_execution: Option<RecordedPossibleExecution>,
     /// `true` if the message was recovered after a restart and has never been attempted.
     pub(super) is_recovered_unattempted: bool,
@@ -207,7 +211,8 @@
     pub(super) class: usize,
     pub(super) ordering_key: Option<u64>,
     pub(super) started: Duration,
-    /// `true` if the message was added to another message's call, with which it shares the slot and the outcome.
+    /// `true` if the message was added to the call of an earlier message, with which it shares the slot and the
+    /// outcome; `false` for the first message of a call.
     pub(super) added_to_call: bool,
 }
 
@@ -348,7 +353,8 @@
         self.destinations.get(&destination).into_iter().flat_map(|destination| destination.routes.values())
     }
 
-    /// Returns the recent latencies of a service class at a destination, or `None` if no attempt has ended there.
+    /// Returns the recent latencies of a service class at a destination, or `None` if no call of that class has ended
+    /// there.
     pub(super) fn latency(&self, destination: DestinationId, class: usize) -> Option<&LatencyWindow> {
         self.destinations.get(&destination)?.latency.get(&class)
     }
@@ -358,7 +364,8 @@
         self.latency(destination, class).map_or(ASSUMED_LATENCY, |latency| latency.typical(self.now))
     }
 
-    /// Returns the earliest end of the retry-after over the routes of a destination; zero if it has no routes.
+    /// Returns the time at which the first of a destination's routes has no retry-after in force, which may have
+    /// passed; zero if it has no routes.
     pub(super) fn retry_after_end(&self, destination: DestinationId) -> Duration {
         self.routes_of(destination).map(|route| route.limit.retry_after_end()).min().unwrap_or_default()
     }
@@ -375,7 +382,7 @@
         self.value_at(message, self.now + typical)
     }
 
-    /// Stops handling a message, because it has its final outcome or its client left.
+    /// Stops handling a message, because it has its final outcome or its client has disconnected.
     pub(crate) fn finish(&mut self, id: MessageId) {
         let message = self.pending.remove(&id);
         if let Some(key) = message.and_then(|message| message.ordering_key) {
