--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -12,10 +12,10 @@
 const QUEUE_RESERVE_SHARE: f64 = 0.05;
 /// Minimum time between two log events about a nearly full queue.
 const MIN_LOG_INTERVAL: Duration = ms(5_000);
-/// Quota that one message uses, in messages.
+/// Tokens that one message takes from each bucket of its tenant.
 const TOKENS_PER_MESSAGE: f64 = 1.0;
 
-/// Capacity for pending messages, and the message to which the storage capacity applies.
+/// Queue capacity, remaining storage, and the message accepted last.
 pub(crate) struct Admission {
     /// Maximum number of pending messages.
     queue_capacity: usize,
@@ -47,7 +47,7 @@
         self.remaining_storage_bytes = bytes;
     }
 
-    /// Returns the message accepted last if the state directory has no capacity for it, and forgets that message.
+    /// Takes the message accepted last, and returns it if no storage is left for it.
     fn take_unstorable(&mut self) -> Option<MessageId> {
         self.just_accepted.take().filter(|_| self.remaining_storage_bytes == 0)
     }
@@ -72,13 +72,13 @@
 ///
 /// One bucket fills with time, at this instance's equal share of the tenant's rate. The other fills with each message
 /// that this instance receives, by the tenant's share of all quotas. The fuller bucket applies, as some instances
-/// receive far more messages than others.
+/// receive far more messages than others; all instances together may therefore admit more than the quota.
 struct TenantQuota {
     /// Messages per second at this instance.
     rate_per_s: f64,
-    /// Messages left in the bucket that fills with time.
+    /// Tokens, one per message, in the bucket that fills with time.
     tokens_by_time: f64,
-    /// Messages left in the bucket that fills with received messages.
+    /// Tokens, one per message, in the bucket that fills with received messages.
     tokens_by_messages: f64,
     /// Time at which the buckets were filled last.
     refilled_at: Duration,
@@ -173,9 +173,10 @@
         Ok(())
     }
 
-    /// Credits a message for a destination to the slow-start budgets of its endpoints, in equal shares.
+    /// Credits an accepted message to the slow-start budgets of the endpoints of its destination, in equal shares.
     ///
-    /// Endpoints for which a retry-after is in force receive nothing.
+    /// Endpoints for which a retry-after is in force receive nothing. Prevents all instances from sending a burst at
+    /// its end, out of budgets accumulated during it.
     fn credit_slow_start_budgets(&mut self, id: DestinationId) {
         let Some(destination) = self.destinations.get_mut(&id) else { return };
         let endpoint_share = 1.0 / destination.available_endpoints().max(1) as f64;
@@ -207,7 +208,8 @@
         }
     }
 
-    /// Returns `true` if the client can safely submit the message again, which is the condition for rejecting it.
+    /// Returns `true` if the message may be rejected, after which its client may submit it again. At-most-once messages
+    /// and those whose key only one zone recognizes may be rejected only if they cannot have been executed.
     pub(super) fn may_reject(&self, message: &PendingMessage) -> bool {
         match self.class(message).retry_safety {
             RetrySafety::Idempotent => true,
@@ -218,18 +220,19 @@
         }
     }
 
-    /// Rule: if the state directory has no capacity left, gives up the message accepted last.
+    /// Rule: if no storage is left, gives the message accepted last its final outcome: rejected, or abandoned if
+    /// attempts were restored for it after which it may not be rejected.
     pub(crate) fn shed_unstorable(&mut self, driver: &mut dyn Driver) -> bool {
         let Some(id) = self.admission.take_unstorable() else { return false };
         self.give_up(id, driver);
         true
     }
 
-    /// Rule: if the queue is nearly full, gives up the message of the least value that may be rejected and is not in
-    /// flight.
+    /// Rule: if the queue is nearly full, rejects the message of the least value among those that may be rejected and
+    /// are not in flight.
     ///
     /// Prevents a full queue, at which the order of arrival would decide which message is rejected. Recovered messages
-    /// without an attempt are given up last.
+    /// without an attempt are rejected last.
     pub(crate) fn shed_least_valuable(&mut self, driver: &mut dyn Driver) -> bool {
         if !self.admission.is_nearly_full(self.pending.len()) {
             return false;
