--- a/src/policy/backoff.rs
+++ b/src/policy/backoff.rs
@@ -31,7 +31,7 @@
 }
 
 /// Returns a delay of half of `cap` plus half of the [`full_jitter`] after failure number `failures`, so that
-/// consecutive health checks never follow each other closely.
+/// consecutive health checks are at least half of `cap` apart.
 pub(super) fn equal_jitter(rng: &mut Pcg64Mcg, failures: u32, cap: Duration) -> Duration {
     cap / 2 + full_jitter(rng, failures, BASE_DELAY, cap) / 2
 }
