--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -1,15 +1,15 @@
-//! Concurrency limits: attempts in flight of the whole instance, of a destination and of one endpoint.
+//! Concurrency limits: calls in flight of the whole instance, of a destination and of one endpoint.
 
 /// Maximum share of the slots that one destination may use.
 const MAX_DESTINATION_SLOT_SHARE: f64 = 0.75;
 /// Maximum share of the slots that all impaired destinations may use together.
 const MAX_IMPAIRED_SLOT_SHARE: f64 = 0.5;
-/// Initial concurrency limit of an endpoint, in calls: as many as an endpoint of typical latency serves at a time, so
-/// that a slow one uses no more slots.
+/// Initial concurrency limit of an endpoint, in calls. Enough for an endpoint of typical latency; bounds the slots held
+/// by a slow one.
 const INITIAL_LIMIT: f64 = 2.0;
-/// Maximum concurrency limit of an endpoint, in calls, which it reaches through deliveries.
+/// Maximum concurrency limit of an endpoint, in calls, which it reaches through calls that do not indicate an outage.
 const MAX_LIMIT: f64 = 32.0;
-/// Divisor of an endpoint's concurrency limit after a lost call.
+/// Divisor of an endpoint's concurrency limit after a call that indicates an outage of the endpoint.
 const OUTAGE_DIVISOR: f64 = 2.0;
 
 /// Slots of the instance, which bound the calls in flight.
@@ -27,7 +27,7 @@
         self.max = max;
     }
 
-    /// Lowers the number of slots to the capacity of the host, `max_slots`, or to 1 if that is 0.
+    /// Lowers the number of slots to `max_slots`, the most that the host supports, or to 1 if that is 0.
     pub(crate) fn cap(&mut self, max_slots: usize) {
         self.max = self.max.min(max_slots.max(1));
     }
@@ -61,7 +61,7 @@
 /// Slots in use for one destination, and its condition.
 #[derive(Clone, Copy, Default)]
 pub(super) struct DestinationLoad {
-    /// Number of slots used by attempts at the destination.
+    /// Number of slots used by calls to the destination.
     pub(super) slots: usize,
     /// `true` if the destination is slow or all its available endpoints are ejected.
     pub(super) impaired: bool,
@@ -69,7 +69,8 @@
 
 /// Returns `true` if a destination with this load may use no further slot.
 ///
-/// `impaired` is `true` if the destination is impaired; all impaired destinations together use `impaired_slots`.
+/// `impaired` also covers a destination without attempts in flight, whose `load` is the default; all impaired
+/// destinations together use `impaired_slots`.
 pub(super) fn is_share_exhausted(
     slots: &Slots,
     load: DestinationLoad,
@@ -81,8 +82,9 @@
 
 /// Concurrency limit of one endpoint at this instance.
 ///
-/// The limit grows with deliveries while at least half of it is used, and is cut by lost calls. It bounds the calls in
-/// flight at an endpoint that hangs until the failure is detected.
+/// The limit grows, while at least half of it is used, with calls that do not indicate an outage of the endpoint, and
+/// is halved by each call that does. Until the failure of an endpoint is detected, the limit bounds the calls in flight
+/// there.
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
     in_flight: u32,
@@ -93,7 +95,7 @@
         Self { limit: INITIAL_LIMIT, in_flight: 0 }
     }
 
-    /// Returns the number of permits left, which is negative after the limit was cut below the calls in flight.
+    /// Returns the number of free permits, which is negative after the limit was lowered below the calls in flight.
     pub(super) fn free_permits(&self) -> i64 {
         self.limit as i64 - i64::from(self.in_flight)
     }
@@ -108,8 +110,8 @@
         self.in_flight += 1;
     }
 
-    /// Puts a permit back and adapts the limit; `indicates_outage` is `true` if the call indicates that the endpoint does not
-    /// respond.
+    /// Releases a permit and adapts the limit; `indicates_outage` is `true` if the call indicates that the endpoint
+    /// does not respond.
     pub(super) fn release(&mut self, indicates_outage: bool) {
         if indicates_outage {
             self.limit = (self.limit / OUTAGE_DIVISOR).max(1.0);
