--- a/src/policy/connections.rs
+++ b/src/policy/connections.rs
@@ -8,13 +8,14 @@
 /// Number of instances up to which idle connections are kept until the endpoint closes them: so few instances do not
 /// fill an endpoint's connection table.
 const MAX_UNRESTRICTED_INSTANCES: u32 = 4;
-/// Divisor of the idle timeout at each failed connection; three failures suffice to adapt it.
+/// Divisor of the idle timeout at each failed connection; three failures shorten it to a 64th, which is the minimum at
+/// 256 instances.
 const FAILURE_DIVISOR: u32 = 4;
 /// Growth of the idle timeout with each delivery, as a share of it, which balances [`FAILURE_DIVISOR`] when one
 /// connection in seventy fails.
 const DELIVERY_GROWTH_SHARE: f64 = 0.02;
 
-/// Adaptive idle timeout for connections to endpoints of one kind.
+/// Adaptive idle timeout for connections to the endpoints of one kind of destination.
 ///
 /// Prevents the idle connections of many instances from filling the connection tables of endpoints. Failed connections
 /// of any other cause shorten the timeout too, so an outage may cost additional handshakes afterwards.
@@ -67,7 +68,7 @@
         self.endpoint_timeout = timeout;
     }
 
-    /// Creates the idle timeout of `kind` when the first call to one of its endpoints ends.
+    /// Creates the idle timeout of `kind` if it does not exist yet.
     pub(super) fn ensure_timeout(&mut self, kind: &str) {
         if !self.timeouts.contains_key(kind) {
             let timeout = IdleTimeout::new(self.endpoint_timeout, self.instances);
@@ -113,7 +114,8 @@
         from_destination.next().is_some_and(|((id, _), _)| *id == destination)
     }
 
-    /// Returns the time left to a connection that has been idle since `since`; zero if its `kind` is unknown.
+    /// Returns the time until a connection that has been idle since `since` exceeds its idle timeout; zero if its
+    /// `kind` is unknown.
     fn time_left(&self, kind: Option<&str>, since: Duration, now: Duration) -> Duration {
         let timeout = kind.and_then(|kind| self.timeouts.get(kind));
         let timeout = timeout.map_or(Duration::ZERO, |timeout| timeout.current);
@@ -131,7 +133,8 @@
 }
 
 impl State {
-    /// Returns the time left to an idle connection to `key`; zero if the endpoint is no longer known.
+    /// Returns the time until an idle connection to `key` exceeds its idle timeout; zero if the endpoint is no longer
+    /// known.
     fn idle_time_left(&self, key: &EndpointKey, since: Duration) -> Duration {
         let kind = self.endpoint(key.0, &key.1).map(|endpoint| endpoint.kind.as_str());
         self.shared.connections.time_left(kind, since, self.now)
--- a/src/policy/tests/concurrency.rs
+++ b/src/policy/tests/concurrency.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Guards against calls that pile up at an endpoint that does not respond, which happens if a lost call leaves the
-/// limit as it was, and against a limit that never recovers.
+/// Guards against calls that pile up at an endpoint that does not respond, which happens if a call that indicates an
+/// outage leaves the limit as it was, and against a limit that never recovers.
 #[test]
 fn a_call_that_indicates_an_outage_halves_the_concurrency_limit_and_a_delivery_raises_it() {
     let mut concurrency = ConcurrencyLimit { limit: 4.0, in_flight: 4 };
