--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -14,8 +14,8 @@
 
 /// Upper bound of the random delay before the poll after a first failure; the bound grows with further failures.
 const MAX_FIRST_RETRY_DELAY: Duration = ms(500);
-/// Maximum time from the start of one poll to the start of the next. Instances are expected to know of a change after
-/// 6 s.
+/// Maximum time from the start of one poll to the start of the next. Instances must know of a change within 6 s of
+/// discovery being reachable.
 const MAX_POLL_INTERVAL: Duration = ms(5_000);
 /// Range of the random factor of [`MAX_POLL_INTERVAL`], which spreads out the polls of many instances.
 const POLL_INTERVAL_JITTER: Range<f64> = 0.8..1.0;
@@ -81,8 +81,8 @@
     /// Schedules the next poll after one that failed or ended.
     ///
     /// Prevents the instances from sending more polls than discovery can answer in time, which would leave all of them
-    /// unanswered. [`MAX_POLL_INTERVAL`] applies from the start of one poll to the start of the next, unless the first
-    /// one takes too long for that.
+    /// unanswered. May delay the first endpoint list or a change by up to [`MAX_POLL_INTERVAL`], which applies from the
+    /// start of one poll to the start of the next, unless the first one takes too long for that.
     pub(crate) fn on_failure(&mut self, now: Duration, rng: &mut Pcg64Mcg) {
         self.is_poll_in_progress = false;
         self.failures += 1;
@@ -100,7 +100,7 @@
     }
 }
 
-/// Destinations with the time at which the endpoint list last contained an endpoint of each.
+/// Time at which each destination last had an endpoint in the endpoint list.
 ///
 /// A destination is removed [`KNOWN_DESTINATION_RETENTION`] after that.
 #[derive(Default)]
@@ -109,12 +109,14 @@
 }
 
 impl KnownDestinations {
-    /// Returns `true` if the destination exists; before the first list, every destination may exist.
+    /// Returns `true` if the destination is known; while none is, as before the first list, every destination counts as
+    /// known.
     pub(crate) fn contains(&self, destination: DestinationId) -> bool {
         self.last_listed.is_empty() || self.last_listed.contains_key(&destination)
     }
 
-    /// Registers the destinations in the current endpoint list, and removes those not listed for too long.
+    /// Registers the destinations in the current endpoint list, and removes those not listed within
+    /// [`KNOWN_DESTINATION_RETENTION`].
     fn on_list(&mut self, listed: impl Iterator<Item = DestinationId>, now: Duration) {
         self.last_listed.extend(listed.map(|id| (id, now)));
         self.last_listed.retain(|_, listed_at| now < *listed_at + KNOWN_DESTINATION_RETENTION);
@@ -193,10 +195,11 @@
     }
 }
 
-/// Returns the initial health of an endpoint: for a new one, the best health among the other endpoints of its route.
+/// Returns the initial health of a new endpoint: the best health among the other endpoints of its route. The result for
+/// a known endpoint is not used.
 ///
-/// Prevents a new endpoint from receiving the full load of a destination that is ejected or warming up. An endpoint
-/// with a separate route starts healthy.
+/// Prevents a new endpoint from receiving the full load of a destination that is ejected or warming up. May delay calls
+/// to a new endpoint that works although the others do not. An endpoint with a separate route starts healthy.
 fn initial_health(destination: &Destination, update: &EndpointUpdate, route: &str) -> Health {
     let is_new = !destination.endpoints.contains_key(update.name);
     if !is_new || route == update.name {
