--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -7,16 +7,17 @@
 impl State {
     /// Returns the latest time at which another attempt of `message` may start.
     ///
-    /// An attempt of the typical duration must end by the deadline of the message and, if an earlier attempt may have
-    /// been executed, within the deduplication window. An at-most-once message that may have been executed must not be
-    /// attempted again; the result is zero for it.
+    /// An attempt of the typical duration must end by the deadline of the message and, if the message may have been
+    /// executed by an earlier attempt, within the deduplication window. An at-most-once message that may have been
+    /// executed must not be attempted again; the result is zero for it.
     pub(super) fn latest_start(&self, message: &PendingMessage) -> Duration {
         let typical = self.typical_latency(message.destination, message.class);
         let by_deadline = message.deadline.saturating_sub(typical);
         match (&message.first_possible_execution, self.class(message).retry_safety) {
             (None, _) | (_, RetrySafety::Idempotent) => by_deadline,
-            // Prevents a retry that arrives or is executed after its idempotency key was forgotten: like the deadline,
-            // the window must cover a typical call. May give up a message whose retry would have been in time.
+            // Prevents a retry that arrives or is executed after the deduplication window has passed: like the
+            // deadline, the window must cover a typical call. May give up a message whose retry would have been in
+            // time.
             (Some(first), RetrySafety::Deduplicated { window, .. }) => {
                 by_deadline.min((first.started + window).saturating_sub(typical))
             }
@@ -24,13 +25,13 @@
         }
     }
 
-    /// Returns `true` if no further attempt of `message` can start in time.
+    /// Returns `true` if `message` has used up its attempts, or no further attempt can start in time.
     fn cannot_be_attempted_again(&self, message: &PendingMessage) -> bool {
         let next_start = self.now.max(message.not_before).max(self.retry_after_end(message.destination));
         message.attempts >= self.max_attempts || next_start > self.latest_start(message)
     }
 
-    /// Rule: gives up the first message that can no longer be delivered.
+    /// Rule: gives up the message of the lowest identifier that can no longer be attempted.
     pub(crate) fn give_up_expired(&mut self, driver: &mut dyn Driver) -> bool {
         let mut waiting = self.pending.iter().filter(|(_, message)| message.in_flight == 0);
         let expired = waiting.find(|(_, message)| self.cannot_be_attempted_again(message));
@@ -47,8 +48,8 @@
 
     /// Gives a message its final outcome.
     ///
-    /// The message is rejected if the client can safely submit it again, with the time until its destination may be
-    /// called again as `retry_after`. Otherwise it is abandoned.
+    /// The message is rejected if [`State::may_reject`] allows it, with the time until its destination may be called
+    /// again, up to the maximum, as `retry_after`. Otherwise it is abandoned.
     pub(super) fn give_up(&mut self, id: MessageId, driver: &mut dyn Driver) {
         let Some(message) = self.pending.get(&id) else { return };
         if self.may_reject(message) {
