--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -13,11 +13,12 @@
 const MAX_SAMPLE_AGE: Duration = ms(40_000);
 /// Attempt timeout in multiples of the longest recent call; the tail of a healthy destination's latency ends below it.
 const TIMEOUT_FACTOR: f64 = 2.0;
-/// Minimum attempt timeout while slots are free, which leaves time for a handshake and for a queue at the endpoint.
+/// Minimum attempt timeout while slots are free; leaves time for a handshake and for queueing at the endpoint.
 pub(super) const MIN_ATTEMPT_TIMEOUT: Duration = ms(2_000);
 /// Number of samples below which the latency of a destination is not considered known, as they have no useful median.
 const MIN_SAMPLES: usize = 3;
-/// Share of isolated losses from which on the minimum attempt timeout is proportional to the free slots.
+/// Share of isolated losses from which on the minimum attempt timeout is proportional to the free slots; also the
+/// weight of one call in the moving share.
 const HIGH_LOSS_SHARE: f64 = 0.05;
 /// Maximum number of doublings of the attempt timeout after consecutive timeouts.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 3;
@@ -56,7 +57,7 @@
         self.consecutive_timeouts += 1;
     }
 
-    /// Returns the median duration of recent calls, or a default if there are none.
+    /// Returns the median duration of recent calls, or [`ASSUMED_LATENCY`] if there are none.
     pub(super) fn typical(&self, now: Duration) -> Duration {
         let recent = self.samples.back().is_some_and(|sample| sample.delivered_at + MAX_SAMPLE_AGE > now);
         self.median.filter(|_| recent).unwrap_or(ASSUMED_LATENCY)
@@ -67,7 +68,8 @@
         self.samples.back().map(|sample| sample.duration)
     }
 
-    /// Returns a duration that the calls of a healthy destination stay below.
+    /// Returns [`TIMEOUT_FACTOR`] times the longest recent duration, which the calls of a healthy destination stay
+    /// below.
     pub(super) fn tail_bound(&self) -> Duration {
         let longest = self.samples.iter().map(|sample| sample.duration).max();
         longest.unwrap_or(ASSUMED_LATENCY).mul_f64(TIMEOUT_FACTOR)
@@ -76,9 +78,9 @@
     /// Returns the timeout of an attempt, which doubles with consecutive timeouts so that a slow destination has time
     /// to respond.
     ///
-    /// While the window has few samples, the timeout is at least `fallback_tail_bound`, usually that of the service
-    /// class over all destinations. The minimum timeout is scaled by `min_timeout_share`, which is below 1 if slots are
-    /// short.
+    /// While the window has few samples, the minimum timeout is at least `fallback_tail_bound`, usually that of the
+    /// service class over all destinations. The minimum timeout is scaled by `min_timeout_share`, which is below 1 if
+    /// slots are short.
     pub(super) fn attempt_timeout(&self, fallback_tail_bound: Duration, min_timeout_share: f64) -> Duration {
         let has_few_samples = self.samples.len() < MIN_SAMPLES;
         let min_timeout =
