--- a/src/policy/ordering.rs
+++ b/src/policy/ordering.rs
@@ -6,7 +6,7 @@
 
 /// Messages with one ordering key.
 ///
-/// Removed once no message is pending or in flight and no pause is in force.
+/// Removed when a message is finished, if then no message is pending or in flight and no pause is in force.
 #[derive(Default)]
 struct OrderingQueue {
     /// Pending messages in order of acceptance.
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub(crate) struct OrderingQueues {
     queues: BTreeMap<u64, OrderingQueue>,
-    /// Pause of an ordering key after an attempt that may still be executed.
+    /// Length of the pause of an ordering key after an attempt by which a message may still be executed.
     pause: Duration,
 }
 
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Registers the end of an attempt, and pauses its ordering key if the attempt may still be executed.
+    /// Registers the end of an attempt, and pauses its ordering key if the message may still be executed by the
+    /// attempt.
     pub(super) fn on_ended(&mut self, key: u64, id: MessageId, may_still_be_executed: bool, now: Duration) {
         let Some(queue) = self.queues.get_mut(&key) else { return };
         queue.in_flight.retain(|other| *other != id);
