--- a/src/message.rs
+++ b/src/message.rs
@@ -40,7 +40,7 @@
 /// It thus counts from the submission, unless the client asked for an earlier deadline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceClass {
-    /// Conditions for a retry after an attempt by which it may have been executed.
+    /// Conditions for a retry after an attempt by which the message may have been executed.
     pub retry_safety: RetrySafety,
     /// Age up to which a delivered message has its full value.
     pub soft_deadline: Duration,
@@ -109,8 +109,8 @@
     pub service_class: &'a str,
     /// Ordering key, if any: messages with the same key are delivered in order if their service class is ordered.
     pub ordering_key: Option<u64>,
-    /// Time by which the message is to have its final outcome; at most [`ServiceClass::deadline`] after its acceptance,
-    /// whatever is given here.
+    /// Time by which the message is to have its final outcome; a later time than [`ServiceClass::deadline`] after the
+    /// acceptance is replaced by that one.
     pub deadline: Duration,
     /// Name of the tenant whose quota applies, if any.
     pub tenant: Option<&'a str>,
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -198,8 +198,9 @@
 /// Returns the initial health of a new endpoint: the best health among the other endpoints of its route. The result for
 /// a known endpoint is not used.
 ///
-/// Prevents a new endpoint from receiving the full load of a destination that is ejected or warming up. May delay calls
-/// to a new endpoint that works although the others do not. An endpoint with a separate route starts healthy.
+/// Prevents a new endpoint from receiving the full load of a destination whose endpoints are ejected or warming up. May
+/// delay calls to a new endpoint that works although the others do not. An endpoint with a separate route starts
+/// healthy.
 fn initial_health(destination: &Destination, update: &EndpointUpdate, route: &str) -> Health {
     let is_new = !destination.endpoints.contains_key(update.name);
     if !is_new || route == update.name {
