--- a/src/policy/rate_limit.rs
+++ b/src/policy/rate_limit.rs
@@ -23,7 +23,7 @@
 const ASSUMED_LIMIT_PER_S: f64 = 1.0;
 /// Factor by which a listed rate may be too low or too high; the concurrency limits guard against larger errors.
 const LISTED_RATE_ERROR_FACTOR: f64 = 1.5;
-/// Duration of rejections or of a Retry-After above which a route counts as unavailable: a rate limit, measured over a
+/// Duration of rejections or of a retry-after above which a route counts as unavailable: a rate limit, measured over a
 /// second or two, does not reject for so long.
 pub(super) const MAX_RATE_LIMIT_REJECTION_PERIOD: Duration = ms(2_500);
 
@@ -139,9 +139,9 @@
     pub(super) bucket: TokenBucket,
     /// `true` once a response has reported the limit.
     is_reported: bool,
-    /// Latest end of the Retry-After periods requested so far.
+    /// Latest end of the retry-after periods requested so far.
     retry_after_end: Duration,
-    /// Latest end of the pauses, including each Retry-After and its random extension.
+    /// Latest end of the pauses, including each retry-after and its random extension.
     paused_until: Duration,
     /// Rejections since the last delivery.
     rejections: u32,
@@ -171,7 +171,7 @@
         self.is_reported
     }
 
-    /// Returns the end of the Retry-After in force; it may have passed.
+    /// Returns the end of the retry-after in force; it may have passed.
     pub(super) fn retry_after_end(&self) -> Duration {
         self.retry_after_end
     }
@@ -204,7 +204,7 @@
     /// Pauses the route and lowers its rate.
     ///
     /// Prevents instances that were rejected together from retrying together. Only a reported limit reflects the calls
-    /// of all instances: without one, a Retry-After is extended at random by up to its own length, and the bucket's
+    /// of all instances: without one, a retry-after is extended at random by up to its own length, and the bucket's
     /// next token is due at random within twice the usual interval. May leave capacity unused after a pause.
     pub(super) fn on_rejection(&mut self, rejection: Rejection, rng: &mut Pcg64Mcg) {
         let Rejection { now, retry_after, .. } = rejection;
@@ -228,7 +228,7 @@
         self.paused_until = self.paused_until.max(self.retry_after_end + retry_after.mul_f64(extension));
     }
 
-    /// Returns `true` if the rest of the Retry-After is longer than a rate limit explains.
+    /// Returns `true` if the rest of the retry-after is longer than a rate limit explains.
     pub(super) fn has_long_retry_after(&self, now: Duration) -> bool {
         self.retry_after_end > now + MAX_RATE_LIMIT_REJECTION_PERIOD
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -83,7 +83,7 @@
         self.by_time = (self.by_time - ATTEMPT_COST).max(0.0);
     }
 
-    /// Excludes the time up to `until` from earning, for a Retry-After that is or was in force.
+    /// Excludes the time up to `until` from earning, for a retry-after that is or was in force.
     pub(super) fn skip_earning_until(&mut self, until: Duration) {
         self.refilled_at = self.refilled_at.max(until);
     }
--- a/src/policy/tests/outlier.rs
+++ b/src/policy/tests/outlier.rs
@@ -49,7 +49,7 @@
 }
 
 /// Only a few calls of each instance are rejected by an unavailable route. If its endpoints stayed healthy, or budgets
-/// accumulated during the Retry-After, all messages that wait for its end would be sent at once.
+/// accumulated during the retry-after, all messages that wait for its end would be sent at once.
 #[test]
 fn a_long_retry_after_ejects_the_endpoints_of_its_route_and_accumulates_no_budget() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -57,9 +57,9 @@
     dispatcher.attempt_ended(ended(1, 0, rejected_with_retry_after(ms(4_000))));
     for endpoint in dispatcher.state.destinations[&DESTINATION].endpoints.values() {
         let status = endpoint.health.status();
-        assert_eq!(status, Health::Ejected, "the Retry-After is in force for all endpoints of the route");
+        assert_eq!(status, Health::Ejected, "the retry-after is in force for all endpoints of the route");
     }
-    // At 66 instances, the budget that each had accumulated during the Retry-After was spent together at its end.
+    // At 66 instances, the budget that each had accumulated during the retry-after was spent together at its end.
     (2..40).for_each(|id| assert!(submit(&mut dispatcher, id, None).is_empty()));
     let mut endpoints = dispatcher.state.destinations[&DESTINATION].endpoints.values();
     assert!(!endpoints.any(|endpoint| endpoint.budget.is_ready()));
--- a/src/policy/tests/rate_limit.rs
+++ b/src/policy/tests/rate_limit.rs
@@ -39,7 +39,7 @@
     assert!(bucket.tokens >= 1.0 && bucket.tokens <= 10.0 * BURST_PERIOD.as_secs_f64());
 }
 
-/// A message that was not itself rejected must not be sent during the Retry-After, which applies to the whole route.
+/// A message that was not itself rejected must not be sent during the retry-after, which applies to the whole route.
 #[test]
 fn a_retry_after_pauses_all_calls_to_the_route() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
--- a/src/policy/tests/verdict.rs
+++ b/src/policy/tests/verdict.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// A Retry-After or the draining of the endpoint may arrive while the connection of an attempt is being established.
+/// A retry-after or the draining of the endpoint may arrive while the connection of an attempt is being established.
 #[test]
 fn no_request_is_sent_during_a_retry_after_or_to_a_draining_endpoint() {
     let mut dispatcher = dispatcher_for(DEDUPLICATED);
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RouteEffect {
     None,
-    /// The route requested a Retry-After longer than a rate limit explains, so it is unavailable.
+    /// The route requested a retry-after longer than a rate limit explains, so it is unavailable.
     LongRetryAfter,
     /// The attempt got the first rejection since the last delivery on a route that reports no rate limit.
     FirstRejection,
@@ -248,7 +248,7 @@
     now: Duration,
 ) {
     for endpoint in destination.endpoints.values_mut().filter(|endpoint| endpoint.route == route) {
-        // Prevents a burst of calls at the end of the Retry-After of an unavailable route: all its endpoints recover
+        // Prevents a burst of calls at the end of the retry-after of an unavailable route: all its endpoints recover
         // cold, so all are ejected, and the first call to each is a health check.
         if route_effect == RouteEffect::LongRetryAfter {
             endpoint.health.on_failure(now, outlier::LONG_RETRY_AFTER_WEIGHT);
@@ -344,7 +344,7 @@
 
     /// Returns `true` if the request of an attempt may be sent at `now`, once the connection is established.
     ///
-    /// Prevents requests during a Retry-After, or to a draining endpoint, that began while the connection was being
+    /// Prevents requests during a retry-after, or to a draining endpoint, that began while the connection was being
     /// established. This can take so long that the message has its final outcome or its idempotency key has been
     /// forgotten, which is checked too. May hold back a request that would have been in time.
     pub(crate) fn may_send_request(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
