--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -9,35 +9,38 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Consecutive failures after which a route is suspect and its calls need slow-start budget: a call and its retry.
+/// Consecutive failures, as of a call and its retry, after which a route is suspect and its calls need slow-start
+/// budget.
 const SUSPECT_FAILURES: u32 = 2;
-/// Consecutive rejections from which on each counts as a failure of the route: a rate limit seldom rejects so many.
+/// Consecutive rejections from which on each counts as a failure of the route: a rate limit seldom rejects so many in a
+/// row.
 pub(super) const MIN_REJECTION_STREAK: u32 = 3;
-/// Weight, in the failing share, of a response that reports an error: four in a row eject an endpoint.
+/// Weight, in the failing share, of a response that reports an error: four in a row eject an endpoint. A delivery
+/// lowers the share by the same weight.
 pub(super) const FAILURE_WEIGHT: f64 = 0.2;
-/// Weight of a failed connection, of a timeout, or of a rejection after the route has rejected for long: two in a row
-/// eject an endpoint.
+/// Weight of a failed connection, of a timeout, or of a rejection after the route has rejected calls for longer than
+/// [`MAX_RATE_LIMIT_REJECTION_PERIOD`]: two in a row eject an endpoint.
 pub(super) const MAJOR_FAILURE_WEIGHT: f64 = 0.35;
 /// Weight of a rejection, of a connection reset, or of a call without a response while others were answered: seven in a
 /// row eject an endpoint.
 pub(super) const MINOR_FAILURE_WEIGHT: f64 = 0.1;
-/// Weight of the route being unavailable, which ejects an endpoint at once.
+/// Weight of a retry-after longer than [`MAX_RATE_LIMIT_REJECTION_PERIOD`], which ejects an endpoint at once.
 pub(super) const LONG_RETRY_AFTER_WEIGHT: f64 = 1.0;
-/// Failing share above which an endpoint is ejected: more than half of its calls fail.
+/// Failing share above which an endpoint is ejected; failures count in it by their weights.
 const EJECTION_FAILING_SHARE: f64 = 0.5;
 /// Maximum failing share of an endpoint that starts to warm up, so high that one or two further failures eject it
 /// again.
 const MAX_RECOVERY_FAILING_SHARE: f64 = 0.4;
-/// Calls in flight that a failing share of 1 counts as when endpoints are compared by load, so that a retry prefers
-/// another endpoint.
+/// Calls in flight that are added to the load of an endpoint with a failing share of 1, and in proportion below it, so
+/// that a retry prefers another endpoint.
 const MAX_LOAD_PENALTY_CALLS: f64 = 4.0;
 /// Upper bound of the delay before the next health check, unless `MAX_CHECK_INTERVAL_AFTER_POSSIBLE_EXECUTION` applies.
 const MAX_CHECK_INTERVAL: Duration = ms(1_000);
 /// Upper bound of the delay before the next health check after a failed call whose message may have been executed; each
-/// such call can cost its message.
+/// such call may lose its message.
 const MAX_CHECK_INTERVAL_AFTER_POSSIBLE_EXECUTION: Duration = ms(1_500);
-/// Health checks per second that all instances together may make at a destination's endpoints while they are ejected or
-/// suspect.
+/// Calls per second that all instances together may always make at a destination's endpoints that are ejected or whose
+/// route is suspect, even if slow start allows less.
 const MIN_CHECKS_PER_S: f64 = 1.0;
 
 /// Health of an endpoint, as assessed by one gateway instance; variants are ordered from best to worst.
@@ -102,7 +105,7 @@
         self.last_delivery > since
     }
 
-    /// Returns the calls in flight that the failing share counts as when endpoints are compared by load.
+    /// Returns the calls in flight that are added to the endpoint's load for its failing share.
     pub(super) fn load_penalty(&self) -> i64 {
         (self.failing_share * MAX_LOAD_PENALTY_CALLS) as i64
     }
@@ -128,7 +131,8 @@
         }
     }
 
-    /// Returns `true` if nothing was delivered after `since` or within the minimum attempt timeout before `now`.
+    /// Returns `true` if a call was last delivered neither after `since` nor within the minimum attempt timeout before
+    /// `now`.
     pub(super) fn is_unresponsive(&self, now: Duration, since: Duration) -> bool {
         !self.delivered_since(since) && self.last_delivery + MIN_ATTEMPT_TIMEOUT <= now
     }
@@ -141,7 +145,9 @@
 
     /// Returns the share of its full rate that the endpoint may receive at `time`.
     ///
-    /// Ends a warm-up whose full length has passed without a failure: the endpoint is healthy then.
+    /// An endpoint that is not warming up gets the share at the start of a warm-up, which applies if it is ejected or
+    /// its route is suspect. Ends a warm-up whose full length has passed without a failure: the endpoint is healthy
+    /// then.
     pub(super) fn update_allowed_share(&mut self, time: Duration, slow_start: SlowStart) -> f64 {
         match self.status {
             Health::WarmingUp { since } if time >= since + slow_start.warm_up => {
@@ -201,18 +207,19 @@
         !std::mem::replace(&mut self.had_rejection_without_reported_limit, true)
     }
 
-    /// Returns `true` if the streak has continued for longer than a rate limit explains.
+    /// Returns `true` if the streak started more than [`MAX_RATE_LIMIT_REJECTION_PERIOD`] ago.
     fn is_long(&self, now: Duration) -> bool {
         self.started_at.is_some_and(|started_at| started_at + MAX_RATE_LIMIT_REJECTION_PERIOD < now)
     }
 
-    /// Returns `true` if calls failed more than once in a streak that is longer than a rate limit explains.
+    /// Returns `true` if calls failed more than once in a streak that started more than
+    /// [`MAX_RATE_LIMIT_REJECTION_PERIOD`] ago.
     pub(super) fn is_outage(&self, now: Duration) -> bool {
         self.failures >= SUSPECT_FAILURES && self.is_long(now)
     }
 
-    /// Returns `true` if the route is suspect: after two failures, or after prolonged rejections without a reported
-    /// rate limit.
+    /// Returns `true` if the route is suspect: after two failures, or if a call was rejected without a reported rate
+    /// limit in a streak that started more than [`MAX_RATE_LIMIT_REJECTION_PERIOD`] ago.
     ///
     /// Counting the rejections covers instances that call too seldom to observe two failures. May hold back calls that
     /// a rate limit would have accepted.
