--- a/src/policy/rate_limit.rs
+++ b/src/policy/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits: bounds the calls to a route by its known limit, and pauses the route after rejections.
+//! Rate limits: bound the calls to a route by its known limit, and pause the route after rejections.
 
 use super::backoff::{BASE_DELAY, MAX_DELAY, full_jitter, time_to_earn};
 use super::slow_start::ASSUMED_WARM_RATE_PER_S;
@@ -9,7 +9,7 @@
 
 /// Period whose tokens may accumulate for a burst; destinations measure their limits over a second or so.
 const BURST_PERIOD: Duration = ms(700);
-/// Factor by which a rejection lowers the rate at which this instance sent.
+/// Factor applied at a rejection to the adaptive rate or, if lower, to the recent attempt rate of this instance.
 const ADAPTIVE_DECREASE_FACTOR: f64 = 0.6;
 /// Growth of the adaptive rate with each delivery, as a share of the rate and per remaining share of the limit: the
 /// rate grows by half if the whole limit is left.
@@ -21,10 +21,11 @@
 const MIN_RATE_SHARE: f64 = 0.5;
 /// Limit from which the minimum adaptive rate is derived if no limit is known.
 const ASSUMED_LIMIT_PER_S: f64 = 1.0;
-/// Factor by which a listed rate may be too low or too high; the concurrency limits guard against larger errors.
+/// Factor by which a listed rate may be too low or too high; raises the limit of the token bucket even if the rates are
+/// exact; the concurrency limits guard against larger errors.
 const LISTED_RATE_ERROR_FACTOR: f64 = 1.5;
-/// Duration of rejections or of a retry-after above which a route counts as unavailable: a rate limit, measured over a
-/// second or two, does not reject for so long.
+/// Longest period for which a rate limit, measured over a second or two, rejects calls without a delivery in between.
+/// Failures and rejections that last longer, or a longer retry-after, count as an outage.
 pub(super) const MAX_RATE_LIMIT_REJECTION_PERIOD: Duration = ms(2_500);
 
 /// Estimates of a route's rate, in calls per second, for the token bucket and for slow start.
@@ -53,6 +54,7 @@
 /// each delivery raises by a factor.
 pub(super) struct TokenBucket {
     estimate: RateEstimate,
+    /// Refill rate after rejections, in tokens per second; `None` if rejections do not lower it.
     adaptive_rate: Option<f64>,
     tokens: f64,
     refilled_at: Duration,
@@ -82,9 +84,10 @@
         self.adaptive_rate.into_iter().chain(self.estimate.limit).reduce(f64::min)
     }
 
-    /// Lowers the adaptive rate after a rejection of one of the `sent_per_s` calls per second by this instance.
+    /// Lowers the adaptive rate after a rejection; `sent_per_s` is the recent rate of this instance's calls.
     ///
-    /// Prevents all instances together from using up a limit that counts rejected calls too.
+    /// Prevents all instances together from using up a limit that counts rejected calls too. May leave capacity unused
+    /// until deliveries have raised the rate again.
     fn cut_rate(&mut self, sent_per_s: f64, instances: u32) {
         let min_rate =
             self.estimate.limit.unwrap_or(ASSUMED_LIMIT_PER_S) * MIN_RATE_SHARE / f64::from(instances);
@@ -121,7 +124,7 @@
     }
 }
 
-/// Rejection of an attempt, with what the route's rate limit needs to know about it.
+/// Rejected attempt, as reported to the rate limit of its route.
 #[derive(Clone, Copy)]
 pub(super) struct Rejection {
     pub(super) now: Duration,
@@ -171,7 +174,7 @@
         self.is_reported
     }
 
-    /// Returns the end of the retry-after in force; it may have passed.
+    /// Returns the latest end of the retry-after periods requested so far, which may have passed.
     pub(super) fn retry_after_end(&self) -> Duration {
         self.retry_after_end
     }
@@ -203,9 +206,10 @@
 
     /// Pauses the route and lowers its rate.
     ///
-    /// Prevents instances that were rejected together from retrying together. Only a reported limit reflects the calls
-    /// of all instances: without one, a retry-after is extended at random by up to its own length, and the bucket's
-    /// next token is due at random within twice the usual interval. May leave capacity unused after a pause.
+    /// Prevents instances that were rejected together from retrying together. Load reports include the calls of all
+    /// instances. Without a reported limit, a retry-after is therefore extended at random by up to its own length, and
+    /// the bucket's next token is due at random within twice the usual interval. May leave capacity unused after a
+    /// pause.
     pub(super) fn on_rejection(&mut self, rejection: Rejection, rng: &mut Pcg64Mcg) {
         let Rejection { now, retry_after, .. } = rejection;
         let delay_factor = if self.is_reported { 1.0 } else { 2.0 * rng.random::<f64>() };
@@ -228,13 +232,13 @@
         self.paused_until = self.paused_until.max(self.retry_after_end + retry_after.mul_f64(extension));
     }
 
-    /// Returns `true` if the rest of the retry-after is longer than a rate limit explains.
+    /// Returns `true` if the rest of the retry-after is longer than [`MAX_RATE_LIMIT_REJECTION_PERIOD`].
     pub(super) fn has_long_retry_after(&self, now: Duration) -> bool {
         self.retry_after_end > now + MAX_RATE_LIMIT_REJECTION_PERIOD
     }
 
-    /// Returns `true` if the route has rejected calls, without a delivery in between, for longer than a rate limit
-    /// explains.
+    /// Returns `true` if the first rejection since the last delivery was more than [`MAX_RATE_LIMIT_REJECTION_PERIOD`]
+    /// ago.
     pub(super) fn has_long_rejection_series(&self, now: Duration) -> bool {
         now > self.first_rejection + MAX_RATE_LIMIT_REJECTION_PERIOD
     }
