--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -20,8 +20,9 @@
 /// Credit that one retry costs.
 const RETRY_COST: f64 = 1.0;
 
-/// Attempts started within one second of the clock.
+/// Number of attempts started within one second of the clock.
 struct AttemptCounts {
+    /// Second on the clock of the instance, counted from 0.
     second: u64,
     first_attempts: u32,
     retries: u32,
@@ -76,8 +77,8 @@
         f64::from(first_attempts + retries) / seconds.max(min_period.as_secs_f64())
     }
 
-    /// Returns `true` if the budget allows one more retry; `is_failing` while the route's attempts fail without a
-    /// delivery in between.
+    /// Returns `true` if the budget allows one more retry; `is_failing` is `true` if an attempt on the route has failed
+    /// since the last delivery.
     ///
     /// Prevents the retries of many instances from overloading a recovering destination. May hold back a message that
     /// was lost twice.
@@ -89,13 +90,15 @@
     }
 }
 
-/// Credit for retries after rejections, over all destinations: deliveries earn it if rejected calls have a cost.
+/// Credit for retries after rejections, over all destinations. Deliveries earn it and rejections reduce it; it is
+/// checked only if rejected calls have a cost.
 ///
 /// Prevents the retries of all instances from taking the capacity of first attempts under limits that count rejected
 /// calls too. May give up a message that a retry would have delivered.
 pub(crate) struct RetryCredit {
     balance: f64,
-    /// Cost of rejected calls, from the settings; 0 if there is none, in which case the credit is not checked.
+    /// Cost of rejected calls, in points, from the settings; only its sign is used: the credit is not checked if the
+    /// cost is 0.
     rejection_cost: f64,
 }
 
