--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -9,7 +9,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Minimum time, in seconds, for which a call is assumed to use a slot, so that no call seems free.
+/// Minimum time, in seconds, for which a call is assumed to use a slot, so that very short calls do not dominate the
+/// value per second of slot time.
 const MIN_SLOT_SECS: f64 = 0.05;
 /// Factor by which value rates are multiplied before they are rounded down for the comparison.
 const VALUE_RATE_SCALE: f64 = 1e6;
@@ -24,11 +25,12 @@
 /// Makes health checks preferably use messages that can be executed again.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum FailureTolerance {
-    /// Health check with a message that must not be executed again, or that may be lost with the attempt.
+    /// Health check with a deduplicated or at-most-once message that cannot have been executed yet.
     MayLoseMessage,
     /// Health check with an idempotent message.
     Idempotent,
-    /// Health check with a message that may already have been executed.
+    /// Health check with a message that may already have been executed and may be executed again; an at-most-once
+    /// message is not attempted again then.
     MayHaveBeenExecuted,
     /// Attempt at an endpoint that is not ejected.
     NotHealthCheck,
@@ -85,8 +87,8 @@
         waiting.into_iter().map(|id| (id, self.candidates(id, &loads, slots_full))).collect()
     }
 
-    /// Returns `true` if the backoff of the message is over, or is irrelevant because the message only lacked a
-    /// connection and its destination has an idle one.
+    /// Returns `true` if the backoff of the message is over, or is irrelevant because the last attempt hit the
+    /// connection limit and its destination has an idle connection.
     fn may_be_attempted_now(&self, message: &PendingMessage) -> bool {
         message.not_before <= self.now
             || message.last_attempt_hit_connection_limit()
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Ensures that the rules are applied again when a backoff or an ordering pause ends.
+    /// Lowers `next_due` to the earliest end of a backoff or of an ordering pause.
     fn update_next_due(&mut self) {
         let backoffs = self.pending.values().map(|message| message.not_before).filter(|at| *at > self.now);
         if let Some(next) = backoffs.chain(self.ordering.next_pause_end(self.now)).min() {
@@ -121,7 +123,8 @@
         }
     }
 
-    /// Starts an attempt and charges it to the budgets and limits, unless it is added to a call already charged.
+    /// Starts an attempt and charges it to the budgets and limits, unless the message is added to a call already
+    /// charged.
     fn start_attempt(&mut self, id: MessageId, candidate: &Candidate, driver: &mut dyn Driver) {
         let Some(timeout) = self.attempt_timeout(id) else { return };
         let now = self.now;
@@ -185,7 +188,8 @@
         let time_left = message.deadline.saturating_sub(self.now);
         let class_latency = self.shared.class_latency.get(&message.class);
         let class_bound = class_latency.map_or(Duration::ZERO, LatencyWindow::tail_bound);
-        // An at-most-once message is lost if its attempt times out, so it waits for the response while slots are free.
+        // An at-most-once message is lost if its attempt times out, so its timeout extends to its deadline while its
+        // destination has few latency samples and slots are free.
         let is_at_most_once = self.class(message).retry_safety == RetrySafety::AtMostOnce;
         let class_bound = if is_at_most_once { class_bound.max(time_left) } else { class_bound };
         let no_samples = LatencyWindow::default();
