--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -23,7 +23,8 @@
     is_health_check: bool,
     /// Cost of a call to the endpoint's zone, in points scaled by [`ZONE_COST_SCALE`].
     zone_cost: i64,
-    /// Calls in flight with additions for another zone and for recent failures; minimal if a call can be shared.
+    /// Calls in flight with additions for another zone and for recent failures; minimal if the message would be added
+    /// to a call.
     load: i64,
     /// Time since the last use; the endpoint used last is preferred, as its connection is open.
     idle_for: Duration,
@@ -34,11 +35,11 @@
 pub(super) struct Candidate {
     pub(super) endpoint: String,
     zone: String,
-    /// `true` if the retry budget of the route allows a retry, or the attempt would be added to another call.
+    /// `true` if the retry budget of the route allows a retry, or the message would be added to a call.
     allows_retries: bool,
     /// `true` if there is an idle connection to the endpoint.
     has_connection: bool,
-    /// `true` if the attempt would be added to a call that starts at the current time.
+    /// `true` if the message would be added to a call that started at the current time.
     added_to_call: bool,
     rank: Rank,
 }
@@ -54,9 +55,9 @@
 struct Readiness {
     /// Earliest time at which the next call may start.
     earliest_start: Duration,
-    /// `true` if the concurrency limit of the endpoint has a permit left.
+    /// `true` if the concurrency limit of the endpoint has a free permit.
     has_permit: bool,
-    /// `true` if the message would be added to a call that starts at the current time.
+    /// `true` if the message would be added to a call that started at the current time.
     added_to_call: bool,
 }
 
@@ -102,8 +103,8 @@
 impl State {
     /// Returns `true` if an attempt has been in flight for so long that its destination is likely to be slow.
     ///
-    /// Prevents isolated lost calls from marking a destination as slow while later calls are delivered in their typical
-    /// time. May detect a destination late that is only slow at times.
+    /// Prevents isolated losses from marking a destination as slow while later calls are delivered in their typical
+    /// time. May detect late that a destination is slow if it is slow only at times.
     pub(super) fn indicates_slow_destination(&self, attempt: &Attempt) -> bool {
         let typical = self.typical_latency(attempt.destination, attempt.class);
         if !latency::is_slow(self.now - attempt.started, typical) {
@@ -142,7 +143,8 @@
         loads
     }
 
-    /// Returns the endpoints of a destination that may be called now, in order of preference.
+    /// Returns the endpoints of a destination that may be called now, in order of preference. Refills their budgets,
+    /// and lowers `next_due` to the earliest start at an endpoint that is not ready.
     ///
     /// Without a free slot for the destination, these are only endpoints with a call to which a message can be added.
     pub(super) fn candidates(
@@ -228,7 +230,7 @@
         message.ordering_key.is_none_or(|key| self.ordering.may_start(key, id, self.now))
     }
 
-    /// Returns the zone that knows the idempotency key of the message, if only one zone knows it.
+    /// Returns the zone that recognizes the idempotency key of the message, if only one zone does.
     fn required_zone<'a>(&self, message: &'a PendingMessage) -> Option<&'a String> {
         let per_zone =
             matches!(self.class(message).retry_safety, RetrySafety::Deduplicated { per_zone: true, .. });
