--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -18,7 +18,7 @@
 const MAX_OVERLOAD_FACTOR: f64 = 1.6;
 /// Minimum warm-up time in the ramp's division, which keeps it defined when the configured time is zero.
 const MIN_WARM_UP_SECS: f64 = 0.001;
-/// Part of a budget that one attempt costs; also the maximum of a budget.
+/// Cost of one attempt; also the maximum of each part of a budget.
 const ATTEMPT_COST: f64 = 1.0;
 
 /// Settings for slow start of recovering destinations.
@@ -33,8 +33,8 @@
 }
 
 impl SlowStart {
-    /// Returns the load, as a share of what a warm destination may receive, that is allowed `age` after a recovery: a
-    /// little more than its capacity at that time.
+    /// Returns the load, as a share of what a warm destination may receive, that is allowed `age` after a recovery: its
+    /// capacity at that time, times [`OVERLOAD_SHARE`] of the overload factor, up to [`MAX_OVERLOAD_FACTOR`].
     pub(super) fn share(&self, age: Duration) -> f64 {
         let progress = (age.as_secs_f64() / self.warm_up.as_secs_f64().max(MIN_WARM_UP_SECS)).min(1.0);
         let capacity = self.initial_share + (1.0 - self.initial_share) * progress;
@@ -101,8 +101,8 @@
         if self.is_ready() { Duration::ZERO } else { time_to_earn(ATTEMPT_COST - self.by_time, rate) }
     }
 
-    /// Adds what a message accepted for the destination earns: `part` of it counts for this endpoint, whose allowed
-    /// load is `share`.
+    /// Adds what a message accepted for the destination earns: this endpoint's part of the message is `endpoint_share`,
+    /// and its allowed load is `allowed_share`.
     pub(super) fn on_message(&mut self, allowed_share: f64, endpoint_share: f64) {
         self.by_messages =
             (self.by_messages + allowed_share * EARNED_PER_MESSAGE * endpoint_share).min(ATTEMPT_COST);
