--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -1,4 +1,4 @@
-//! Verdict: effects of the end of an attempt on its message, its endpoint, its route and the rest of the state.
+//! Outcomes of attempts: their effects on the message, the endpoint, the route and the rest of the state.
 //!
 //! Each outcome is reported to the mechanisms that it concerns and summarized as an [`OutcomeEffect`], from which the
 //! endpoint's health and the slow-start budgets of the route's endpoints are updated. Gossip about recoveries at other
@@ -12,11 +12,11 @@
 use crate::{AttemptOutcome, AttemptResult, EndpointState, LogEvent, MessageId, gossip};
 use std::time::Duration;
 
-/// Consequence of an outcome for all endpoints of its route.
+/// Effect of an outcome on all endpoints of its route.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RouteEffect {
     None,
-    /// The route requested a retry-after longer than a rate limit explains, so it is unavailable.
+    /// The rest of the route's retry-after is longer than a rate limit rejects calls.
     LongRetryAfter,
     /// The attempt got the first rejection since the last delivery on a route that reports no rate limit.
     FirstRejection,
@@ -24,7 +24,7 @@
     Recovered,
 }
 
-/// Effect of one outcome on the health of its endpoint and route.
+/// Effect of one outcome on the health of its endpoint, and on the other endpoints of the route.
 struct OutcomeEffect {
     /// Weight in the failing share of the endpoint, from 0 to 1; 0 if the outcome is no failure.
     failure_weight: f64,
@@ -136,7 +136,7 @@
         let has_long_retry_after = route.limit.has_long_retry_after(now);
         let is_first_rejection = !is_reported && route.streak.on_rejection_without_reported_limit();
         // Rejections count as failures if the route reports that it has no rate limit, or if there were many in a row:
-        // the route is then unavailable, or its queue is full.
+        // the route then has an outage, or its queue is full.
         let is_unlimited = result.load_report.is_some_and(|report| report.rate_limit <= 0.0);
         let is_rejection_streak = route.limit.rejections() >= outlier::MIN_REJECTION_STREAK;
         route.streak.add_failures(u32::from(is_unlimited || is_rejection_streak));
@@ -185,8 +185,8 @@
         OutcomeEffect { failure_weight, indicates_outage, route_effect: RouteEffect::None }
     }
 
-    /// Releases the attempt's permit, and records its connection as idle if it stays open and the endpoint has no other
-    /// call in flight.
+    /// Releases the attempt's permit, and records its connection as idle if the endpoint has no other call in flight,
+    /// unless the attempt failed to connect or hit the connection limit.
     fn release(&mut self, outcome: AttemptOutcome, indicates_outage: bool) {
         self.endpoint.concurrency.release(indicates_outage);
         let closed = matches!(outcome, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLimit);
@@ -238,7 +238,7 @@
     )
 }
 
-/// Applies the consequences of an outcome to all endpoints of its route.
+/// Applies the effect of an outcome to all endpoints of its route.
 fn update_route_endpoints(
     destination: &mut Destination,
     route: &str,
@@ -248,8 +248,8 @@
     now: Duration,
 ) {
     for endpoint in destination.endpoints.values_mut().filter(|endpoint| endpoint.route == route) {
-        // Prevents a burst of calls at the end of the retry-after of an unavailable route: all its endpoints recover
-        // cold, so all are ejected, and the first call to each is a health check.
+        // Prevents a burst of calls at the end of a long retry-after: all endpoints of the route have reduced capacity
+        // when they recover, so all are ejected, and the first call to each is a health check.
         if route_effect == RouteEffect::LongRetryAfter {
             endpoint.health.on_failure(now, outlier::LONG_RETRY_AFTER_WEIGHT);
         }
@@ -283,7 +283,8 @@
         self.back_off(&attempt, result);
     }
 
-    /// Starts the message's backoff, and records the attempt if it is the first that may have been executed.
+    /// Starts the message's backoff, and records the attempt if it is the first by which the message may have been
+    /// executed.
     fn back_off(&mut self, attempt: &Attempt, result: &AttemptResult) {
         let outcome = result.outcome;
         let zone = self.zone_of(attempt.destination, &attempt.endpoint);
@@ -345,8 +346,8 @@
     /// Returns `true` if the request of an attempt may be sent at `now`, once the connection is established.
     ///
     /// Prevents requests during a retry-after, or to a draining endpoint, that began while the connection was being
-    /// established. This can take so long that the message has its final outcome or its idempotency key has been
-    /// forgotten, which is checked too. May hold back a request that would have been in time.
+    /// established. Establishing it can take so long that the message has its final outcome or its deduplication window
+    /// has passed, which is checked too. May hold back a request that would have been in time.
     pub(crate) fn may_send_request(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
         let Some(attempt) = self.in_flight.get(&(id, attempt)) else { return false };
         if self.pending.get(&id).is_none_or(|message| now > self.latest_start(message)) {
@@ -357,7 +358,8 @@
         endpoint.state == EndpointState::Available && route.limit.retry_after_end() <= now
     }
 
-    /// Handles gossip that a route has recovered: ejected and unresponsive endpoints of the route start to warm up.
+    /// Handles gossip that a route has recovered: ejected endpoints of the route start to warm up and, if the route is
+    /// suspect, unresponsive ones too.
     ///
     /// Prevents instances from noticing a recovery one by one, each with its own health checks.
     pub(crate) fn gossip_received(&mut self, datagram: &[u8]) {
