--- a/src/policy/tests/admission.rs
+++ b/src/policy/tests/admission.rs
@@ -25,9 +25,8 @@
     assert_eq!((dispatcher.state.pending[&1].value, dispatcher.state.pending[&2].value), (1.0, 0.1));
 }
 
-/// Guards against quotas that refill by time only, at an equal share of the tenant's rate per instance: in the run
-/// big-1 of tunis-lac, six instances received a fifth of all messages, counted nearly all of them as beyond their
-/// tenants' quotas, and rejected them.
+/// Guards against quotas that refill by time only, at an equal share of the tenant's rate per instance: six instances
+/// received a fifth of all messages, counted nearly all of them as beyond their tenants' quotas, and rejected them.
 #[test]
 fn at_a_busy_instance_a_message_within_its_tenants_share_of_the_messages_keeps_its_full_value() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -40,8 +39,8 @@
     assert!(dispatcher.state.pending.values().filter(|message| message.value == 1.0).count() >= 78);
 }
 
-/// Guards against state left behind by a message that was refused, and against events of a message that is no longer
-/// pending.
+/// Guards against state left behind by a message that was not accepted, and against events of a message that is no
+/// longer pending.
 #[test]
 fn an_unknown_service_class_or_message_changes_nothing() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -64,7 +63,7 @@
     assert!(dispatcher.state.pending.contains_key(&1) && dispatcher.state.pending.contains_key(&3));
 }
 
-/// Guards against a second execution after a restart, which happens if the attempts made before it are forgotten.
+/// Guards against a second execution after a restart, which happens if the attempts made before it are not restored.
 #[test]
 fn a_message_possibly_executed_before_a_restart_is_retried_only_if_a_second_execution_is_harmless() {
     for (retry_safety, ago_ms, expected) in [
@@ -84,15 +83,14 @@
 }
 
 /// Guards against recovered messages that expire without an attempt because new messages, with more value left, are
-/// preferred: in the run roll+term of lublin-ledger, this happened to 65 of 133 such messages, though half their time
-/// was left at the restart.
+/// preferred: this happened to 65 of 133 such messages, though half their time was left at the restart.
 #[test]
 fn a_recovered_message_without_an_attempt_is_attempted_first_and_given_up_last() {
     for (count, first) in [(0, "attempt 1 a"), (1, "attempt 3 a")] {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         dispatcher.set_limits(Some(1), Some(3), Some(5));
         dispatcher.advance_to(ms(8_000));
-        // Past its soft deadline, so of little value.
+        // The message is past its soft deadline and has little value left.
         dispatcher.accept(NewMessage { deadline: ms(11_000), ..message(1) }).unwrap();
         dispatcher.restore_attempts(1, RecoveredAttempts { count, first_execution: None });
         for id in [2, 3] {
--- a/src/policy/tests/connections.rs
+++ b/src/policy/tests/connections.rs
@@ -2,7 +2,8 @@
 use crate::policy::test_support::*;
 use crate::{AttemptOutcome, RetrySafety, ms};
 
-/// With 318 instances and no failures, full connection tables were mistaken for outages 20,137 times.
+/// Guards against treating full connection tables as outages: with 318 instances and no failures, this happened 20,137
+/// times.
 #[test]
 fn a_full_connection_table_shortens_the_idle_timeout_and_is_not_treated_as_an_outage() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -20,8 +21,8 @@
     assert!(connections.idle_since.is_empty() && timeout.current == timeout.min);
 }
 
-/// Messages refused at the connection limit waited out their backoff while open connections to the same destination
-/// were idle.
+/// Guards against needless waiting: messages refused at the connection limit waited out their backoff while open
+/// connections to the same destination were idle.
 #[test]
 fn a_message_refused_at_the_connection_limit_uses_an_idle_connection_during_its_backoff() {
     for (outcome, attempted) in
--- a/src/policy/tests/expiry.rs
+++ b/src/policy/tests/expiry.rs
@@ -2,7 +2,7 @@
 use crate::{AttemptOutcome, EndpointState, EndpointUpdate, RetrySafety, ms};
 
 /// Guards against rejecting a message that a client may not submit again, and against retrying one in a zone that does
-/// not know its idempotency key.
+/// not recognize its idempotency key.
 #[test]
 fn retry_safety_decides_between_rejection_and_abandonment() {
     let cases =
@@ -26,9 +26,9 @@
 }
 
 /// Guards against a second execution of an at-most-once message, which happens if it is retried after a failure that
-/// does not prove that the endpoint never executed it.
+/// does not prove that it was not executed.
 #[test]
-fn an_at_most_once_message_is_retried_only_after_an_attempt_that_was_never_executed() {
+fn an_at_most_once_message_is_retried_only_after_an_attempt_known_not_to_have_been_executed() {
     let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
     submit(&mut dispatcher, 1, None);
     dispatcher.attempt_ended(ended(1, 0, AttemptOutcome::ConnectFailed));
@@ -39,7 +39,7 @@
 }
 
 /// Guards against a second execution after a rejection that is not well-formed, which does not prove that the message
-/// was never executed, and against calls before the end of its retry-after.
+/// was not executed, and against calls before the end of its retry-after.
 #[test]
 fn an_ambiguous_rejection_counts_as_a_possible_execution_and_its_retry_after_is_respected() {
     let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -35,8 +35,8 @@
     polls
 }
 
-/// Guards against changes that an instance learns too late: it is expected to know of them 6 s after discovery becomes
-/// reachable, which may be just after a poll was lost.
+/// Guards against instances that learn of changes too late: an instance must know of a change within 6 s of discovery
+/// becoming reachable, and a poll may have failed just before.
 #[test]
 fn the_next_poll_starts_within_five_seconds_of_the_start_of_a_failed_one() {
     for period in [0, 2_000, 10_000, 60_000].map(ms) {
@@ -78,10 +78,10 @@
     }
 }
 
-/// Returns how many of `instances`, all started at the same time, have received the endpoint list after 30 s.
+/// Returns the number of `instances`, all started at the same time, that have received the endpoint list after 30 s.
 ///
 /// The simulated discovery needs 8 s to answer one poll of each instance and answers them in order. Polls time out
-/// after 2 s but are processed nevertheless; a poll is refused if discovery already has work for more than 3 s.
+/// after 2 s but are processed nevertheless; a poll is refused if answering those in the queue takes more than 3 s.
 fn instances_with_a_list(instances: u32) -> usize {
     let start = |seed| {
         let mut dispatcher = Dispatcher::new(seed, instances, "x");
@@ -90,6 +90,8 @@
         dispatcher
     };
     let mut dispatchers: Vec<_> = (0..u64::from(instances)).map(start).collect();
+    // For each poll: the time at which it ends, the index of its instance, and `true` if it is answered before it times
+    out.
     let mut queue: VecDeque<(Duration, usize, bool)> = VecDeque::new();
     let (time_per_poll, mut busy_until, mut with_list) = (ms(8_000) / instances, ms(0), BTreeSet::new());
     for now in (0..30_000).step_by(10).map(ms) {
@@ -125,8 +127,8 @@
     assert_eq!([10, 30, 100, 300].map(instances_with_a_list), [10, 30, 100, 300]);
 }
 
-/// Guards against overloading a destination right after a retry-after that all instances received: in the run big-2 of
-/// glenmuir-claims, 24 instances called an endpoint that was warming up within half a second of its end.
+/// Guards against overloading a destination right after a retry-after that all instances received: 24 instances called
+/// a recovering endpoint within half a second after the retry-after ended.
 #[test]
 fn instances_rejected_at_the_same_time_do_not_retry_at_the_same_time() {
     for retry_after in [Some(ms(2_000)), None] {
@@ -203,7 +205,8 @@
         allowance = (allowance + limit / 10.0).min(limit);
         for (nth, bucket) in buckets.iter_mut().enumerate() {
             bucket.refill(now);
-            // Each instance has two calls to make in three seconds, about three times the limit in total.
+            // Each instance has two calls to make in three seconds, which makes 40 calls per second in total, more than
+            // twice the limit.
             if (at as usize + nth * 7).is_multiple_of(15) && bucket.has_token() {
                 bucket.take();
                 allowance = (allowance - 1.0).max(-limit);
@@ -267,7 +270,7 @@
 }
 
 /// Guards against an unlimited load on a failing destination whose last endpoint is replaced, which happens if its
-/// route is forgotten in between.
+/// route is removed in between.
 #[test]
 fn a_route_stays_suspect_while_its_last_endpoint_is_replaced() {
     let mut dispatcher = one_of_many(2, 1, 10.0, &["a"]);
@@ -313,8 +316,8 @@
     assert!((5..=max_by_chance(2.0 * 0.2 * 20.0 * 2.0)).contains(&max_count), "{max_count}");
 }
 
-/// Guards against overloading a route that many instances share: in a run of glenmuir-claims with 188 instances, a
-/// route of 0.66 calls per second was closed. Each instance was rejected only once, seconds before its next call.
+/// Guards against overloading a route that many instances share: with 188 instances, a route limited to 0.66 calls per
+/// second had an outage. Each instance was rejected only once, seconds before its next call.
 #[test]
 fn instances_with_one_rejection_each_start_less_than_a_third_of_the_attempts_if_the_limit_is_not_reported() {
     let rejected_once = |load_report: Option<LoadReport>| {
@@ -335,7 +338,8 @@
         }
     };
     let mut instances: Vec<_> = (0..188).map(rejected_once(None)).collect();
-    // Each of the 188 instances earns little more than its share of an attempt for the new message.
+    // Each of the 188 instances earns 0.27 of an attempt for the new message: 0.9 of the allowed share, which is 0.3 at
+    // the start of slow start.
     let without_report = attempts_of(&mut instances, ms(27_000));
     let report = LoadReport { remaining_share: 0.5, rate_limit: 0.66 };
     let mut instances: Vec<_> = (0..188).map(rejected_once(Some(report))).collect();
--- a/src/policy/tests/latency.rs
+++ b/src/policy/tests/latency.rs
@@ -2,7 +2,8 @@
 use crate::policy::test_support::*;
 use crate::{AttemptOutcome, NewMessage, RetrySafety};
 
-/// A timeout that does not follow the latency of a slow destination would cut off calls that it is about to answer.
+/// Guards against one slow call becoming typical, and against a timeout that does not follow the latency of a slow
+/// destination, which would cut off calls that it is about to answer.
 #[test]
 fn the_typical_duration_is_the_recent_median_and_timeouts_double_the_attempt_timeout() {
     let mut latency = LatencyWindow::default();
@@ -18,8 +19,9 @@
     assert_eq!(timeouts, [ms(2_000), ms(1_500), ms(1_000)]);
 }
 
-/// Destinations without samples that were merely slow had 7% of their calls time out and were ejected 157 times. An
-/// at-most-once message is lost with its attempt, so its timeout extends to its deadline.
+/// Guards against short timeouts at destinations without samples: ones that were merely slow had 7% of their calls time
+/// out and were ejected 157 times. An at-most-once message is lost with its attempt, so its timeout extends to its
+/// deadline.
 #[test]
 fn with_few_samples_the_timeout_is_that_of_the_class_and_extends_to_the_deadline_if_at_most_once() {
     let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
@@ -42,7 +44,8 @@
     assert_eq!(recorded.0, [ms(9_000)]);
 }
 
-/// With a fifth of all responses lost, the calls that waited 2 s for them held all slots.
+/// Guards against calls whose responses are lost using up the slots: with a fifth of all responses lost, the calls that
+/// waited 2 s for them held all slots.
 #[test]
 fn isolated_losses_shorten_the_minimum_timeout_until_deliveries_outweigh_them() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
--- a/src/policy/tests/outlier.rs
+++ b/src/policy/tests/outlier.rs
@@ -48,8 +48,9 @@
     assert_eq!(health.status(), Health::WarmingUp { since: ms(5_000) });
 }
 
-/// Only a few calls of each instance are rejected by an unavailable route. If its endpoints stayed healthy, or budgets
-/// accumulated during the retry-after, all messages that wait for its end would be sent at once.
+/// Guards against a burst at the end of a long retry-after (incident rules-3): only a few calls of each instance are
+/// rejected by a route during an outage. If its endpoints stayed healthy, or budgets accumulated during the
+/// retry-after, all messages that wait for its end would be sent at once.
 #[test]
 fn a_long_retry_after_ejects_the_endpoints_of_its_route_and_accumulates_no_budget() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -65,7 +66,8 @@
     assert!(!endpoints.any(|endpoint| endpoint.budget.is_ready()));
 }
 
-/// With one call in six lost on the network, endpoints that answered all other calls were ejected.
+/// Guards against treating isolated losses as an outage: with one call in six lost on the network, endpoints that
+/// answered all other calls were ejected (incident ide3163).
 #[test]
 fn timeouts_while_other_calls_are_delivered_do_not_eject_an_endpoint() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -84,7 +86,7 @@
 }
 
 /// Rejections by a rate limit in the first seconds must not be treated as an outage, which would eject healthy
-/// endpoints.
+/// endpoints (incident i3b06b2).
 #[test]
 fn a_few_rejections_pause_a_route_and_do_not_eject_its_endpoint() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -96,7 +98,8 @@
     assert!(route(&dispatcher).limit.paused_until() > ms(500), "the route is paused");
 }
 
-/// With four connections in ten reset, endpoints that delivered all other calls were ejected.
+/// Guards against treating connection resets as an outage: with four connections in ten reset, endpoints that delivered
+/// all other calls were ejected (incident i639774).
 #[test]
 fn resets_between_deliveries_do_not_eject_an_endpoint_but_failed_connections_do() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -114,8 +117,8 @@
     assert_eq!(status_after(6_100, AttemptOutcome::ConnectFailed), Health::Ejected);
 }
 
-/// At 190 instances, each sees only two rejections of an unavailable destination that has no rate limit. They must
-/// suffice to make its route suspect there, unlike rejections by a rate limit.
+/// Guards against missing an outage: at 190 instances, each sees only two rejections by a destination that has an
+/// outage and no rate limit. They must suffice to make its route suspect there, unlike rejections by a rate limit.
 #[test]
 fn two_rejections_make_a_route_suspect_only_if_it_reports_that_it_has_no_limit() {
     let report = |rate_limit| Some(LoadReport { remaining_share: 0.0, rate_limit });
@@ -129,8 +132,8 @@
     }
 }
 
-/// A destination failed and one of its endpoints was replaced: all of 194 instances took the new endpoint for healthy,
-/// and sent their calls to it.
+/// Guards against a replaced endpoint receiving all calls to a failed destination: all 194 instances treated the new
+/// endpoint as healthy, and sent their calls to it.
 #[test]
 fn a_new_endpoint_starts_with_the_best_health_of_its_siblings() {
     let warming_up = Health::WarmingUp { since: ms(7) };
--- a/src/policy/tests/retry_budget.rs
+++ b/src/policy/tests/retry_budget.rs
@@ -26,7 +26,8 @@
     assert!(!budget.allows(ms(9_900), false) && budget.allows(ms(10_900), false));
 }
 
-/// 232 instances that each retried one or two messages overloaded a destination just as it recovered.
+/// Guards against retries that overload a recovering destination, as 232 instances did that each retried one or two
+/// messages just as it recovered.
 #[test]
 fn one_quick_retry_is_allowed_while_nothing_is_delivered() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -43,7 +44,8 @@
     assert!(allows(&dispatcher, ms(4)));
 }
 
-/// With 41% of all calls rejected, the retries of rejected messages took the capacity of first attempts.
+/// Guards against retries that take the capacity of first attempts: with 41% of all calls rejected, the retries of
+/// rejected messages did so.
 #[test]
 fn retries_after_rejections_need_credit_from_deliveries_if_rejections_have_a_cost() {
     let attempts_and_balance = |cost: f64, balance: f64| {
--- a/src/policy/tests/scheduling.rs
+++ b/src/policy/tests/scheduling.rs
@@ -3,8 +3,8 @@
 use crate::{Dispatcher, EndpointUpdate, NewMessage, RetrySafety, ms};
 use std::time::Duration;
 
-/// Guards against messages that get no final outcome by their deadline: in the run rough-2 of tunis-lac, timers fired
-/// at whole microseconds, a fraction of one early, and no other timer was requested.
+/// Guards against messages that get no final outcome by their deadline: timers fired at whole microseconds, a fraction
+/// of one early, and no other timer was requested.
 #[test]
 fn a_timer_that_fires_a_little_early_is_followed_by_another() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -26,8 +26,8 @@
     assert!(timer(&mut dispatcher).is_some());
 }
 
-/// Guards against rate limits, which count calls, being used up by messages that could share a call: in the run rough-2
-/// of tunis-lac, each message had its own call, and half of the messages were rejected.
+/// Guards against rate limits, which count calls, being used up by messages that could be added to one call: each
+/// message had its own call, and half of the messages were rejected.
 #[test]
 fn messages_waiting_for_one_endpoint_are_added_to_one_call_that_is_counted_once() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -48,7 +48,7 @@
     assert!(dispatcher.state.pending.values().filter(|message| message.backoff_count == 1).count() == 3);
 }
 
-/// Guards against slow destinations whose new messages use all slots, as in the incidents iaa78c2 and ide3163.
+/// Guards against messages to slow destinations using all slots (incidents iaa78c2 and ide3163).
 #[test]
 fn if_slots_are_scarce_the_message_of_the_highest_value_per_second_of_slot_time_is_attempted_first() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
--- a/src/policy/tests/selection.rs
+++ b/src/policy/tests/selection.rs
@@ -2,8 +2,7 @@
 use crate::{Dispatcher, RetrySafety, ms};
 use std::collections::BTreeSet;
 
-/// Guards against sending all calls to one slow endpoint because only its connection is open, as in the incident
-/// iaa78c2.
+/// Guards against sending all calls to one slow endpoint because only its connection is open (incident iaa78c2).
 #[test]
 fn attempts_are_spread_over_endpoints_with_a_slight_preference_for_the_own_zone() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
--- a/src/policy/tests/support.rs
+++ b/src/policy/tests/support.rs
@@ -168,12 +168,12 @@
     }
 }
 
-/// Reports the outcome of an attempt to the mechanisms without involving a message.
+/// Processes the outcome of an attempt, without changing the state of a message.
 pub(super) fn process_outcome(dispatcher: &mut Dispatcher, attempt: &Attempt, outcome: AttemptOutcome) {
     process_outcome_with_report(dispatcher, attempt, outcome, None);
 }
 
-/// Reports the outcome of an attempt and a load report to the mechanisms without involving a message.
+/// Processes the outcome of an attempt with a load report, without changing the state of a message.
 pub(super) fn process_outcome_with_report(
     dispatcher: &mut Dispatcher,
     attempt: &Attempt,
--- a/src/policy/tests/verdict.rs
+++ b/src/policy/tests/verdict.rs
@@ -66,7 +66,7 @@
 }
 
 /// A network partition delays the establishment of connections until it heals. Requests sent over them then would
-/// arrive after the idempotency keys of the first attempts have been forgotten, and be executed twice.
+/// arrive after the deduplication windows of the first attempts have passed, and be executed twice.
 #[test]
 fn no_request_is_sent_after_the_deduplication_window_the_deadline_or_the_final_outcome() {
     for (retry_safety, allowed_after_window) in [(DEDUPLICATED, false), (RetrySafety::Idempotent, true)] {
