--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -90,8 +90,7 @@
         dispatcher
     };
     let mut dispatchers: Vec<_> = (0..u64::from(instances)).map(start).collect();
-    // For each poll: the time at which it ends, the index of its instance, and `true` if it is answered before it times
-    out.
+    // Polls in progress: end, index of the instance, and `true` if the poll is answered before it times out.
     let mut queue: VecDeque<(Duration, usize, bool)> = VecDeque::new();
     let (time_per_poll, mut busy_until, mut with_list) = (ms(8_000) / instances, ms(0), BTreeSet::new());
     for now in (0..30_000).step_by(10).map(ms) {
@@ -317,7 +316,7 @@
 }
 
 /// Guards against overloading a route that many instances share: with 188 instances, a route limited to 0.66 calls per
-/// second had an outage. Each instance was rejected only once, seconds before its next call.
+/// second stopped accepting calls. Each instance was rejected only once, seconds before its next call.
 #[test]
 fn instances_with_one_rejection_each_start_less_than_a_third_of_the_attempts_if_the_limit_is_not_reported() {
     let rejected_once = |load_report: Option<LoadReport>| {
--- a/src/policy/tests/support.rs
+++ b/src/policy/tests/support.rs
@@ -92,8 +92,8 @@
 
 /// Returns the dispatcher of one of two instances, with eight slots, in zone `x`.
 ///
-/// [`DESTINATION`] has the endpoints `a` and `b` in the zones `x` and `y`. The service classes are `standard`, and `valuable` with
-/// twice the value.
+/// [`DESTINATION`] has the endpoints `a` and `b` in the zones `x` and `y`. The service classes are `standard`, and
+/// `valuable` with twice the value.
 pub(super) fn dispatcher_for(retry_safety: RetrySafety) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(7, 2, "x");
     dispatcher.set_limits(Some(8), Some(100), Some(5));
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -160,7 +160,7 @@
 
     /// Handles an attempt timeout: counts it as an isolated loss if the endpoint delivered another call recently.
     ///
-    /// Keeps single losses, as on a bad network, from being treated as an outage: while other calls are answered, one
+    /// Keeps isolated losses, as on a bad network, from being treated as an outage: while other calls are answered, one
     /// loss says little about the endpoint. May delay an ejection.
     fn on_timeout(&mut self) -> OutcomeEffect {
         let indicates_outage = self.endpoint.health.is_unresponsive(self.now, self.attempt.started);
