--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -179,8 +179,8 @@
     /// Returns `true` if the destination exists according to the endpoint list.
     ///
     /// A destination stays known for 10 minutes after its last endpoint has left the endpoint list, as it may get new
-    /// ones. While no destination is known from the lists received, as before the first one, every destination counts
-    /// as known.
+    /// ones. While no destination is known from an endpoint list, as before the first list, every destination counts as
+    /// known.
     pub fn knows_destination(&self, destination: DestinationId) -> bool {
         self.state.known_destinations.contains(destination)
     }
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -109,8 +109,8 @@
 }
 
 impl KnownDestinations {
-    /// Returns `true` if the destination is known; while none is, as before the first list, every destination counts as
-    /// known.
+    /// Returns `true` if the destination is known; while no destination is, as before the first list, every one counts
+    /// as known.
     pub(crate) fn contains(&self, destination: DestinationId) -> bool {
         self.last_listed.is_empty() || self.last_listed.contains_key(&destination)
     }
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -25,7 +25,8 @@
 /// Makes health checks preferably use messages that can be executed again.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum FailureTolerance {
-    /// Health check with a deduplicated or at-most-once message that cannot have been executed yet.
+    /// Health check with a deduplicated or at-most-once message that cannot have been executed yet, and that a failed
+    /// attempt may prevent from being retried.
     MayLoseMessage,
     /// Health check with an idempotent message.
     Idempotent,
--- a/src/policy/tests/expiry.rs
+++ b/src/policy/tests/expiry.rs
@@ -20,7 +20,7 @@
     dispatcher.attempt_ended(ended(1, 0, AttemptOutcome::Failed));
     dispatcher.endpoint_updated(EndpointUpdate { state: EndpointState::Removed, ..endpoint_of("a", "x") });
     dispatcher.advance_to(ms(1_000));
-    assert!(actions(&mut dispatcher).is_empty(), "the other zone does not know the idempotency key");
+    assert!(actions(&mut dispatcher).is_empty(), "the other zone does not recognize the idempotency key");
     dispatcher.advance_to(ms(6_100));
     assert_eq!(actions(&mut dispatcher), ["abandon 1"]);
 }
--- a/src/policy/tests/ordering.rs
+++ b/src/policy/tests/ordering.rs
@@ -1,7 +1,7 @@
 use crate::policy::test_support::*;
 use crate::{AttemptOutcome, RetrySafety, ms};
 
-/// Guards against delivery out of order: an attempt that timed out may still be executed, even after its message was
+/// Guards against delivery out of order: a message whose attempt timed out may still be executed, even after it was
 /// finished, so the next message with its ordering key has to wait for the pause.
 #[test]
 fn messages_with_one_ordering_key_are_attempted_one_at_a_time_with_a_pause_after_a_timeout() {
