--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -28,7 +28,7 @@
     ConnectionReset,
     /// The attempt was cancelled; the message may have been executed.
     Cancelled,
-    /// The request never left this instance.
+    /// The host did not send the request.
     NotSent,
     /// The endpoint refused the call because it holds as many connections as it allows.
     ConnectionLimit,
@@ -36,7 +36,7 @@
 
 impl AttemptOutcome {
     /// Returns `true` if the message is known not to have been executed by the attempt.
-    pub fn never_executed(self) -> bool {
+    pub fn known_not_executed(self) -> bool {
         matches!(self, Self::Rejected { .. } | Self::ConnectFailed | Self::ConnectionLimit | Self::NotSent)
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: acceptance of messages, tenant quotas, and the choice of the message to reject when capacity is short.
 
-use super::state::{MaybeExecutedAttempt, PendingMessage, State};
+use super::state::{PendingMessage, RecordedPossibleExecution, State};
 use crate::{
     DestinationId, Driver, LogEvent, MessageId, NewMessage, RecoveredAttempts, RetrySafety,
     UnknownServiceClass, ms,
@@ -12,15 +12,15 @@
 const QUEUE_RESERVE_SHARE: f64 = 0.05;
 /// Minimum time between two log events about a nearly full queue.
 const MIN_LOG_INTERVAL: Duration = ms(5_000);
-/// Quota that one message uses, in messages.
-const QUOTA_PER_MESSAGE: f64 = 1.0;
+/// Tokens that one message takes from each bucket of its tenant.
+const TOKENS_PER_MESSAGE: f64 = 1.0;
 
-/// Capacity for pending messages, and the message to which the storage capacity applies.
+/// Queue capacity, remaining storage, and the message accepted last.
 pub(crate) struct Admission {
     /// Maximum number of pending messages.
     queue_capacity: usize,
     /// Storage, in bytes, that the host has left.
-    storage_capacity: u64,
+    remaining_storage_bytes: u64,
     /// Message accepted last, until the rules have been applied.
     just_accepted: Option<MessageId>,
     /// Time of the last log event about a nearly full queue.
@@ -31,7 +31,7 @@
     pub(super) fn new() -> Self {
         Self {
             queue_capacity: usize::MAX,
-            storage_capacity: u64::MAX,
+            remaining_storage_bytes: u64::MAX,
             just_accepted: None,
             last_logged: None,
         }
@@ -43,13 +43,13 @@
     }
 
     /// Sets the storage, in bytes, that the host will have left after storing the message accepted next.
-    pub(crate) fn set_storage_capacity(&mut self, bytes: u64) {
-        self.storage_capacity = bytes;
+    pub(crate) fn set_remaining_storage(&mut self, bytes: u64) {
+        self.remaining_storage_bytes = bytes;
     }
 
-    /// Returns the message accepted last if the state directory has no capacity for it, and forgets that message.
+    /// Takes the message accepted last, and returns it if no storage is left for it.
     fn take_unstorable(&mut self) -> Option<MessageId> {
-        self.just_accepted.take().filter(|_| self.storage_capacity == 0)
+        self.just_accepted.take().filter(|_| self.remaining_storage_bytes == 0)
     }
 
     /// Returns `true` if `pending` messages leave less free capacity than is to be kept.
@@ -72,34 +72,34 @@
 ///
 /// One bucket fills with time, at this instance's equal share of the tenant's rate. The other fills with each message
 /// that this instance receives, by the tenant's share of all quotas. The fuller bucket applies, as some instances
-/// receive far more messages than others.
+/// receive far more messages than others; all instances together may therefore admit more than the quota.
 struct TenantQuota {
     /// Messages per second at this instance.
     rate_per_s: f64,
-    /// Messages left in the bucket that fills with time.
-    time_quota: f64,
-    /// Messages left in the bucket that fills with received messages.
-    message_quota: f64,
+    /// Tokens, one per message, in the bucket that fills with time.
+    tokens_by_time: f64,
+    /// Tokens, one per message, in the bucket that fills with received messages.
+    tokens_by_messages: f64,
     /// Time at which the buckets were filled last.
-    refilled: Duration,
+    refilled_at: Duration,
 }
 
 impl TenantQuota {
     /// Fills both buckets when a message of any tenant is received; `share` is the tenant's share of all quotas.
     fn on_message(&mut self, now: Duration, share: f64) {
-        let capacity = self.rate_per_s.max(QUOTA_PER_MESSAGE);
-        let earned = self.rate_per_s * (now - self.refilled).as_secs_f64();
-        self.time_quota = (self.time_quota + earned).min(capacity);
-        self.message_quota = (self.message_quota + share).min(capacity);
-        self.refilled = now;
+        let capacity = self.rate_per_s.max(TOKENS_PER_MESSAGE);
+        let earned = self.rate_per_s * (now - self.refilled_at).as_secs_f64();
+        self.tokens_by_time = (self.tokens_by_time + earned).min(capacity);
+        self.tokens_by_messages = (self.tokens_by_messages + share).min(capacity);
+        self.refilled_at = now;
     }
 
     /// Returns `true` if one more message is within the quota, and deducts it if so.
     fn take(&mut self) -> bool {
-        let is_sufficient = self.time_quota.max(self.message_quota) >= QUOTA_PER_MESSAGE;
+        let is_sufficient = self.tokens_by_time.max(self.tokens_by_messages) >= TOKENS_PER_MESSAGE;
         if is_sufficient {
-            self.time_quota = (self.time_quota - QUOTA_PER_MESSAGE).max(0.0);
-            self.message_quota = (self.message_quota - QUOTA_PER_MESSAGE).max(0.0);
+            self.tokens_by_time = (self.tokens_by_time - TOKENS_PER_MESSAGE).max(0.0);
+            self.tokens_by_messages = (self.tokens_by_messages - TOKENS_PER_MESSAGE).max(0.0);
         }
         is_sufficient
     }
@@ -119,8 +119,12 @@
 
     /// Adds a tenant with a quota of `rate_per_s` messages per second at this instance.
     pub(super) fn add(&mut self, name: &str, rate_per_s: f64, excess_value_share: f64) {
-        let quota =
-            TenantQuota { rate_per_s, time_quota: rate_per_s, message_quota: 0.0, refilled: Duration::ZERO };
+        let quota = TenantQuota {
+            rate_per_s,
+            tokens_by_time: rate_per_s,
+            tokens_by_messages: 0.0,
+            refilled_at: Duration::ZERO,
+        };
         self.quotas.insert(name.into(), quota);
         self.excess_value_share = excess_value_share;
     }
@@ -149,7 +153,7 @@
         if let Some(key) = ordering_key {
             self.ordering.on_accepted(key, message.id);
         }
-        self.earn_slow_start_budgets(message.destination);
+        self.credit_slow_start_budgets(message.destination);
         let pending = PendingMessage {
             class,
             destination: message.destination,
@@ -157,22 +161,23 @@
             deadline,
             value,
             attempts: 0,
-            failures: 0,
+            backoff_count: 0,
             in_flight: 0,
             not_before: Duration::ZERO,
             last_outcome: None,
-            first_execution: None,
-            is_recovered_untried: false,
+            first_possible_execution: None,
+            is_recovered_unattempted: false,
         };
         self.pending.insert(message.id, pending);
         self.admission.just_accepted = Some(message.id);
         Ok(())
     }
 
-    /// Credits a message for a destination to the slow-start budgets of its endpoints, in equal shares.
+    /// Credits an accepted message to the slow-start budgets of the endpoints of its destination, in equal shares.
     ///
-    /// Endpoints for which a retry-after is in force receive nothing.
-    fn earn_slow_start_budgets(&mut self, id: DestinationId) {
+    /// Endpoints for which a retry-after is in force receive nothing. Prevents all instances from sending a burst at
+    /// its end, out of budgets accumulated during it.
+    fn credit_slow_start_budgets(&mut self, id: DestinationId) {
         let Some(destination) = self.destinations.get_mut(&id) else { return };
         let endpoint_share = 1.0 / destination.available_endpoints().max(1) as f64;
         let (now, slow_start, routes) = (self.now, self.slow_start, &destination.routes);
@@ -180,7 +185,7 @@
             if routes.get(&endpoint.route).is_some_and(|route| route.limit.retry_after_end() > now) {
                 continue;
             }
-            let allowed_share = endpoint.health.allowed_share(now, slow_start);
+            let allowed_share = endpoint.health.update_allowed_share(now, slow_start);
             endpoint.budget.on_message(allowed_share, endpoint_share);
         }
     }
@@ -190,40 +195,44 @@
     /// Prevents a message from being executed twice because of a restart.
     pub(crate) fn restore_attempts(&mut self, id: MessageId, attempts: RecoveredAttempts) {
         let Some(destination) = self.pending.get(&id).map(|message| message.destination) else { return };
-        let first_execution = attempts.first_execution.map(|execution| MaybeExecutedAttempt {
+        let first_possible_execution = attempts.first_execution.map(|execution| RecordedPossibleExecution {
             started: execution.started,
             zone: self.zone_of(destination, execution.endpoint),
         });
         let Some(message) = self.pending.get_mut(&id) else { return };
         message.attempts = attempts.count;
-        message.first_execution = first_execution;
-        message.is_recovered_untried = attempts.count == 0;
-        if let Some(key) = message.ordering_key.filter(|_| message.first_execution.is_some()) {
+        message.first_possible_execution = first_possible_execution;
+        message.is_recovered_unattempted = attempts.count == 0;
+        if let Some(key) = message.ordering_key.filter(|_| message.first_possible_execution.is_some()) {
             self.ordering.pause_others(key, id, self.now);
         }
     }
 
-    /// Returns `true` if the client can safely submit the message again, which is the condition for rejecting it.
+    /// Returns `true` if the message may be rejected, after which its client may submit it again. At-most-once messages
+    /// and those whose key only one zone recognizes may be rejected only if they cannot have been executed.
     pub(super) fn may_reject(&self, message: &PendingMessage) -> bool {
         match self.class(message).retry_safety {
             RetrySafety::Idempotent => true,
-            RetrySafety::Deduplicated { per_zone, .. } => message.first_execution.is_none() || !per_zone,
-            RetrySafety::AtMostOnce => message.first_execution.is_none(),
+            RetrySafety::Deduplicated { per_zone, .. } => {
+                message.first_possible_execution.is_none() || !per_zone
+            }
+            RetrySafety::AtMostOnce => message.first_possible_execution.is_none(),
         }
     }
 
-    /// Rule: if the state directory has no capacity left, gives up the message accepted last.
+    /// Rule: if no storage is left, gives the message accepted last its final outcome: rejected, or abandoned if
+    /// attempts were restored for it after which it may not be rejected.
     pub(crate) fn shed_unstorable(&mut self, driver: &mut dyn Driver) -> bool {
         let Some(id) = self.admission.take_unstorable() else { return false };
         self.give_up(id, driver);
         true
     }
 
-    /// Rule: if the queue is nearly full, gives up the message of the least value that may be rejected and is not in
-    /// flight.
+    /// Rule: if the queue is nearly full, rejects the message of the least value among those that may be rejected and
+    /// are not in flight.
     ///
     /// Prevents a full queue, at which the order of arrival would decide which message is rejected. Recovered messages
-    /// without an attempt are given up last.
+    /// without an attempt are rejected last.
     pub(crate) fn shed_least_valuable(&mut self, driver: &mut dyn Driver) -> bool {
         if !self.admission.is_nearly_full(self.pending.len()) {
             return false;
@@ -231,7 +240,7 @@
         let waiting =
             self.pending.iter().filter(|(_, message)| message.in_flight == 0 && self.may_reject(message));
         let least_valuable = waiting.min_by(|(id, message), (other_id, other)| {
-            let by_recovery = message.is_recovered_untried.cmp(&other.is_recovered_untried);
+            let by_recovery = message.is_recovered_unattempted.cmp(&other.is_recovered_unattempted);
             let by_value =
                 || self.value_if_attempted_now(message).total_cmp(&self.value_if_attempted_now(other));
             by_recovery.then_with(by_value).then(other_id.cmp(id))
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -9,7 +9,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Minimum time, in seconds, for which a call is assumed to use a slot, so that no call seems free.
+/// Minimum time, in seconds, for which a call is assumed to use a slot, so that very short calls do not dominate the
+/// value per second of slot time.
 const MIN_SLOT_SECS: f64 = 0.05;
 /// Factor by which value rates are multiplied before they are rounded down for the comparison.
 const VALUE_RATE_SCALE: f64 = 1e6;
@@ -24,11 +25,13 @@
 /// Makes health checks preferably use messages that can be executed again.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum FailureTolerance {
-    /// Health check with a message that must not be executed again, or that may be lost with the attempt.
+    /// Health check with a deduplicated or at-most-once message that cannot have been executed yet, and that a failed
+    /// attempt may prevent from being retried.
     MayLoseMessage,
     /// Health check with an idempotent message.
     Idempotent,
-    /// Health check with a message that may already have been executed.
+    /// Health check with a message that may already have been executed and may be executed again; an at-most-once
+    /// message is not attempted again then.
     MayHaveBeenExecuted,
     /// Attempt at an endpoint that is not ejected.
     NotHealthCheck,
@@ -42,7 +45,7 @@
     ///
     /// Prevents recovered messages, which are late and have lost value, from waiting behind all new messages until they
     /// expire without an attempt. May delay each message of more value by one call per recovered message.
-    is_recovered_untried: bool,
+    is_recovered_unattempted: bool,
     /// Value per second of slot time, scaled by [`VALUE_RATE_SCALE`].
     value_rate: i64,
     /// Time up to which the message has its full value; an earlier one takes precedence.
@@ -51,7 +54,7 @@
 
 impl State {
     /// Rule: starts the attempt of the highest priority.
-    pub(crate) fn start_most_valuable(&mut self, driver: &mut dyn Driver) -> bool {
+    pub(crate) fn start_highest_priority(&mut self, driver: &mut dyn Driver) -> bool {
         let slots_full = self.slots.are_full(self.slots_in_use());
         if slots_full && self.batch_limits.is_empty() || self.pending.is_empty() {
             return false;
@@ -67,7 +70,7 @@
             }
         }
         let Some((_, id, candidate)) = best else {
-            self.schedule_next_start();
+            self.update_next_due();
             return false;
         };
         self.start_attempt(id, candidate, driver);
@@ -85,11 +88,12 @@
         waiting.into_iter().map(|id| (id, self.candidates(id, &loads, slots_full))).collect()
     }
 
-    /// Returns `true` if the backoff of the message is over, or is irrelevant because the message only lacked a
-    /// connection and its destination has an idle one.
+    /// Returns `true` if the backoff of the message is over, or is irrelevant because the last attempt hit the
+    /// connection limit and its destination has an idle connection.
     fn may_be_attempted_now(&self, message: &PendingMessage) -> bool {
         message.not_before <= self.now
-            || message.hit_connection_limit() && self.shared.connections.has_any_to(message.destination)
+            || message.last_attempt_hit_connection_limit()
+                && self.shared.connections.has_any_to(message.destination)
     }
 
     /// Returns the priority of an attempt of `message` at `candidate`.
@@ -97,7 +101,7 @@
         let typical = self.typical_latency(message.destination, message.class);
         let value = self.value_at(message, self.now + typical);
         let class = self.class(message);
-        let failure_tolerance = match &message.first_execution {
+        let failure_tolerance = match &message.first_possible_execution {
             _ if !candidate.is_health_check() => FailureTolerance::NotHealthCheck,
             Some(_) => FailureTolerance::MayHaveBeenExecuted,
             None if class.retry_safety == RetrySafety::Idempotent => FailureTolerance::Idempotent,
@@ -106,21 +110,22 @@
         let soft_deadline = (message.deadline + class.soft_deadline).saturating_sub(class.deadline);
         Priority {
             failure_tolerance,
-            is_recovered_untried: message.is_recovered_untried,
+            is_recovered_unattempted: message.is_recovered_unattempted,
             value_rate: (value * VALUE_RATE_SCALE / typical.as_secs_f64().max(MIN_SLOT_SECS)) as i64,
             soft_deadline: Reverse(soft_deadline),
         }
     }
 
-    /// Ensures that the rules are applied again when a backoff or an ordering pause ends.
-    fn schedule_next_start(&mut self) {
+    /// Lowers `next_due` to the earliest end of a backoff or of an ordering pause.
+    fn update_next_due(&mut self) {
         let backoffs = self.pending.values().map(|message| message.not_before).filter(|at| *at > self.now);
         if let Some(next) = backoffs.chain(self.ordering.next_pause_end(self.now)).min() {
             self.next_due = self.next_due.min(next);
         }
     }
 
-    /// Starts an attempt and charges it to the budgets and limits, unless it is added to a call already charged.
+    /// Starts an attempt and charges it to the budgets and limits, unless the message is added to a call already
+    /// charged.
     fn start_attempt(&mut self, id: MessageId, candidate: &Candidate, driver: &mut dyn Driver) {
         let Some(timeout) = self.attempt_timeout(id) else { return };
         let now = self.now;
@@ -129,14 +134,14 @@
         let Some(endpoint) = destination.endpoints.get_mut(&candidate.endpoint) else { return };
         let Some(route) = destination.routes.get_mut(&endpoint.route) else { return };
         driver.start_attempt(id, &candidate.endpoint, timeout);
-        let is_batched = endpoint.batch.can_join(now);
-        if is_batched {
-            endpoint.batch.join();
+        let added_to_call = endpoint.batch.can_add(now);
+        if added_to_call {
+            endpoint.batch.add();
         } else {
             let max_messages = self.batch_limits.get(&endpoint.kind).copied().unwrap_or(1);
             endpoint.batch = Batch::start(now, max_messages);
             route.retry_budget.on_attempt(now, message.attempts > 0);
-            if message.was_rejected() {
+            if message.last_attempt_was_rejected() {
                 self.shared.retry_credit.spend();
             }
             route.limit.bucket.take();
@@ -145,15 +150,15 @@
         if candidate.is_health_check() {
             route.checks.on_check(now, &mut self.shared.rng);
         }
-        if !is_batched && (endpoint.health.status() != Health::Healthy || route.streak.is_suspect(now)) {
+        if !added_to_call && (endpoint.health.status() != Health::Healthy || route.streak.is_suspect(now)) {
             endpoint.budget.spend();
         }
         endpoint.last_used = Some(now);
-        self.register_attempt(id, candidate, is_batched);
+        self.register_attempt(id, candidate, added_to_call);
     }
 
     /// Registers an attempt as in flight.
-    fn register_attempt(&mut self, id: MessageId, candidate: &Candidate, is_batched: bool) {
+    fn register_attempt(&mut self, id: MessageId, candidate: &Candidate, added_to_call: bool) {
         let Some(message) = self.pending.get_mut(&id) else { return };
         let endpoint = candidate.endpoint.clone();
         let key = (message.destination, endpoint);
@@ -164,7 +169,7 @@
             class: message.class,
             ordering_key: message.ordering_key,
             started: self.now,
-            is_batched,
+            added_to_call,
         };
         self.in_flight.insert((id, message.attempts), attempt);
         if let Some(key) = message.ordering_key {
@@ -172,19 +177,20 @@
         }
         message.attempts += 1;
         message.in_flight += 1;
-        message.is_recovered_untried = false;
+        message.is_recovered_unattempted = false;
     }
 
     /// Returns the attempt timeout of a message, or `None` if the message is not pending.
     fn attempt_timeout(&self, id: MessageId) -> Option<Duration> {
         let message = self.pending.get(&id)?;
-        let calls_in_flight = self.in_flight.values().filter(|attempt| !attempt.is_batched).count();
+        let calls_in_flight = self.in_flight.values().filter(|attempt| !attempt.added_to_call).count();
         let min_timeout_share =
             self.shared.isolated_losses.min_timeout_share(self.slots.free_share(calls_in_flight));
         let time_left = message.deadline.saturating_sub(self.now);
         let class_latency = self.shared.class_latency.get(&message.class);
         let class_bound = class_latency.map_or(Duration::ZERO, LatencyWindow::tail_bound);
-        // An at-most-once message is lost if its attempt times out, so it waits for the response while slots are free.
+        // An at-most-once message is lost if its attempt times out, so its timeout extends to its deadline while its
+        // destination has few latency samples and slots are free.
         let is_at_most_once = self.class(message).retry_safety == RetrySafety::AtMostOnce;
         let class_bound = if is_at_most_once { class_bound.max(time_left) } else { class_bound };
         let no_samples = LatencyWindow::default();
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Calls in flight that are added to the load of an endpoint in another zone, as its latency and cost are higher.
-const OTHER_ZONE_LOAD: i64 = 2;
+const OTHER_ZONE_LOAD_CALLS: i64 = 2;
 /// Factor by which zone costs, in points, are multiplied before they are rounded for the comparison.
 const ZONE_COST_SCALE: f64 = 1e6;
 
@@ -23,7 +23,8 @@
     is_health_check: bool,
     /// Cost of a call to the endpoint's zone, in points scaled by [`ZONE_COST_SCALE`].
     zone_cost: i64,
-    /// Calls in flight with additions for another zone and for recent failures; minimal if a call can be shared.
+    /// Calls in flight with additions for another zone and for recent failures; minimal if the message would be added
+    /// to a call.
     load: i64,
     /// Time since the last use; the endpoint used last is preferred, as its connection is open.
     idle_for: Duration,
@@ -34,12 +35,12 @@
 pub(super) struct Candidate {
     pub(super) endpoint: String,
     zone: String,
-    /// `true` if the retry budget of the route allows a retry, or the attempt would be added to another call.
+    /// `true` if the retry budget of the route allows a retry, or the message would be added to a call.
     allows_retries: bool,
     /// `true` if there is an idle connection to the endpoint.
     has_connection: bool,
-    /// `true` if the attempt would be added to a call that starts at the current time.
-    is_batched: bool,
+    /// `true` if the message would be added to a call that started at the current time.
+    added_to_call: bool,
     rank: Rank,
 }
 
@@ -54,10 +55,10 @@
 struct Readiness {
     /// Earliest time at which the next call may start.
     earliest_start: Duration,
-    /// `true` if the concurrency limit of the endpoint has a permit left.
+    /// `true` if the concurrency limit of the endpoint has a free permit.
     has_permit: bool,
-    /// `true` if the message would be added to a call that starts at the current time.
-    is_batched: bool,
+    /// `true` if the message would be added to a call that started at the current time.
+    added_to_call: bool,
 }
 
 /// State outside an endpoint and its route on which the endpoint's readiness depends.
@@ -73,9 +74,10 @@
     let CallContext { now, instances, slow_start, available_endpoints } = *context;
     route.limit.bucket.refill(now);
     let endpoint_rate = route.limit.bucket.safe_rate() / f64::from(instances) / available_endpoints as f64;
-    let retry_after = route.limit.retry_after_end();
-    endpoint.budget.skip_earning_until(retry_after.min(now));
-    let allowed_share = endpoint.health.allowed_share(endpoint.budget.midpoint_since_refill(now), slow_start);
+    let retry_after_end = route.limit.retry_after_end();
+    endpoint.budget.skip_earning_until(retry_after_end.min(now));
+    let allowed_share =
+        endpoint.health.update_allowed_share(endpoint.budget.midpoint_since_refill(now), slow_start);
     let rate =
         (allowed_share * endpoint_rate).max(endpoint.health.min_check_rate(instances, available_endpoints));
     let budget_wait = endpoint.budget.refill(now, rate);
@@ -84,9 +86,9 @@
     // An endpoint that is not healthy, or whose route is suspect, is limited by its slow-start budget. Prevents an
     // overload by many instances, each of which makes too few calls to eject the endpoint. May slow down an endpoint
     // that loses some calls.
-    let is_healthy = endpoint.health.status() == Health::Healthy && !route.streak.is_suspect(now);
+    let is_unrestricted = endpoint.health.status() == Health::Healthy && !route.streak.is_suspect(now);
     let mut earliest_start = route.limit.next_call_at(now);
-    if !is_healthy {
+    if !is_unrestricted {
         earliest_start = earliest_start.max(now + budget_wait);
     }
     if is_ejected {
@@ -94,15 +96,15 @@
     }
     // Rate limits count calls, so messages that wait for the same endpoint are added to a call at no cost to the limit.
     // May lose all of them with one call.
-    let is_batched = endpoint.batch.can_join(now) && !is_ejected && retry_after <= now;
-    Readiness { earliest_start, has_permit: endpoint.concurrency.available() > 0, is_batched }
+    let added_to_call = endpoint.batch.can_add(now) && !is_ejected && retry_after_end <= now;
+    Readiness { earliest_start, has_permit: endpoint.concurrency.free_permits() > 0, added_to_call }
 }
 
 impl State {
     /// Returns `true` if an attempt has been in flight for so long that its destination is likely to be slow.
     ///
-    /// Prevents isolated lost calls from marking a destination as slow while later calls are delivered in their typical
-    /// time. May detect a destination late that is only slow at times.
+    /// Prevents isolated losses from marking a destination as slow while later calls are delivered in their typical
+    /// time. May detect late that a destination is slow if it is slow only at times.
     pub(super) fn indicates_slow_destination(&self, attempt: &Attempt) -> bool {
         let typical = self.typical_latency(attempt.destination, attempt.class);
         if !latency::is_slow(self.now - attempt.started, typical) {
@@ -141,7 +143,8 @@
         loads
     }
 
-    /// Returns the endpoints of a destination that may be called now, in order of preference.
+    /// Returns the endpoints of a destination that may be called now, in order of preference. Refills their budgets,
+    /// and lowers `next_due` to the earliest start at an endpoint that is not ready.
     ///
     /// Without a free slot for the destination, these are only endpoints with a call to which a message can be added.
     pub(super) fn candidates(
@@ -168,7 +171,9 @@
         {
             let Some(route) = destination.routes.get_mut(&endpoint.route) else { continue };
             let readiness = check_readiness(endpoint, route, &context);
-            if !readiness.is_batched && (is_full || readiness.earliest_start > now || !readiness.has_permit) {
+            if !readiness.added_to_call
+                && (is_full || readiness.earliest_start > now || !readiness.has_permit)
+            {
                 if readiness.earliest_start > now {
                     self.next_due = self.next_due.min(readiness.earliest_start);
                 }
@@ -180,11 +185,11 @@
             candidates.push(Candidate {
                 endpoint: key.1,
                 zone: endpoint.zone.clone(),
-                allows_retries: readiness.is_batched
+                allows_retries: readiness.added_to_call
                     || route.retry_budget.allows(now, route.streak.has_failures()),
                 has_connection,
-                is_batched: readiness.is_batched,
-                rank: rank(endpoint, readiness.is_batched, zone_cost, &self.zone, now),
+                added_to_call: readiness.added_to_call,
+                rank: rank(endpoint, readiness.added_to_call, zone_cost, &self.zone, now),
             });
         }
         candidates.sort_by_key(|candidate| candidate.rank);
@@ -200,7 +205,7 @@
     ) -> Option<&'a Candidate> {
         let backoff_is_over = message.not_before <= self.now;
         let is_ready = message.in_flight == 0
-            && (backoff_is_over || message.hit_connection_limit())
+            && (backoff_is_over || message.last_attempt_hit_connection_limit())
             && message.attempts < self.max_attempts;
         if !is_ready || !self.is_in_order(id, message) || self.latest_start(message) < self.now {
             return None;
@@ -208,7 +213,9 @@
         let required_zone = self.required_zone(message);
         let may_retry = |candidate: &Candidate| {
             candidate.allows_retries
-                && (!message.was_rejected() || candidate.is_batched || self.shared.retry_credit.allows())
+                && (!message.last_attempt_was_rejected()
+                    || candidate.added_to_call
+                    || self.shared.retry_credit.allows())
         };
         // During the backoff after a connection limit, only idle connections are used. Prevents instances from filling
         // the connection table of an endpoint.
@@ -223,23 +230,23 @@
         message.ordering_key.is_none_or(|key| self.ordering.may_start(key, id, self.now))
     }
 
-    /// Returns the zone that knows the idempotency key of the message, if only one zone knows it.
+    /// Returns the zone that recognizes the idempotency key of the message, if only one zone does.
     fn required_zone<'a>(&self, message: &'a PendingMessage) -> Option<&'a String> {
         let per_zone =
             matches!(self.class(message).retry_safety, RetrySafety::Deduplicated { per_zone: true, .. });
-        message.first_execution.as_ref().filter(|_| per_zone).map(|first| &first.zone)
+        message.first_possible_execution.as_ref().filter(|_| per_zone).map(|first| &first.zone)
     }
 }
 
 /// Returns the rank of an endpoint in the selection by an instance in `own_zone`.
-fn rank(endpoint: &Endpoint, is_batched: bool, zone_cost: f64, own_zone: &str, now: Duration) -> Rank {
+fn rank(endpoint: &Endpoint, added_to_call: bool, zone_cost: f64, own_zone: &str, now: Duration) -> Rank {
     let load = i64::from(endpoint.concurrency.in_flight())
-        + OTHER_ZONE_LOAD * i64::from(endpoint.zone != own_zone)
+        + OTHER_ZONE_LOAD_CALLS * i64::from(endpoint.zone != own_zone)
         + endpoint.health.load_penalty();
     Rank {
         is_health_check: endpoint.health.is_ejected(),
         zone_cost: (zone_cost * ZONE_COST_SCALE) as i64,
-        load: if is_batched { i64::MIN } else { load },
+        load: if added_to_call { i64::MIN } else { load },
         idle_for: endpoint.last_used.map_or(Duration::MAX, |last_used| now - last_used),
         tie_breaker: endpoint.tie_breaker,
     }
--- a/src/policy/tests/admission.rs
+++ b/src/policy/tests/admission.rs
@@ -7,10 +7,10 @@
 fn a_nearly_full_queue_rejects_the_message_of_the_least_value() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.set_limits(Some(0), Some(3), None);
-    for (id, service_class) in [(1, "dear"), (2, "g"), (3, "dear")] {
+    for (id, service_class) in [(1, "valuable"), (2, "standard"), (3, "valuable")] {
         dispatcher.accept(NewMessage { service_class, ..message(id) }).unwrap();
     }
-    assert_eq!(actions(&mut dispatcher), ["reject 2 false"]);
+    assert_eq!(actions(&mut dispatcher), ["reject 2, retry-after: false"]);
 }
 
 /// Guards against a tenant that exceeds its quota and displaces the messages of other tenants.
@@ -25,9 +25,8 @@
     assert_eq!((dispatcher.state.pending[&1].value, dispatcher.state.pending[&2].value), (1.0, 0.1));
 }
 
-/// Guards against quotas that refill by time only, at an equal share of the tenant's rate per instance: in the run
-/// big-1 of tunis-lac, six instances received a fifth of all messages, counted nearly all of them as beyond their
-/// tenants' quotas, and rejected them.
+/// Guards against quotas that refill by time only, at an equal share of the tenant's rate per instance: six instances
+/// received a fifth of all messages, counted nearly all of them as beyond their tenants' quotas, and rejected them.
 #[test]
 fn at_a_busy_instance_a_message_within_its_tenants_share_of_the_messages_keeps_its_full_value() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -40,8 +39,8 @@
     assert!(dispatcher.state.pending.values().filter(|message| message.value == 1.0).count() >= 78);
 }
 
-/// Guards against state left behind by a message that was refused, and against events of a message that is no longer
-/// pending.
+/// Guards against state left behind by a message that was not accepted, and against events of a message that is no
+/// longer pending.
 #[test]
 fn an_unknown_service_class_or_message_changes_nothing() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -54,22 +53,22 @@
 
 /// Guards against rejecting messages that are already stored when the state directory is full.
 #[test]
-fn without_storage_capacity_only_the_message_accepted_last_is_rejected() {
+fn without_remaining_storage_only_the_message_accepted_last_is_rejected() {
     let mut dispatcher = dispatcher_for(DEDUPLICATED);
     assert_eq!(submit(&mut dispatcher, 1, None), ["attempt 1 a"]);
-    dispatcher.set_storage_capacity(0);
-    assert_eq!(submit(&mut dispatcher, 2, None), ["reject 2 false"]);
-    dispatcher.set_storage_capacity(1);
+    dispatcher.set_remaining_storage(0);
+    assert_eq!(submit(&mut dispatcher, 2, None), ["reject 2, retry-after: false"]);
+    dispatcher.set_remaining_storage(1);
     assert_eq!(submit(&mut dispatcher, 3, None).len(), 1);
     assert!(dispatcher.state.pending.contains_key(&1) && dispatcher.state.pending.contains_key(&3));
 }
 
-/// Guards against a second execution after a restart, which happens if the attempts made before it are forgotten.
+/// Guards against a second execution after a restart, which happens if the attempts made before it are not restored.
 #[test]
 fn a_message_possibly_executed_before_a_restart_is_retried_only_if_a_second_execution_is_harmless() {
     for (retry_safety, ago_ms, expected) in [
         (DEDUPLICATED, 4_000, "attempt 1 a"),
-        (DEDUPLICATED, 7_000, "reject 1 false"),
+        (DEDUPLICATED, 7_000, "reject 1, retry-after: false"),
         (RetrySafety::AtMostOnce, 4_000, "abandon 1"),
         (RetrySafety::Idempotent, 7_000, "attempt 1 a"),
     ] {
@@ -84,22 +83,22 @@
 }
 
 /// Guards against recovered messages that expire without an attempt because new messages, with more value left, are
-/// preferred: in the run roll+term of lublin-ledger, this happened to 65 of 133 such messages, though half their time
-/// was left at the restart.
+/// preferred: this happened to 65 of 133 such messages, though half their time was left at the restart.
 #[test]
 fn a_recovered_message_without_an_attempt_is_attempted_first_and_given_up_last() {
     for (count, first) in [(0, "attempt 1 a"), (1, "attempt 3 a")] {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         dispatcher.set_limits(Some(1), Some(3), Some(5));
         dispatcher.advance_to(ms(8_000));
-        // Past its soft deadline, so of little value.
+        // The message is past its soft deadline and has little value left.
         dispatcher.accept(NewMessage { deadline: ms(11_000), ..message(1) }).unwrap();
         dispatcher.restore_attempts(1, RecoveredAttempts { count, first_execution: None });
         for id in [2, 3] {
-            let service_class = if id == 2 { "g" } else { "dear" };
+            let service_class = if id == 2 { "standard" } else { "valuable" };
             dispatcher.accept(NewMessage { service_class, deadline: ms(18_000), ..message(id) }).unwrap();
         }
-        let rejected = if count == 0 { "reject 2 false" } else { "reject 1 false" };
+        let rejected =
+            if count == 0 { "reject 2, retry-after: false" } else { "reject 1, retry-after: false" };
         assert_eq!(actions(&mut dispatcher), [first, rejected], "after {count} attempts");
     }
 }
--- a/src/policy/tests/connections.rs
+++ b/src/policy/tests/connections.rs
@@ -2,15 +2,16 @@
 use crate::policy::test_support::*;
 use crate::{AttemptOutcome, RetrySafety, ms};
 
-/// With 318 instances and no failures, full connection tables were mistaken for outages 20,137 times.
+/// Guards against treating full connection tables as outages: with 318 instances and no failures, this happened 20,137
+/// times.
 #[test]
-fn a_full_connection_table_shortens_the_idle_timeout_and_is_no_outage() {
+fn a_full_connection_table_shortens_the_idle_timeout_and_is_not_treated_as_an_outage() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.set_endpoint_idle_timeout(ms(5_000));
-    for at in 1..=20 {
-        dispatcher.advance_to(ms(at * 200));
+    for step in 1..=20 {
+        dispatcher.advance_to(ms(step * 200));
         let attempt = attempt_at("a", dispatcher.state.now);
-        judge(&mut dispatcher, &attempt, AttemptOutcome::ConnectionLimit);
+        process_outcome(&mut dispatcher, &attempt, AttemptOutcome::ConnectionLimit);
     }
     let route = route(&dispatcher);
     assert!(route.limit.paused_until().is_zero() && !route.streak.is_suspect(dispatcher.state.now));
@@ -20,8 +21,8 @@
     assert!(connections.idle_since.is_empty() && timeout.current == timeout.min);
 }
 
-/// Messages refused at the connection limit waited out their backoff while open connections to the same destination
-/// were idle.
+/// Guards against needless waiting: messages refused at the connection limit waited out their backoff while open
+/// connections to the same destination were idle.
 #[test]
 fn a_message_refused_at_the_connection_limit_uses_an_idle_connection_during_its_backoff() {
     for (outcome, attempted) in
--- a/src/policy/tests/fleet.rs
+++ b/src/policy/tests/fleet.rs
@@ -35,10 +35,10 @@
     polls
 }
 
-/// Guards against changes that an instance learns too late: it is expected to know of them 6 s after discovery becomes
-/// reachable, which may be just after a poll was lost.
+/// Guards against instances that learn of changes too late: an instance must know of a change within 6 s of discovery
+/// becoming reachable, and a poll may have failed just before.
 #[test]
-fn the_next_poll_starts_within_five_seconds_of_the_start_of_a_lost_one() {
+fn the_next_poll_starts_within_five_seconds_of_the_start_of_a_failed_one() {
     for period in [0, 2_000, 10_000, 60_000].map(ms) {
         for fails_after in [0, 100, 2_000, 2_500, 4_990].map(ms) {
             for seed in 0..40 {
@@ -78,10 +78,10 @@
     }
 }
 
-/// Returns how many of `instances`, all started at the same time, have received the endpoint list after 30 s.
+/// Returns the number of `instances`, all started at the same time, that have received the endpoint list after 30 s.
 ///
 /// The simulated discovery needs 8 s to answer one poll of each instance and answers them in order. Polls time out
-/// after 2 s but are processed nevertheless; a poll is refused if discovery already has work for more than 3 s.
+/// after 2 s but are processed nevertheless; a poll is refused if answering those in the queue takes more than 3 s.
 fn instances_with_a_list(instances: u32) -> usize {
     let start = |seed| {
         let mut dispatcher = Dispatcher::new(seed, instances, "x");
@@ -90,8 +90,9 @@
         dispatcher
     };
     let mut dispatchers: Vec<_> = (0..u64::from(instances)).map(start).collect();
+    // Polls in progress: end, index of the instance, and `true` if the poll is answered before it times out.
     let mut queue: VecDeque<(Duration, usize, bool)> = VecDeque::new();
-    let (time_per_poll, mut free_at, mut notified) = (ms(8_000) / instances, ms(0), BTreeSet::new());
+    let (time_per_poll, mut busy_until, mut with_list) = (ms(8_000) / instances, ms(0), BTreeSet::new());
     for now in (0..30_000).step_by(10).map(ms) {
         while queue.front().is_some_and(|(answered, ..)| *answered <= now) {
             let (_, index, in_time) = queue.pop_front().unwrap();
@@ -100,22 +101,22 @@
             } else {
                 dispatchers[index].endpoint_list_failed()
             }
-            notified.extend(in_time.then_some(index));
+            with_list.extend(in_time.then_some(index));
         }
         for (index, dispatcher) in dispatchers.iter_mut().enumerate() {
             dispatcher.advance_to(now);
             if !actions(dispatcher).is_empty() {
-                free_at = free_at.max(now);
-                if free_at > now + ms(3_000) {
+                busy_until = busy_until.max(now);
+                if busy_until > now + ms(3_000) {
                     dispatcher.endpoint_list_failed();
                     continue;
                 }
-                free_at += time_per_poll;
-                queue.push_back((free_at.min(now + ms(2_000)), index, free_at <= now + ms(2_000)));
+                busy_until += time_per_poll;
+                queue.push_back((busy_until.min(now + ms(2_000)), index, busy_until <= now + ms(2_000)));
             }
         }
     }
-    notified.len()
+    with_list.len()
 }
 
 /// Guards against polls that are repeated faster than discovery can answer them, so that all time out and no instance
@@ -125,8 +126,8 @@
     assert_eq!([10, 30, 100, 300].map(instances_with_a_list), [10, 30, 100, 300]);
 }
 
-/// Guards against overloading a destination right after a retry-after that all instances received: in the run big-2 of
-/// glenmuir-claims, 24 instances called an endpoint that was warming up within half a second of its end.
+/// Guards against overloading a destination right after a retry-after that all instances received: 24 instances called
+/// a recovering endpoint within half a second after the retry-after ended.
 #[test]
 fn instances_rejected_at_the_same_time_do_not_retry_at_the_same_time() {
     for retry_after in [Some(ms(2_000)), None] {
@@ -178,9 +179,9 @@
     };
     let mut dispatchers: Vec<_> = (0..100).map(waiting).collect();
     let calls: Vec<_> = (0..30)
-        .map(|tenth| {
+        .map(|step| {
             let started = |dispatcher: &mut Dispatcher| {
-                dispatcher.advance_to(ms(100 * tenth + 1));
+                dispatcher.advance_to(ms(100 * step + 1));
                 actions(dispatcher).len()
             };
             dispatchers.iter_mut().map(started).sum::<usize>()
@@ -203,7 +204,8 @@
         allowance = (allowance + limit / 10.0).min(limit);
         for (nth, bucket) in buckets.iter_mut().enumerate() {
             bucket.refill(now);
-            // Each instance has two calls to make in three seconds, about three times the limit in total.
+            // Each instance has two calls to make in three seconds, which makes 40 calls per second in total, more than
+            // twice the limit.
             if (at as usize + nth * 7).is_multiple_of(15) && bucket.has_token() {
                 bucket.take();
                 allowance = (allowance - 1.0).max(-limit);
@@ -211,15 +213,15 @@
                     bucket.on_delivery(Some(allowance / limit));
                     accepted[usize::from(at > 150)] += 1;
                 } else {
-                    bucket.cut_by_rejection(0.67, instances);
+                    bucket.lower_rate_after_rejection(0.67, instances);
                 }
             }
         }
     }
     assert!(accepted[1] as f64 > 0.5 * limit * 15.0, "{accepted:?}");
     assert!(buckets.iter().all(|bucket| {
-        let (rate, least) = bucket.rate_and_minimum(limit, instances);
-        rate >= least
+        let (rate, min_rate) = bucket.rate_and_minimum(limit, instances);
+        rate >= min_rate
     }));
 }
 
@@ -267,12 +269,13 @@
 }
 
 /// Guards against an unlimited load on a failing destination whose last endpoint is replaced, which happens if its
-/// route is forgotten in between.
+/// route is removed in between.
 #[test]
 fn a_route_stays_suspect_while_its_last_endpoint_is_replaced() {
     let mut dispatcher = one_of_many(2, 1, 10.0, &["a"]);
     let attempt = attempt_at("a", ms(1));
-    (0..FailureStreak::SUSPECT).for_each(|_| judge(&mut dispatcher, &attempt, AttemptOutcome::Failed));
+    (0..FailureStreak::FAILURES_UNTIL_SUSPECT)
+        .for_each(|_| process_outcome(&mut dispatcher, &attempt, AttemptOutcome::Failed));
     dispatcher.endpoint_list_ended(Some(&BTreeSet::new()), false);
     assert!(dispatcher.state.destinations[&9].endpoints.is_empty());
     dispatcher.endpoint_updated(listed_with_rate("b", 10.0));
@@ -287,7 +290,8 @@
         let mut dispatcher = one_of_many(200, seed, 20.0, &["a"]);
         dispatcher.advance_to(ms(60_000));
         let attempt = attempt_at("a", ms(59_900));
-        (0..FailureStreak::SUSPECT).for_each(|_| judge(&mut dispatcher, &attempt, AttemptOutcome::Failed));
+        (0..FailureStreak::FAILURES_UNTIL_SUSPECT)
+            .for_each(|_| process_outcome(&mut dispatcher, &attempt, AttemptOutcome::Failed));
         dispatcher
     };
     let mut instances: Vec<_> = (0..200).map(failed).collect();
@@ -311,24 +315,30 @@
     assert!((5..=max_by_chance(2.0 * 0.2 * 20.0 * 2.0)).contains(&max_count), "{max_count}");
 }
 
-/// Guards against overloading a route that many instances share: in a run of glenmuir-claims with 188 instances, a
-/// route of 0.66 calls per second was closed. Each instance was rejected only once, seconds before its next call.
+/// Guards against overloading a route that many instances share: with 188 instances, a route limited to 0.66 calls per
+/// second stopped accepting calls. Each instance was rejected only once, seconds before its next call.
 #[test]
-fn instances_with_one_rejection_each_send_far_less_if_the_limit_is_not_reported() {
+fn instances_with_one_rejection_each_start_less_than_a_third_of_the_attempts_if_the_limit_is_not_reported() {
     let rejected_once = |load_report: Option<LoadReport>| {
         move |seed| {
             let mut dispatcher = one_of_many(188, seed, 0.66, &["a"]);
             dispatcher.set_overload_tolerance(ms(2_000));
             dispatcher.advance_to(ms(20_000));
             route_mut(&mut dispatcher).retry_budget.on_attempt(ms(19_900), false);
-            judge_with_report(&mut dispatcher, &attempt_at("a", ms(19_900)), rejected(), load_report);
+            process_outcome_with_report(
+                &mut dispatcher,
+                &attempt_at("a", ms(19_900)),
+                rejected(),
+                load_report,
+            );
             dispatcher.advance_to(ms(27_000));
             dispatcher.accept(NewMessage { deadline: ms(37_000), ..message(1) }).unwrap();
             dispatcher
         }
     };
     let mut instances: Vec<_> = (0..188).map(rejected_once(None)).collect();
-    // Each of the 188 instances earns little more than its share of an attempt for the new message.
+    // Each of the 188 instances earns 0.27 of an attempt for the new message: 0.9 of the allowed share, which is 0.3 at
+    // the start of slow start.
     let without_report = attempts_of(&mut instances, ms(27_000));
     let report = LoadReport { remaining_share: 0.5, rate_limit: 0.66 };
     let mut instances: Vec<_> = (0..188).map(rejected_once(Some(report))).collect();
--- a/src/policy/tests/latency.rs
+++ b/src/policy/tests/latency.rs
@@ -2,7 +2,8 @@
 use crate::policy::test_support::*;
 use crate::{AttemptOutcome, NewMessage, RetrySafety};
 
-/// A timeout that does not follow the latency of a slow destination would cut off calls that it is about to answer.
+/// Guards against one slow call becoming typical, and against a timeout that does not follow the latency of a slow
+/// destination, which would cut off calls that it is about to answer.
 #[test]
 fn the_typical_duration_is_the_recent_median_and_timeouts_double_the_attempt_timeout() {
     let mut latency = LatencyWindow::default();
@@ -18,10 +19,11 @@
     assert_eq!(timeouts, [ms(2_000), ms(1_500), ms(1_000)]);
 }
 
-/// Destinations without samples that were merely slow had 7% of their calls time out and were ejected 157 times. An
-/// at-most-once message is lost with its attempt, so its timeout extends to its deadline.
+/// Guards against short timeouts at destinations without samples: ones that were merely slow had 7% of their calls time
+/// out and were ejected 157 times. An at-most-once message is lost with its attempt, so its timeout extends to its
+/// deadline.
 #[test]
-fn a_destination_with_few_samples_gets_the_timeout_of_its_class_and_an_at_most_once_message_all_its_time() {
+fn with_few_samples_the_timeout_is_that_of_the_class_and_extends_to_the_deadline_if_at_most_once() {
     let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
     [3_000, 400, 400].iter().for_each(|duration| {
         let class_latency = &mut dispatcher.state.shared.class_latency;
@@ -42,16 +44,17 @@
     assert_eq!(recorded.0, [ms(9_000)]);
 }
 
-/// With a fifth of all responses lost, the calls that waited 2 s for them held all slots.
+/// Guards against calls whose responses are lost using up the slots: with a fifth of all responses lost, the calls that
+/// waited 2 s for them held all slots.
 #[test]
 fn isolated_losses_shorten_the_minimum_timeout_until_deliveries_outweigh_them() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.advance_to(ms(2_000));
     endpoint_mut(&mut dispatcher, "a").health.set_last_delivery(ms(1_900));
     let attempt = attempt_at("a", ms(50));
-    (0..2).for_each(|_| judge(&mut dispatcher, &attempt, AttemptOutcome::TimedOut));
+    (0..2).for_each(|_| process_outcome(&mut dispatcher, &attempt, AttemptOutcome::TimedOut));
     let share = |dispatcher: &crate::Dispatcher| dispatcher.state.shared.isolated_losses.share;
     assert!(share(&dispatcher) >= HIGH_LOSS_SHARE, "the minimum timeout depends on the free slots");
-    (0..60).for_each(|_| judge(&mut dispatcher, &attempt, AttemptOutcome::Delivered));
+    (0..60).for_each(|_| process_outcome(&mut dispatcher, &attempt, AttemptOutcome::Delivered));
     assert!(share(&dispatcher) < HIGH_LOSS_SHARE / 10.0);
 }
--- a/src/policy/tests/rate_limit.rs
+++ b/src/policy/tests/rate_limit.rs
@@ -19,7 +19,7 @@
     }
 
     /// Lowers the rate as a rejection does at an instance that sends `sent_per_s` calls per second.
-    pub(crate) fn cut_by_rejection(&mut self, sent_per_s: f64, instances: u32) {
+    pub(crate) fn lower_rate_after_rejection(&mut self, sent_per_s: f64, instances: u32) {
         self.cut_rate(sent_per_s, instances);
     }
 
@@ -39,12 +39,12 @@
     assert!(bucket.tokens >= 1.0 && bucket.tokens <= 10.0 * BURST_PERIOD.as_secs_f64());
 }
 
-/// A message that was not itself rejected must not be sent during the Retry-After, which applies to the whole route.
+/// A message that was not itself rejected must not be sent during the retry-after, which applies to the whole route.
 #[test]
 fn a_retry_after_pauses_all_calls_to_the_route() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     assert_eq!(submit(&mut dispatcher, 1, None), ["attempt 1 a"]);
-    dispatcher.attempt_ended(ended(1, 0, rejected_for(ms(900))));
+    dispatcher.attempt_ended(ended(1, 0, rejected_with_retry_after(ms(900))));
     assert!(submit(&mut dispatcher, 2, None).is_empty());
     dispatcher.advance_to(ms(900));
     assert!(actions(&mut dispatcher).is_empty());
@@ -61,9 +61,9 @@
         (ListedRateAccuracy::Approximate, Some(4.0)),
         (ListedRateAccuracy::Absent, None),
     ];
-    for (listed, safe_rate) in cases {
+    for (accuracy, safe_rate) in cases {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
-        dispatcher.set_discovery(false, listed);
+        dispatcher.set_discovery(false, accuracy);
         let update =
             |rate| EndpointUpdate { destination: 8, listed_rate: Some(rate), ..endpoint_of("c", "x") };
         let estimate = |dispatcher: &crate::Dispatcher| {
@@ -83,9 +83,9 @@
 fn rejected_attempts_that_were_in_flight_together_cause_one_pause() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.advance_to(ms(100));
-    (0..12).for_each(|at| judge(&mut dispatcher, &attempt_at("a", ms(at)), rejected()));
+    (0..12).for_each(|at| process_outcome(&mut dispatcher, &attempt_at("a", ms(at)), rejected()));
     let limit = &route(&dispatcher).limit;
     assert!(limit.paused_until <= ms(100) + BASE_DELAY && limit.rejections == 12);
-    judge(&mut dispatcher, &attempt_at("a", ms(100)), rejected());
+    process_outcome(&mut dispatcher, &attempt_at("a", ms(100)), rejected());
     assert_eq!(route(&dispatcher).limit.pauses, 2);
 }
--- a/src/policy/tests/retry_budget.rs
+++ b/src/policy/tests/retry_budget.rs
@@ -26,7 +26,8 @@
     assert!(!budget.allows(ms(9_900), false) && budget.allows(ms(10_900), false));
 }
 
-/// 232 instances that each retried one or two messages overloaded a destination just as it recovered.
+/// Guards against retries that overload a recovering destination, as 232 instances did that each retried one or two
+/// messages just as it recovered.
 #[test]
 fn one_quick_retry_is_allowed_while_nothing_is_delivered() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -35,17 +36,18 @@
         route.retry_budget.allows(now, route.streak.has_failures())
     };
     for (now_ms, allowed) in [(1, true), (2, false)] {
-        judge(&mut dispatcher, &attempt_at("a", ms(now_ms)), AttemptOutcome::ConnectFailed);
+        process_outcome(&mut dispatcher, &attempt_at("a", ms(now_ms)), AttemptOutcome::ConnectFailed);
         assert_eq!(allows(&dispatcher, ms(now_ms)), allowed);
         route_mut(&mut dispatcher).retry_budget.on_attempt(ms(now_ms), true);
     }
-    judge(&mut dispatcher, &attempt_at("b", ms(3)), AttemptOutcome::Delivered);
+    process_outcome(&mut dispatcher, &attempt_at("b", ms(3)), AttemptOutcome::Delivered);
     assert!(allows(&dispatcher, ms(4)));
 }
 
-/// With 41% of all calls rejected, the retries of rejected messages took the capacity of first attempts.
+/// Guards against retries that take the capacity of first attempts: with 41% of all calls rejected, the retries of
+/// rejected messages did so.
 #[test]
-fn deliveries_earn_retries_after_rejections_if_rejections_have_a_cost() {
+fn retries_after_rejections_need_credit_from_deliveries_if_rejections_have_a_cost() {
     let attempts_and_balance = |cost: f64, balance: f64| {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         dispatcher.set_rejection_cost(cost);
@@ -62,7 +64,7 @@
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let outcomes = [(AttemptOutcome::Delivered, 1.25), (rejected(), 1.0), (AttemptOutcome::Failed, 1.0)];
     for (outcome, balance) in outcomes {
-        judge(&mut dispatcher, &attempt_at("a", ms(1)), outcome);
+        process_outcome(&mut dispatcher, &attempt_at("a", ms(1)), outcome);
         assert_eq!(dispatcher.state.shared.retry_credit.balance, balance);
     }
 }
--- a/src/policy/tests/scheduling.rs
+++ b/src/policy/tests/scheduling.rs
@@ -3,8 +3,8 @@
 use crate::{Dispatcher, EndpointUpdate, NewMessage, RetrySafety, ms};
 use std::time::Duration;
 
-/// Guards against messages that get no final outcome by their deadline: in the run rough-2 of tunis-lac, timers fired
-/// at whole microseconds, a fraction of one early, and no other timer was requested.
+/// Guards against messages that get no final outcome by their deadline: timers fired at whole microseconds, a fraction
+/// of one early, and no other timer was requested.
 #[test]
 fn a_timer_that_fires_a_little_early_is_followed_by_another() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
@@ -26,10 +26,10 @@
     assert!(timer(&mut dispatcher).is_some());
 }
 
-/// Guards against rate limits, which count calls, being used up by messages that could share a call: in the run rough-2
-/// of tunis-lac, each message had its own call, and half of the messages were rejected.
+/// Guards against rate limits, which count calls, being used up by messages that could be added to one call: each
+/// message had its own call, and half of the messages were rejected.
 #[test]
-fn messages_waiting_for_one_endpoint_share_one_call_that_is_counted_once() {
+fn messages_waiting_for_one_endpoint_are_added_to_one_call_that_is_counted_once() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.set_batch_limit("k", 3);
     dispatcher.set_limits(Some(1), Some(100), Some(5));
@@ -45,12 +45,12 @@
     (1..=3).for_each(|id| dispatcher.attempt_ended(ended(id, 0, rejected())));
     let rejections = route(&dispatcher).limit.rejections();
     assert_eq!((in_flight(&dispatcher), rejections), (0, 1)); // the outcome of the call is counted once
-    assert!(dispatcher.state.pending.values().filter(|message| message.failures == 1).count() == 3);
+    assert!(dispatcher.state.pending.values().filter(|message| message.backoff_count == 1).count() == 3);
 }
 
-/// Guards against slow destinations whose new messages use all slots, as in the incidents iaa78c2 and ide3163.
+/// Guards against messages to slow destinations using all slots (incidents iaa78c2 and ide3163).
 #[test]
-fn if_slots_are_scarce_the_message_of_most_value_per_second_of_slot_time_is_attempted_first() {
+fn if_slots_are_scarce_the_message_of_the_highest_value_per_second_of_slot_time_is_attempted_first() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     dispatcher.endpoint_updated(EndpointUpdate { destination: 8, ..endpoint_of("c", "x") });
     dispatcher.set_limits(Some(0), Some(100), None);
@@ -69,13 +69,13 @@
 #[test]
 fn a_health_check_is_made_with_a_message_that_can_be_executed_again_if_possible() {
     let mut dispatcher = dispatcher_for(RetrySafety::AtMostOnce);
-    dispatcher.add_service_class("again", class_of(RetrySafety::Idempotent, 0.1));
+    dispatcher.add_service_class("idempotent", class_of(RetrySafety::Idempotent, 0.1));
     for name in ["a", "b"] {
         let endpoint = endpoint_mut(&mut dispatcher, name);
         endpoint.health.set_status(Health::Ejected);
         endpoint.budget.fill();
     }
     dispatcher.accept(message(1)).unwrap();
-    dispatcher.accept(NewMessage { service_class: "again", ..message(2) }).unwrap();
+    dispatcher.accept(NewMessage { service_class: "idempotent", ..message(2) }).unwrap();
     assert_eq!(actions(&mut dispatcher), ["attempt 2 a"]);
 }
--- a/src/policy/tests/verdict.rs
+++ b/src/policy/tests/verdict.rs
@@ -6,7 +6,7 @@
 /// Without the gossip, each instance would notice a recovery only through its own health checks. Gossip that is
 /// malformed, of another version, or about an unknown destination or route must not change any health.
 #[test]
-fn recovery_gossip_warms_up_an_ejected_route_and_other_gossip_is_ignored() {
+fn recovery_gossip_warms_up_the_ejected_endpoints_of_its_route_and_other_gossip_is_ignored() {
     let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
     let eject = |dispatcher: &mut Dispatcher| {
         ["a", "b"].iter().for_each(|name| endpoint_mut(dispatcher, name).health.set_status(Health::Ejected));
@@ -30,7 +30,7 @@
     assert_eq!(endpoint(&dispatcher, "b").health.status(), Health::WarmingUp { since: ms(1) });
     dispatcher.allow_gossip(true);
     eject(&mut dispatcher);
-    judge(&mut dispatcher, &attempt_at("a", ms(1)), AttemptOutcome::Delivered);
+    process_outcome(&mut dispatcher, &attempt_at("a", ms(1)), AttemptOutcome::Delivered);
     assert!(actions(&mut dispatcher).contains(&format!("broadcast {gossip:?}")));
 }
 
@@ -41,7 +41,7 @@
     for (now, status) in [(1_000, Health::Healthy), (2_100, Health::WarmingUp { since: ms(2_100) })] {
         let mut dispatcher = dispatcher_for(RetrySafety::Idempotent);
         endpoint_mut(&mut dispatcher, "a").health.set_last_delivery(ms(100));
-        route_mut(&mut dispatcher).streak.add_failures(FailureStreak::SUSPECT);
+        route_mut(&mut dispatcher).streak.add_failures(FailureStreak::FAILURES_UNTIL_SUSPECT);
         dispatcher.advance_to(ms(now));
         dispatcher.gossip_received(&gossip::encode_recovery(9, ""));
         assert_eq!(endpoint(&dispatcher, "a").health.status(), status);
@@ -49,7 +49,7 @@
     }
 }
 
-/// A Retry-After or the draining of the endpoint may arrive while the connection of an attempt is being established.
+/// A retry-after or the draining of the endpoint may arrive while the connection of an attempt is being established.
 #[test]
 fn no_request_is_sent_during_a_retry_after_or_to_a_draining_endpoint() {
     let mut dispatcher = dispatcher_for(DEDUPLICATED);
@@ -59,14 +59,14 @@
         |dispatcher: &Dispatcher, id, attempt, now_ms| dispatcher.may_send_request(id, attempt, ms(now_ms));
     assert!(may_send_request(&dispatcher, 1, 0, 1) && may_send_request(&dispatcher, 2, 0, 1));
     assert!(!may_send_request(&dispatcher, 1, 1, 1));
-    dispatcher.attempt_ended(ended(2, 0, rejected_for(ms(500))));
+    dispatcher.attempt_ended(ended(2, 0, rejected_with_retry_after(ms(500))));
     assert!(!may_send_request(&dispatcher, 1, 0, 500) && may_send_request(&dispatcher, 1, 0, 501));
     dispatcher.endpoint_updated(EndpointUpdate { state: EndpointState::Draining, ..endpoint_of("a", "x") });
     assert!(!may_send_request(&dispatcher, 1, 0, 501));
 }
 
 /// A network partition delays the establishment of connections until it heals. Requests sent over them then would
-/// arrive after the idempotency keys of the first attempts have been forgotten, and be executed twice.
+/// arrive after the deduplication windows of the first attempts have passed, and be executed twice.
 #[test]
 fn no_request_is_sent_after_the_deduplication_window_the_deadline_or_the_final_outcome() {
     for (retry_safety, allowed_after_window) in [(DEDUPLICATED, false), (RetrySafety::Idempotent, true)] {
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -1,6 +1,6 @@
-//! Verdict: effects of the end of an attempt on its message, its endpoint, its route and the rest of the state.
+//! Outcomes of attempts: their effects on the message, the endpoint, the route and the rest of the state.
 //!
-//! Each outcome is reported to the mechanisms that it concerns and summarized as an [`Assessment`], from which the
+//! Each outcome is reported to the mechanisms that it concerns and summarized as an [`OutcomeEffect`], from which the
 //! endpoint's health and the slow-start budgets of the route's endpoints are updated. Gossip about recoveries at other
 //! instances is handled here too.
 
@@ -8,33 +8,33 @@
 use super::latency::LatencyWindow;
 use super::outlier::{self, Health};
 use super::rate_limit::Rejection;
-use super::state::{Attempt, Destination, Endpoint, MaybeExecutedAttempt, Route, Shared, State};
+use super::state::{Attempt, Destination, Endpoint, RecordedPossibleExecution, Route, Shared, State};
 use crate::{AttemptOutcome, AttemptResult, EndpointState, LogEvent, MessageId, gossip};
 use std::time::Duration;
 
-/// Consequence of an outcome for all endpoints of its route.
+/// Effect of an outcome on all endpoints of its route.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Signal {
+enum RouteEffect {
     None,
-    /// The route requested a Retry-After longer than a rate limit explains, so it is unavailable.
-    Unavailable,
+    /// The rest of the route's retry-after is longer than a rate limit rejects calls.
+    LongRetryAfter,
     /// The attempt got the first rejection since the last delivery on a route that reports no rate limit.
     FirstRejection,
     /// The message was delivered after an outage of the route.
     Recovered,
 }
 
-/// Effect of one outcome on the health of its endpoint and route.
-struct Assessment {
+/// Effect of one outcome on the health of its endpoint, and on the other endpoints of the route.
+struct OutcomeEffect {
     /// Weight in the failing share of the endpoint, from 0 to 1; 0 if the outcome is no failure.
     failure_weight: f64,
     /// `true` if the outcome indicates that the endpoint does not respond to any call.
     indicates_outage: bool,
-    signal: Signal,
+    route_effect: RouteEffect,
 }
 
-impl Assessment {
-    const NONE: Self = Self { failure_weight: 0.0, indicates_outage: false, signal: Signal::None };
+impl OutcomeEffect {
+    const NONE: Self = Self { failure_weight: 0.0, indicates_outage: false, route_effect: RouteEffect::None };
 
     fn failure(failure_weight: f64) -> Self {
         Self { failure_weight, ..Self::NONE }
@@ -62,8 +62,8 @@
 }
 
 impl OutcomeContext<'_> {
-    /// Reports the outcome to the mechanisms that it concerns, and returns its assessment.
-    fn assess(&mut self, result: &AttemptResult) -> Assessment {
+    /// Reports the outcome to the mechanisms that it concerns, and returns its effect.
+    fn process(&mut self, result: &AttemptResult) -> OutcomeEffect {
         match result.outcome {
             AttemptOutcome::Delivered => self.on_delivery(result),
             AttemptOutcome::Rejected { retry_after } | AttemptOutcome::AmbiguousRejection { retry_after } => {
@@ -71,13 +71,13 @@
             }
             AttemptOutcome::Failed => {
                 self.route.streak.add_failures(1);
-                Assessment::failure(outlier::FAILURE_WEIGHT)
+                OutcomeEffect::failure(outlier::FAILURE_WEIGHT)
             }
             AttemptOutcome::TimedOut => self.on_timeout(),
             AttemptOutcome::ConnectFailed => self.on_connect_failure(),
             AttemptOutcome::ConnectionReset => {
                 self.route.streak.add_failures(1);
-                Assessment::failure(outlier::MINOR_FAILURE_WEIGHT)
+                OutcomeEffect::failure(outlier::MINOR_FAILURE_WEIGHT)
             }
             // Keeps an endpoint whose connection table is full, with the connections of many instances, from being
             // treated as failed or rate-limited: it works, and the next connection may succeed at another endpoint or
@@ -85,13 +85,13 @@
             AttemptOutcome::ConnectionLimit => {
                 self.shared.connections.on_connect_failure(&self.endpoint.kind);
                 self.endpoint.last_used = None;
-                Assessment::NONE
+                OutcomeEffect::NONE
             }
-            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => Assessment::NONE,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => OutcomeEffect::NONE,
         }
     }
 
-    fn on_delivery(&mut self, result: &AttemptResult) -> Assessment {
+    fn on_delivery(&mut self, result: &AttemptResult) -> OutcomeEffect {
         let now = self.now;
         let class_latency = self.shared.class_latency.entry(self.attempt.class).or_default();
         class_latency.on_delivery(now, result.duration);
@@ -110,10 +110,13 @@
         }
         let ends_outage = self.route.streak.is_outage(now);
         self.route.streak.reset();
-        Assessment { signal: if ends_outage { Signal::Recovered } else { Signal::None }, ..Assessment::NONE }
+        OutcomeEffect {
+            route_effect: if ends_outage { RouteEffect::Recovered } else { RouteEffect::None },
+            ..OutcomeEffect::NONE
+        }
     }
 
-    fn on_rejection(&mut self, retry_after: Duration, result: &AttemptResult) -> Assessment {
+    fn on_rejection(&mut self, retry_after: Duration, result: &AttemptResult) -> OutcomeEffect {
         let now = self.now;
         let route = &mut *self.route;
         let is_reported = route.limit.is_reported();
@@ -124,66 +127,66 @@
             now,
             started: self.attempt.started,
             retry_after,
-            attempt_rate: route.retry_budget.attempt_rate(now, min_period),
+            attempts_per_s: route.retry_budget.attempts_per_s(now, min_period),
             instances: self.instances,
         };
         route.limit.on_rejection(rejection, &mut self.shared.rng);
         self.shared.retry_credit.on_rejection();
 
-        let is_unavailable = route.limit.is_unavailable(now);
-        let is_first_rejection = !is_reported && route.streak.on_rejection_without_limit();
+        let has_long_retry_after = route.limit.has_long_retry_after(now);
+        let is_first_rejection = !is_reported && route.streak.on_rejection_without_reported_limit();
         // Rejections count as failures if the route reports that it has no rate limit, or if there were many in a row:
-        // the route is then unavailable, or its queue is full.
+        // the route then has an outage, or its queue is full.
         let is_unlimited = result.load_report.is_some_and(|report| report.rate_limit <= 0.0);
-        let is_rejection_streak = route.limit.rejections() >= outlier::REJECTION_STREAK;
+        let is_rejection_streak = route.limit.rejections() >= outlier::MIN_REJECTION_STREAK;
         route.streak.add_failures(u32::from(is_unlimited || is_rejection_streak));
-        if is_unavailable {
+        if has_long_retry_after {
             route.streak.mark_suspect();
         }
-        let failure_weight = if route.limit.rejects_persistently(now) {
-            outlier::NO_RESPONSE_WEIGHT
+        let failure_weight = if route.limit.has_long_rejection_series(now) {
+            outlier::MAJOR_FAILURE_WEIGHT
         } else if self.attempt.started >= self.endpoint.health.last_failure() {
             outlier::MINOR_FAILURE_WEIGHT
         } else {
             0.0
         };
-        let signal = match (is_unavailable, is_first_rejection) {
-            (true, _) => Signal::Unavailable,
-            (false, true) => Signal::FirstRejection,
-            (false, false) => Signal::None,
+        let route_effect = match (has_long_retry_after, is_first_rejection) {
+            (true, _) => RouteEffect::LongRetryAfter,
+            (false, true) => RouteEffect::FirstRejection,
+            (false, false) => RouteEffect::None,
         };
-        Assessment { failure_weight, indicates_outage: false, signal }
+        OutcomeEffect { failure_weight, indicates_outage: false, route_effect }
     }
 
     /// Handles an attempt timeout: counts it as an isolated loss if the endpoint delivered another call recently.
     ///
-    /// Keeps single losses, as on a bad network, from being treated as an outage: while other calls are answered, one
+    /// Keeps isolated losses, as on a bad network, from being treated as an outage: while other calls are answered, one
     /// loss says little about the endpoint. May delay an ejection.
-    fn on_timeout(&mut self) -> Assessment {
+    fn on_timeout(&mut self) -> OutcomeEffect {
         let indicates_outage = self.endpoint.health.is_unresponsive(self.now, self.attempt.started);
         if indicates_outage {
             self.latency.on_timeout();
         } else {
             self.shared.isolated_losses.on_isolated_timeout();
         }
-        self.on_unanswered_call(indicates_outage)
+        self.on_missing_response(indicates_outage)
     }
 
-    fn on_connect_failure(&mut self) -> Assessment {
+    fn on_connect_failure(&mut self) -> OutcomeEffect {
         self.shared.connections.on_connect_failure(&self.endpoint.kind);
         let indicates_outage = !self.endpoint.health.delivered_since(self.attempt.started);
-        self.on_unanswered_call(indicates_outage)
+        self.on_missing_response(indicates_outage)
     }
 
-    fn on_unanswered_call(&mut self, indicates_outage: bool) -> Assessment {
+    fn on_missing_response(&mut self, indicates_outage: bool) -> OutcomeEffect {
         self.route.streak.add_failures(1);
         let failure_weight =
-            if indicates_outage { outlier::NO_RESPONSE_WEIGHT } else { outlier::MINOR_FAILURE_WEIGHT };
-        Assessment { failure_weight, indicates_outage, signal: Signal::None }
+            if indicates_outage { outlier::MAJOR_FAILURE_WEIGHT } else { outlier::MINOR_FAILURE_WEIGHT };
+        OutcomeEffect { failure_weight, indicates_outage, route_effect: RouteEffect::None }
     }
 
-    /// Releases the attempt's permit, and records its connection as idle if it stays open and the endpoint has no other
-    /// call in flight.
+    /// Releases the attempt's permit, and records its connection as idle if the endpoint has no other call in flight,
+    /// unless the attempt failed to connect or hit the connection limit.
     fn release(&mut self, outcome: AttemptOutcome, indicates_outage: bool) {
         self.endpoint.concurrency.release(indicates_outage);
         let closed = matches!(outcome, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLimit);
@@ -201,7 +204,7 @@
         }
         let after = self.endpoint.health.status();
         if after == Health::Ejected && outcome != AttemptOutcome::Delivered {
-            self.route.checks.on_failure(self.now, outcome.never_executed(), &mut self.shared.rng);
+            self.route.checks.on_failure(self.now, outcome.known_not_executed(), &mut self.shared.rng);
         }
         if self.prior.health.differs_from(after) {
             self.shared.log_events.push(LogEvent::HealthChanged {
@@ -215,10 +218,12 @@
     }
 
     /// Returns `true` if the slow-start budgets of the route's endpoints start to apply with this outcome.
-    fn begins_slow_start(&self, signal: Signal, after: Health) -> bool {
+    fn begins_slow_start(&self, route_effect: RouteEffect, after: Health) -> bool {
         let ejected = self.prior.health == Health::Healthy && after == Health::Ejected;
         let newly_suspect = !self.prior.suspect && self.route.streak.is_suspect(self.now);
-        matches!(signal, Signal::Unavailable | Signal::FirstRejection) || ejected || newly_suspect
+        matches!(route_effect, RouteEffect::LongRetryAfter | RouteEffect::FirstRejection)
+            || ejected
+            || newly_suspect
     }
 }
 
@@ -233,23 +238,23 @@
     )
 }
 
-/// Applies the consequences of an outcome to all endpoints of its route.
+/// Applies the effect of an outcome to all endpoints of its route.
 fn update_route_endpoints(
     destination: &mut Destination,
     route: &str,
-    signal: Signal,
+    route_effect: RouteEffect,
     begins_slow_start: bool,
     shared: &mut Shared,
     now: Duration,
 ) {
     for endpoint in destination.endpoints.values_mut().filter(|endpoint| endpoint.route == route) {
-        // Prevents a burst of calls at the end of the Retry-After of an unavailable route: all its endpoints recover
-        // cold, so all are ejected, and the first call to each is a health check.
-        if signal == Signal::Unavailable {
-            endpoint.health.on_failure(now, outlier::UNAVAILABLE_WEIGHT);
+        // Prevents a burst of calls at the end of a long retry-after: all endpoints of the route have reduced capacity
+        // when they recover, so all are ejected, and the first call to each is a health check.
+        if route_effect == RouteEffect::LongRetryAfter {
+            endpoint.health.on_failure(now, outlier::LONG_RETRY_AFTER_WEIGHT);
         }
         // Prevents the first delivery at each of many instances from releasing all messages that wait there.
-        if signal == Signal::Recovered && endpoint.health.status() == Health::Healthy {
+        if route_effect == RouteEffect::Recovered && endpoint.health.status() == Health::Healthy {
             endpoint.health.start_warm_up(now);
         }
         // Prevents many instances from each sending a call at once, out of budgets earned while the route was healthy.
@@ -264,13 +269,13 @@
     pub(crate) fn attempt_ended(&mut self, result: &AttemptResult) {
         let Some(attempt) = self.in_flight.remove(&(result.message, result.attempt)) else { return };
         let outcome = result.outcome;
-        if !attempt.is_batched {
+        if !attempt.added_to_call {
             self.process_result(&attempt, result);
         }
         if let Some(key) = attempt.ordering_key {
-            let answered = matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::Failed);
-            let may_be_executed = !outcome.never_executed() && !answered;
-            self.ordering.on_ended(key, result.message, may_be_executed, self.now);
+            let is_processed = matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::Failed);
+            let may_still_be_executed = !outcome.known_not_executed() && !is_processed;
+            self.ordering.on_ended(key, result.message, may_still_be_executed, self.now);
         }
         if result.finished {
             self.finish(result.message);
@@ -278,19 +283,22 @@
         self.back_off(&attempt, result);
     }
 
-    /// Starts the message's backoff, and records the attempt if it is the first that may have been executed.
+    /// Starts the message's backoff, and records the attempt if it is the first by which the message may have been
+    /// executed.
     fn back_off(&mut self, attempt: &Attempt, result: &AttemptResult) {
         let outcome = result.outcome;
         let zone = self.zone_of(attempt.destination, &attempt.endpoint);
         let Some(message) = self.pending.get_mut(&result.message) else { return };
         message.in_flight -= 1;
-        message.failures += u32::from(outcome != AttemptOutcome::NotSent);
+        message.backoff_count += u32::from(outcome != AttemptOutcome::NotSent);
         message.last_outcome = Some(outcome);
         message.not_before =
-            self.now + full_jitter(&mut self.shared.rng, message.failures, BASE_DELAY, MAX_DELAY);
-        let is_first = message.first_execution.as_ref().is_none_or(|first| first.started > attempt.started);
-        if !outcome.never_executed() && is_first {
-            message.first_execution = Some(MaybeExecutedAttempt { started: attempt.started, zone });
+            self.now + full_jitter(&mut self.shared.rng, message.backoff_count, BASE_DELAY, MAX_DELAY);
+        let is_first =
+            message.first_possible_execution.as_ref().is_none_or(|first| first.started > attempt.started);
+        if !outcome.known_not_executed() && is_first {
+            message.first_possible_execution =
+                Some(RecordedPossibleExecution { started: attempt.started, zone });
         }
     }
 
@@ -303,7 +311,7 @@
         route.limit.bucket.refill(now);
         route.limit.on_load_report(result.load_report);
         let prior = PriorHealth { health: endpoint.health.status(), suspect: route.streak.is_suspect(now) };
-        self.shared.connections.on_call(&endpoint.kind);
+        self.shared.connections.ensure_timeout(&endpoint.kind);
         let mut context = OutcomeContext {
             now,
             instances: self.instances,
@@ -315,19 +323,19 @@
             shared: &mut self.shared,
             prior,
         };
-        let assessment = context.assess(result);
+        let effect = context.process(result);
         if is_failure_or_rejection(result.outcome) {
             context.route.streak.begin(now);
         }
-        context.release(result.outcome, assessment.indicates_outage);
-        let after = context.update_health(result.outcome, assessment.failure_weight);
-        let begins_slow_start = context.begins_slow_start(assessment.signal, after);
-        if begins_slow_start || assessment.signal == Signal::Recovered {
+        context.release(result.outcome, effect.indicates_outage);
+        let after = context.update_health(result.outcome, effect.failure_weight);
+        let begins_slow_start = context.begins_slow_start(effect.route_effect, after);
+        if begins_slow_start || effect.route_effect == RouteEffect::Recovered {
             let route = context.endpoint.route.clone();
             update_route_endpoints(
                 destination,
                 &route,
-                assessment.signal,
+                effect.route_effect,
                 begins_slow_start,
                 &mut self.shared,
                 now,
@@ -337,9 +345,9 @@
 
     /// Returns `true` if the request of an attempt may be sent at `now`, once the connection is established.
     ///
-    /// Prevents requests during a Retry-After, or to a draining endpoint, that began while the connection was being
-    /// established. This can take so long that the message has its final outcome or its idempotency key has been
-    /// forgotten, which is checked too. May hold back a request that would have been in time.
+    /// Prevents requests during a retry-after, or to a draining endpoint, that began while the connection was being
+    /// established. Establishing it can take so long that the message has its final outcome or its deduplication window
+    /// has passed, which is checked too. May hold back a request that would have been in time.
     pub(crate) fn may_send_request(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
         let Some(attempt) = self.in_flight.get(&(id, attempt)) else { return false };
         if self.pending.get(&id).is_none_or(|message| now > self.latest_start(message)) {
@@ -350,7 +358,8 @@
         endpoint.state == EndpointState::Available && route.limit.retry_after_end() <= now
     }
 
-    /// Handles gossip that a route has recovered: ejected and unresponsive endpoints of the route start to warm up.
+    /// Handles gossip that a route has recovered: ejected endpoints of the route start to warm up and, if the route is
+    /// suspect, unresponsive ones too.
     ///
     /// Prevents instances from noticing a recovery one by one, each with its own health checks.
     pub(crate) fn gossip_received(&mut self, datagram: &[u8]) {
