--- a/crates/quillhub-simulator/src/audit/overload.rs
+++ b/crates/quillhub-simulator/src/audit/overload.rs
@@ -12,7 +12,7 @@
 
 /// The calls that a route could work off in the overload span that ends now: its capacity, summed up in small steps.
 fn capacity_of_span(now: Duration, rules: &RuleSettings, recovery: Recovery) -> f64 {
-    let (start, warm_up, span) = (rules.initial_share, rules.warm_up, rules.overload_span);
+    let (start, warm_up, span) = (rules.initial_share, rules.warm_up, rules.overload_tolerance);
     let steps = f64::from(CAPACITY_STEPS);
     let capacity_of_step = |step: u32| {
         let at = now - span - recovery.at + span.mul_f64((f64::from(step) + 0.5) / steps);
@@ -52,8 +52,8 @@
             route.calls.clear();
             return;
         }
-        route.call_arrived(now, id.instance, rules.overload_span);
-        if route.judged || now < recovery.at + rules.overload_span {
+        route.call_arrived(now, id.instance, rules.overload_tolerance);
+        if route.judged || now < recovery.at + rules.overload_tolerance {
             return;
         }
         let calls = route.calls.len() as f64;
--- a/crates/quillhub-simulator/src/scenario/rules.rs
+++ b/crates/quillhub-simulator/src/scenario/rules.rs
@@ -17,13 +17,13 @@
     /// From a destination's return until it is warm; its capacity grows evenly until then.
     #[serde(with = "humantime_serde")]
     pub warm_up: Duration,
-    /// Sent more than this many times what it can do for `overload_span`, it fails and stays down.
+    /// Sent more than this many times what it can do for `overload_tolerance`, it fails and stays down.
     #[serde(rename = "factor")]
     pub overload_factor: f64,
     /// How long it stands more than that.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "push")]
-    pub overload_span: Duration,
+    pub overload_tolerance: Duration,
     /// An ordering key pauses so long after a timeout, reset or cancellation.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "key_rest")]
@@ -37,7 +37,7 @@
             initial_share: 0.2,
             warm_up: Duration::from_secs(10),
             overload_factor: 2.0,
-            overload_span: Duration::from_secs(3),
+            overload_tolerance: Duration::from_secs(3),
             ordering_pause: Duration::from_millis(700),
         }
     }
--- a/crates/quillhub-simulator/src/server.rs
+++ b/crates/quillhub-simulator/src/server.rs
@@ -56,16 +56,16 @@
     pub(crate) fn is_overloaded_by_call(&mut self, now: Duration, rules: &RuleSettings) -> bool {
         let Some(back) = self.recovered_at else { return false };
         self.calls.push_back(now);
-        while self.calls.front().is_some_and(|at| *at + rules.overload_span < now) {
+        while self.calls.front().is_some_and(|at| *at + rules.overload_tolerance < now) {
             self.calls.pop_front();
         }
-        if now < back + rules.overload_span {
+        if now < back + rules.overload_tolerance {
             return false; // it has not been back for so long
         }
         // What it could do in the span: capacity grows evenly, so its middle tells its mean.
         let could = self.per_s
-            * rules.overload_span.as_secs_f64()
-            * warmth(rules, now - rules.overload_span / 2 - back);
+            * rules.overload_tolerance.as_secs_f64()
+            * warmth(rules, now - rules.overload_tolerance / 2 - back);
         self.calls.len() as f64 > rules.overload_factor * could
     }
 }
--- a/crates/quillhub-simulator/src/server_tests.rs
+++ b/crates/quillhub-simulator/src/server_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn route(rules: &RuleSettings, per_s: f64) -> Route {
-    let recovered_at = Some(rules.overload_span * 10);
+    let recovered_at = Some(rules.overload_tolerance * 10);
     Route { servers: vec![0], recovered_at, per_s, ..Route::new(None) }
 }
 
--- a/crates/quillhub-simulator/tests/cold_recovery.rs
+++ b/crates/quillhub-simulator/tests/cold_recovery.rs
@@ -90,16 +90,16 @@
         let Some((back, per_s)) = route.back.filter(|(back, _)| now < *back + rules.warm_up) else { return };
         self.found.calls += 1;
         route.window.push_back((now, route.informed.contains(&instance)));
-        while route.window.front().is_some_and(|(at, _)| *at + rules.overload_span < now) {
+        while route.window.front().is_some_and(|(at, _)| *at + rules.overload_tolerance < now) {
             route.window.pop_front();
         }
-        if route.fell || now < back + rules.overload_span {
+        if route.fell || now < back + rules.overload_tolerance {
             return;
         }
         // Capacity grows evenly, so the middle of the window tells its mean.
-        let middle = (now - rules.overload_span / 2 - back).as_secs_f64() / rules.warm_up.as_secs_f64();
+        let middle = (now - rules.overload_tolerance / 2 - back).as_secs_f64() / rules.warm_up.as_secs_f64();
         let share = rules.initial_share + (1.0 - rules.initial_share) * middle.min(1.0);
-        let allowed = rules.overload_factor * share * per_s * rules.overload_span.as_secs_f64();
+        let allowed = rules.overload_factor * share * per_s * rules.overload_tolerance.as_secs_f64();
         let calls = route.window.len() as f64;
         if calls > allowed + 2.0 * allowed.sqrt() + 2.0 {
             route.fell = true;
