--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -112,10 +112,8 @@
     dispatcher.set_endpoint_idle_timeout(scenario.network.idle_close);
     dispatcher.allow_gossip(instances.gossip);
     dispatcher.set_ordering_pause(rules.ordering_pause);
-    dispatcher.set_discovery(
-        scenario.discovery.form == DiscoveryForm::Watch,
-        scenario.discovery.rates.listed_rate(),
-    );
+    dispatcher
+        .set_discovery(scenario.discovery.form == DiscoveryForm::Watch, scenario.discovery.rates.accuracy());
     for service_class in &scenario.service_classes {
         dispatcher.add_service_class(&service_class.name, service_class.service_class());
     }
--- a/crates/quillhub-simulator/src/scenario/discovery.rs
+++ b/crates/quillhub-simulator/src/scenario/discovery.rs
@@ -47,7 +47,7 @@
 }
 
 impl Rates {
-    pub(crate) fn listed_rate(self) -> ListedRateAccuracy {
+    pub(crate) fn accuracy(self) -> ListedRateAccuracy {
         match self {
             Self::Absent => ListedRateAccuracy::Absent,
             Self::Exact => ListedRateAccuracy::Exact,
--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -70,7 +70,7 @@
         let of = &self.site.servers[server];
         let (route, destination) = (of.route, of.destination as u64 + 1);
         let zone = &self.scenario.instances.zones[of.zone];
-        let rate = self.listed_rate(server);
+        let rate = self.accuracy(server);
         self.record.placed(self.clock.now(), &Fact::EndpointPlaced { endpoint: &name, zone, route });
         self.discovery.add(Entry {
             name,
@@ -83,7 +83,7 @@
     }
 
     /// What is listed of a server's rate.
-    fn listed_rate(&self, server: usize) -> Option<f64> {
+    fn accuracy(&self, server: usize) -> Option<f64> {
         let of = &self.site.servers[server];
         let per_s = self.site.rate(of.route);
         match self.scenario.discovery.rates {
