--- a/crates/quillhub-simulator/src/faults/errors.rs
+++ b/crates/quillhub-simulator/src/faults/errors.rs
@@ -1,6 +1,6 @@
 //! Endpoints fail a share of the calls, quickly.
 
-use super::{FaultKind, Injection, ScheduledFault, Wrong, share};
+use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_share};
 use crate::conditions::ServerFault;
 use serde::{Deserialize, Serialize};
 
@@ -13,8 +13,8 @@
 }
 
 impl FaultKind for Errors {
-    fn check(&self) -> Wrong {
-        share("what.errors.share", self.share)
+    fn check(&self) -> CheckResult {
+        check_share("what.errors.share", self.share)
     }
 
     fn injection(&self, _: &ScheduledFault) -> Injection<'_> {
--- a/crates/quillhub-simulator/src/faults/gossip.rs
+++ b/crates/quillhub-simulator/src/faults/gossip.rs
@@ -1,6 +1,6 @@
 //! Gossip between instances is lost, or come so much later.
 
-use super::{FaultKind, Injection, ScheduledFault, Wrong, share};
+use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_share};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
 }
 
 impl FaultKind for Gossip {
-    fn check(&self) -> Wrong {
-        share("what.notes.lost", self.lost)
+    fn check(&self) -> CheckResult {
+        check_share("what.notes.lost", self.lost)
     }
 
     fn injection(&self, _: &ScheduledFault) -> Injection<'_> {
--- a/crates/quillhub-simulator/src/faults/hot_destinations.rs
+++ b/crates/quillhub-simulator/src/faults/hot_destinations.rs
@@ -1,6 +1,6 @@
 //! The destinations struck get so many times their share of all messages; how many come stays as it was.
 
-use super::{FaultKind, Injection, ScheduledFault, Wrong, over_zero};
+use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_positive};
 use serde::{Deserialize, Serialize};
 
 /// Some destinations get more than their share of the messages.
@@ -12,8 +12,8 @@
 }
 
 impl FaultKind for HotDestinations {
-    fn check(&self) -> Wrong {
-        over_zero("what.hot.factor", self.factor)
+    fn check(&self) -> CheckResult {
+        check_positive("what.hot.factor", self.factor)
     }
 
     fn injection(&self, _: &ScheduledFault) -> Injection<'_> {
--- a/crates/quillhub-simulator/src/faults/loss.rs
+++ b/crates/quillhub-simulator/src/faults/loss.rs
@@ -1,6 +1,6 @@
 //! A share of what goes from one zone to another does not arrive.
 
-use super::{FaultKind, Injection, ScheduledFault, Wrong, share};
+use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_share};
 use crate::conditions::PathFault;
 use serde::{Deserialize, Serialize};
 
@@ -19,8 +19,8 @@
 }
 
 impl FaultKind for Loss {
-    fn check(&self) -> Wrong {
-        share("what.loss.share", self.share)
+    fn check(&self) -> CheckResult {
+        check_share("what.loss.share", self.share)
     }
 
     fn injection(&self, _: &ScheduledFault) -> Injection<'_> {
--- a/crates/quillhub-simulator/src/faults/lost_responses.rs
+++ b/crates/quillhub-simulator/src/faults/lost_responses.rs
@@ -1,6 +1,6 @@
 //! A share of the answers is lost once their calls have run.
 
-use super::{FaultKind, Injection, ScheduledFault, Wrong, share};
+use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_share};
 use crate::conditions::ServerFault;
 use serde::{Deserialize, Serialize};
 
@@ -13,8 +13,8 @@
 }
 
 impl FaultKind for LostResponses {
-    fn check(&self) -> Wrong {
-        share("what.mute.share", self.share)
+    fn check(&self) -> CheckResult {
+        check_share("what.mute.share", self.share)
     }
 
     fn injection(&self, _: &ScheduledFault) -> Injection<'_> {
--- a/crates/quillhub-simulator/src/faults/mod.rs
+++ b/crates/quillhub-simulator/src/faults/mod.rs
@@ -128,18 +128,18 @@
 }
 
 /// The field that is wrong, what is expected there, and what was found.
-pub(crate) type Wrong = Result<(), (&'static str, &'static str, String)>;
+pub(crate) type CheckResult = Result<(), (&'static str, &'static str, String)>;
 
-fn wrong(field: &'static str, wanted: &'static str, found: impl ToString) -> Wrong {
+fn invalid(field: &'static str, wanted: &'static str, found: impl ToString) -> CheckResult {
     Err((field, wanted, found.to_string()))
 }
 
-fn share(field: &'static str, value: f64) -> Wrong {
-    if (0.0..=1.0).contains(&value) { Ok(()) } else { wrong(field, "a share from 0 to 1", value) }
+fn check_share(field: &'static str, value: f64) -> CheckResult {
+    if (0.0..=1.0).contains(&value) { Ok(()) } else { invalid(field, "a share from 0 to 1", value) }
 }
 
-fn over_zero(field: &'static str, value: f64) -> Wrong {
-    if value > 0.0 && value.is_finite() { Ok(()) } else { wrong(field, "a number over 0", value) }
+fn check_positive(field: &'static str, value: f64) -> CheckResult {
+    if value > 0.0 && value.is_finite() { Ok(()) } else { invalid(field, "a number over 0", value) }
 }
 
 /// What a fault does to the simulation, from its begin to its end.
@@ -175,7 +175,7 @@
 
 /// A kind of fault.
 pub(crate) trait FaultKind {
-    fn check(&self) -> Wrong {
+    fn check(&self) -> CheckResult {
         Ok(())
     }
     fn injection(&self, scheduled: &ScheduledFault) -> Injection<'_>;
@@ -212,7 +212,7 @@
         matches!(self, Self::Stall | Self::Crash(_))
     }
 
-    pub(crate) fn check(&self) -> Wrong {
+    pub(crate) fn check(&self) -> CheckResult {
         self.kind().check()
     }
 
--- a/crates/quillhub-simulator/src/faults/partial_snapshot.rs
+++ b/crates/quillhub-simulator/src/faults/partial_snapshot.rs
@@ -1,6 +1,6 @@
 //! Service discovery tells a whole list in which a share of the endpoints is missing, and the true one at its end.
 
-use super::{FaultKind, Injection, ScheduledFault, Wrong, share};
+use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_share};
 use serde::{Deserialize, Serialize};
 
 /// Service discovery tells a list that is not whole.
@@ -12,8 +12,8 @@
 }
 
 impl FaultKind for PartialSnapshot {
-    fn check(&self) -> Wrong {
-        share("what.partial.share", self.share)
+    fn check(&self) -> CheckResult {
+        check_share("what.partial.share", self.share)
     }
 
     fn injection(&self, _: &ScheduledFault) -> Injection<'_> {
--- a/crates/quillhub-simulator/src/faults/slow.rs
+++ b/crates/quillhub-simulator/src/faults/slow.rs
@@ -1,6 +1,6 @@
 //! Calls take so many times as long at endpoints.
 
-use super::{FaultKind, Injection, ScheduledFault, Wrong, over_zero};
+use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_positive};
 use crate::conditions::ServerFault;
 use serde::{Deserialize, Serialize};
 
@@ -13,8 +13,8 @@
 }
 
 impl FaultKind for Slow {
-    fn check(&self) -> Wrong {
-        over_zero("what.slow.factor", self.factor)
+    fn check(&self) -> CheckResult {
+        check_positive("what.slow.factor", self.factor)
     }
 
     fn injection(&self, _: &ScheduledFault) -> Injection<'_> {
--- a/crates/quillhub-simulator/src/faults/stale.rs
+++ b/crates/quillhub-simulator/src/faults/stale.rs
@@ -1,6 +1,6 @@
 //! A share of the kept connections is dead, which shows only when one is used.
 
-use super::{FaultKind, Injection, ScheduledFault, Wrong, share};
+use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_share};
 use crate::conditions::ServerFault;
 use serde::{Deserialize, Serialize};
 
@@ -13,8 +13,8 @@
 }
 
 impl FaultKind for Stale {
-    fn check(&self) -> Wrong {
-        share("what.stale.share", self.share)
+    fn check(&self) -> CheckResult {
+        check_share("what.stale.share", self.share)
     }
 
     fn injection(&self, _: &ScheduledFault) -> Injection<'_> {
--- a/crates/quillhub-simulator/src/faults/traffic_surge.rs
+++ b/crates/quillhub-simulator/src/faults/traffic_surge.rs
@@ -1,6 +1,6 @@
 //! So many times as many messages come: a flash crowd, or a hot caller where it names one stream.
 
-use super::{FaultKind, Injection, ScheduledFault, Wrong, over_zero};
+use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_positive};
 use serde::{Deserialize, Serialize};
 
 /// More messages come than usual.
@@ -15,8 +15,8 @@
 }
 
 impl FaultKind for TrafficSurge {
-    fn check(&self) -> Wrong {
-        over_zero("what.crowd.factor", self.factor)
+    fn check(&self) -> CheckResult {
+        check_positive("what.crowd.factor", self.factor)
     }
 
     fn injection(&self, _: &ScheduledFault) -> Injection<'_> {
