--- a/crates/quillhub-simulator/src/faults/mod.rs
+++ b/crates/quillhub-simulator/src/faults/mod.rs
@@ -43,7 +43,7 @@
 pub use slow::Slow;
 pub use stale::Stale;
 pub use target::Target;
-pub(crate) use target::chance_of_fault;
+pub(crate) use target::target_rng;
 pub use traffic_surge::TrafficSurge;
 
 /// A fault, when it begins and how long it lasts.
@@ -208,7 +208,7 @@
     }
 
     /// Whether the numbers of its [`Target`] are those of instances.
-    pub(crate) fn strikes_instances(&self) -> bool {
+    pub(crate) fn targets_instances(&self) -> bool {
         matches!(self, Self::Stall | Self::Crash(_))
     }
 
--- a/crates/quillhub-simulator/src/faults/target.rs
+++ b/crates/quillhub-simulator/src/faults/target.rs
@@ -42,6 +42,6 @@
 }
 
 /// The chance by which a fault picks: its own, so that the choice is the same whatever was decided before.
-pub(crate) fn chance_of_fault(seed: u64, fault: usize) -> Pcg64Mcg {
+pub(crate) fn target_rng(seed: u64, fault: usize) -> Pcg64Mcg {
     chance(seed, 1 << 48 | fault as u64)
 }
--- a/crates/quillhub-simulator/src/scenario/validation.rs
+++ b/crates/quillhub-simulator/src/scenario/validation.rs
@@ -179,7 +179,7 @@
 
     /// The highest number that the target of a fault may name.
     fn max_target_id(&self, scheduled: &ScheduledFault) -> usize {
-        if scheduled.fault.strikes_instances() {
+        if scheduled.fault.targets_instances() {
             return self.instances.count as usize;
         }
         self.destinations.iter().map(|kind| kind.count).sum()
--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -4,7 +4,7 @@
 use super::event::{DiscoveryFault, Entries, Event, ListChange};
 use crate::decider::Input;
 use crate::fact::Fact;
-use crate::faults::{Drain, ScheduledFault, chance_of_fault};
+use crate::faults::{Drain, ScheduledFault, target_rng};
 use crate::scenario::{DiscoveryForm, Rates};
 use quillhub::{DestinationId, EndpointState, EndpointUpdate};
 use rand::RngExt;
@@ -261,7 +261,7 @@
 
     /// Sends a list without a share of the endpoints that a fault strikes.
     pub(super) fn send_partial_snapshot(&mut self, fault: usize, scheduled: &ScheduledFault, share: f64) {
-        let mut rng = chance_of_fault(self.seed, fault);
+        let mut rng = target_rng(self.seed, fault);
         let struck: BTreeSet<_> = self.servers_struck(fault, &scheduled.target).into_iter().collect();
         let mut entries = self.discovery.snapshot();
         entries.retain(|(entry, _)| {
--- a/crates/quillhub-simulator/src/simulation/faults.rs
+++ b/crates/quillhub-simulator/src/simulation/faults.rs
@@ -5,7 +5,7 @@
 use super::instances::GossipFault;
 use crate::conditions::PathFault;
 use crate::fact::Fact;
-use crate::faults::{Injection, Target, chance_of_fault};
+use crate::faults::{Injection, Target, target_rng};
 use crate::network::ImpairedPath;
 use std::collections::BTreeSet;
 
@@ -75,7 +75,7 @@
             let zone = &self.scenario.instances.zones[self.instances[instance].zone];
             target.zone.as_ref().is_none_or(|wanted| wanted == zone)
         };
-        target.choose(self.instances.len(), in_zone, &mut chance_of_fault(self.seed, fault))
+        target.choose(self.instances.len(), in_zone, &mut target_rng(self.seed, fault))
     }
 
     fn relieve_servers(&mut self, fault: usize) {
--- a/crates/quillhub-simulator/src/site.rs
+++ b/crates/quillhub-simulator/src/site.rs
@@ -2,7 +2,7 @@
 //! that came. No events and no instances: the simulation drives it in virtual time, fakes drive it on sockets.
 
 use crate::conditions::ServerFault;
-use crate::faults::{Drain, Injection, Target, chance_of_fault};
+use crate::faults::{Drain, Injection, Target, target_rng};
 use crate::rate_limit::RateLimit;
 use crate::scenario::Scenario;
 use crate::server::{Route, Server, warmth};
@@ -305,7 +305,7 @@
             let first = self.of_destination[id].first();
             first.is_some_and(|at| target.kind.as_ref().is_none_or(|wanted| wanted == kind(*at)))
         };
-        let ids = target.choose(self.of_destination.len(), of_kind, &mut chance_of_fault(self.seed, number));
+        let ids = target.choose(self.of_destination.len(), of_kind, &mut target_rng(self.seed, number));
         let mut struck = Vec::new();
         for id in ids {
             let open = self.of_destination[id].iter().copied().filter(|at| open(*at));
