--- a/crates/quillhub-fakes/src/endpoints.rs
+++ b/crates/quillhub-fakes/src/endpoints.rs
@@ -119,7 +119,7 @@
     }
     for (number, scheduled) in scenario.faults.iter().enumerate() {
         let state = state.clone();
-        let (begin, end) = (started + scheduled.at, started + scheduled.at + scheduled.lasts);
+        let (begin, end) = (started + scheduled.start, started + scheduled.start + scheduled.duration);
         spawn_local(async move {
             sleep_until(begin).await;
             state.borrow_mut().begin_fault(number);
--- a/crates/quillhub-fakes/src/platform.rs
+++ b/crates/quillhub-fakes/src/platform.rs
@@ -127,7 +127,7 @@
     let site = Site::new(scenario, seed);
     for (number, scheduled) in scenario.faults.iter().enumerate() {
         let discovery = discovery.clone();
-        let (begin, end) = (started + scheduled.at, started + scheduled.at + scheduled.lasts);
+        let (begin, end) = (started + scheduled.start, started + scheduled.start + scheduled.duration);
         match site.socket_fault(number) {
             SocketFault::ByRegister => {
                 spawn_local(async move {
@@ -139,7 +139,7 @@
             }
             SocketFault::ByDrain(by) => {
                 let targets = site.struck(number, &scheduled.target, |_| true);
-                let each = scheduled.lasts / targets.len().max(1) as u32;
+                let each = scheduled.duration / targets.len().max(1) as u32;
                 for (nth, server) in targets.into_iter().enumerate() {
                     let (discovery, id) = (discovery.clone(), format!("e{}", server + 1));
                     spawn_local(async move {
--- a/crates/quillhub-simulator/src/clients.rs
+++ b/crates/quillhub-simulator/src/clients.rs
@@ -89,8 +89,11 @@
         let mut stream = Stream::new(stream_chance(seed, nth));
         let mut now = Duration::ZERO;
         loop {
-            let on =
-                scenario.faults.iter().enumerate().filter(|(_, f)| (f.at..f.at + f.lasts).contains(&now));
+            let on = scenario
+                .faults
+                .iter()
+                .enumerate()
+                .filter(|(_, f)| (f.start..f.start + f.duration).contains(&now));
             stream.factors = on.filter_map(|(number, f)| Some((number, f.surge_factor(nth)?))).collect();
             let Some((at, many)) = stream.next(of, now, scenario) else { break };
             now = at;
--- a/crates/quillhub-simulator/src/faults/mod.rs
+++ b/crates/quillhub-simulator/src/faults/mod.rs
@@ -51,11 +51,11 @@
 #[serde(deny_unknown_fields)]
 pub struct ScheduledFault {
     /// When it begins, since the start of the scenario.
-    #[serde(with = "humantime_serde")]
-    pub at: Duration,
+    #[serde(rename = "at", with = "humantime_serde")]
+    pub start: Duration,
     /// How long it lasts.
-    #[serde(with = "humantime_serde")]
-    pub lasts: Duration,
+    #[serde(rename = "lasts", with = "humantime_serde")]
+    pub duration: Duration,
     /// What it does.
     #[serde(rename = "what")]
     pub fault: Fault,
--- a/crates/quillhub-simulator/src/faults/shut.rs
+++ b/crates/quillhub-simulator/src/faults/shut.rs
@@ -17,7 +17,7 @@
 impl FaultKind for Shut {
     fn injection(&self, scheduled: &ScheduledFault) -> Injection<'_> {
         Injection::Servers(ServerFault::Shut {
-            until: self.sends_retry_after.then(|| scheduled.at + scheduled.lasts),
+            until: self.sends_retry_after.then(|| scheduled.start + scheduled.duration),
         })
     }
 }
--- a/crates/quillhub-simulator/src/scenario/validation.rs
+++ b/crates/quillhub-simulator/src/scenario/validation.rs
@@ -173,8 +173,8 @@
         if let Err((field, expected, found)) = scheduled.fault.check() {
             return Err(InvalidScenario::new(place(field), expected, found));
         }
-        let at = scheduled.at;
-        require(at <= self.length, place("at"), "an instant within the day", format!("{at:?}"))
+        let start = scheduled.start;
+        require(start <= self.length, place("at"), "an instant within the day", format!("{start:?}"))
     }
 
     /// The highest number that the target of a fault may name.
--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -287,7 +287,7 @@
         let struck: BTreeSet<_> = self.servers_struck(fault, &scheduled.target).into_iter().collect();
         let open = self.discovery.open().filter(|(_, entry)| struck.contains(&entry.server));
         let entries: Vec<_> = open.map(|(number, _)| number).collect();
-        let each = scheduled.lasts / entries.len().max(1) as u32;
+        let each = scheduled.duration / entries.len().max(1) as u32;
         for (nth, entry) in entries.into_iter().enumerate() {
             self.after(each * nth as u32, Event::DrainBegins { entry, drain: drain.clone() });
         }
--- a/crates/quillhub-simulator/src/simulation/faults.rs
+++ b/crates/quillhub-simulator/src/simulation/faults.rs
@@ -13,7 +13,7 @@
     pub(super) fn fault_begins(&mut self, fault: usize) {
         self.fact(&Fact::FaultChanged { number: fault, begins: true });
         let scheduled = &self.scenario.faults[fault];
-        let (target, until) = (&scheduled.target, scheduled.at + scheduled.lasts);
+        let (target, until) = (&scheduled.target, scheduled.start + scheduled.duration);
         match scheduled.fault.injection(scheduled) {
             Injection::Servers(server_fault) => {
                 for server in self.servers_struck(fault, target) {
--- a/crates/quillhub-simulator/src/simulation/mod.rs
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -127,8 +127,8 @@
             self.schedule_arrival(stream);
         }
         for (fault, scheduled) in self.scenario.faults.iter().enumerate() {
-            self.clock.at(scheduled.at, Event::FaultBegins { fault });
-            self.clock.at(scheduled.at + scheduled.lasts, Event::FaultEnds { fault });
+            self.clock.at(scheduled.start, Event::FaultBegins { fault });
+            self.clock.at(scheduled.start + scheduled.duration, Event::FaultEnds { fault });
         }
     }
 
