--- a/crates/quillhub-simulator/src/faults/delay.rs
+++ b/crates/quillhub-simulator/src/faults/delay.rs
@@ -10,8 +10,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Delay {
     /// How much longer one way takes.
-    #[serde(with = "humantime_serde")]
-    pub more: Duration,
+    #[serde(rename = "more", with = "humantime_serde")]
+    pub added_delay: Duration,
     /// The zone that it goes from; absent, any.
     #[serde(default)]
     pub from: Option<String>,
@@ -22,6 +22,6 @@
 
 impl FaultKind for Delay {
     fn injection(&self, _: &ScheduledFault) -> Injection<'_> {
-        Injection::Paths { from: &self.from, to: &self.to, kind: PathFault::Slower(self.more) }
+        Injection::Paths { from: &self.from, to: &self.to, kind: PathFault::Slower(self.added_delay) }
     }
 }
--- a/crates/quillhub-simulator/src/faults/handshake.rs
+++ b/crates/quillhub-simulator/src/faults/handshake.rs
@@ -10,12 +10,12 @@
 #[serde(deny_unknown_fields)]
 pub struct Handshake {
     /// How much longer opening a connection takes.
-    #[serde(with = "humantime_serde")]
-    pub more: Duration,
+    #[serde(rename = "more", with = "humantime_serde")]
+    pub added_delay: Duration,
 }
 
 impl FaultKind for Handshake {
     fn injection(&self, _: &ScheduledFault) -> Injection<'_> {
-        Injection::Servers(ServerFault::Handshake(self.more))
+        Injection::Servers(ServerFault::Handshake(self.added_delay))
     }
 }
