--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -109,7 +109,7 @@
     dispatcher.set_max_retry_after(Some(instances.max_retry_after));
     dispatcher.set_slow_start(rules.overload_factor, rules.initial_share, rules.warm_up);
     dispatcher.set_overload_tolerance(rules.overload_tolerance);
-    dispatcher.set_endpoint_idle_timeout(scenario.network.idle_close);
+    dispatcher.set_endpoint_idle_timeout(scenario.network.idle_timeout);
     dispatcher.allow_gossip(instances.gossip);
     dispatcher.set_ordering_pause(rules.ordering_pause);
     dispatcher
--- a/crates/quillhub-simulator/src/network.rs
+++ b/crates/quillhub-simulator/src/network.rs
@@ -46,7 +46,7 @@
 
     /// The time that one thing takes from zone to zone; nothing if it does not arrive.
     pub(crate) fn pass(&self, rng: &mut Pcg64Mcg, from: usize, to: usize) -> Option<Duration> {
-        let base = if from == to { self.network.within } else { self.network.between };
+        let base = if from == to { self.network.intra_zone_delay } else { self.network.inter_zone_delay };
         let mut time = base.mul_f64(1.0 + self.network.jitter.max(0.0) * rng.random::<f64>());
         for impaired in self.impaired.iter().filter(|impaired| impaired.is_between(from, to)) {
             match impaired.kind {
--- a/crates/quillhub-simulator/src/simulation/calls.rs
+++ b/crates/quillhub-simulator/src/simulation/calls.rs
@@ -45,7 +45,7 @@
         let server = self.calls[&number].server;
         let destination = self.site.servers[server].destination;
         self.record.tally.attempt_started(self.clock.now(), destination, attempt > 0);
-        self.site.servers[server].sweep(self.clock.now(), self.scenario.network.idle_close);
+        self.site.servers[server].sweep(self.clock.now(), self.scenario.network.idle_timeout);
         let gone = self.discovery.entries[entry].removed;
         if !gone && self.site.servers[server].reuse(instance) {
             self.call_on_kept_connection(number, timeout);
@@ -123,7 +123,7 @@
         let round_trip = self.round_trip(here, there);
         let network = &self.scenario.network;
         // Not up in time: nothing left, so nothing ran.
-        self.end_after(timeout.min(network.connecting), number, AttemptOutcome::ConnectFailed);
+        self.end_after(timeout.min(network.connect_timeout), number, AttemptOutcome::ConnectFailed);
         let server = &self.site.servers[self.calls[&number].server];
         let Some(round_trip) = round_trip.filter(|_| !server.silent()) else { return };
         let kind = &self.scenario.destinations[server.kind];
--- a/crates/quillhub-simulator/src/site.rs
+++ b/crates/quillhub-simulator/src/site.rs
@@ -255,7 +255,7 @@
 
     /// How long endpoints let a connection idle.
     pub fn idle_close(&self) -> Duration {
-        self.scenario.network.idle_close
+        self.scenario.network.idle_timeout
     }
 
     /// How often a server began anew: what it worked on before an outage is gone.
