--- a/crates/quillhub-fakes/src/configuration.rs
+++ b/crates/quillhub-fakes/src/configuration.rs
@@ -35,10 +35,10 @@
     let (instances, network, rules) = (&scenario.instances, &scenario.network, &scenario.rules);
     let watch = scenario.discovery.form == DiscoveryForm::Watch;
     let halving = scenario.service_classes.iter().all(|service_class| service_class.halving);
-    let reports = scenario.destinations.iter().any(|kind| kind.reports);
+    let reports = scenario.destinations.iter().any(|kind| kind.sends_load_reports);
     let names: &[&str] = if reports { &["x0", "x1"] } else { &[] };
     let kinds: Vec<_> = scenario.destinations.iter().map(|kind| &kind.kind).collect();
-    let apart: Vec<_> = scenario.destinations.iter().map(|kind| kind.routes_apart).collect();
+    let apart: Vec<_> = scenario.destinations.iter().map(|kind| kind.separate_routes).collect();
     let classes: Vec<_> = scenario.service_classes.iter().map(class).collect();
     json!({
         "listen": listen.to_string(),
--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -117,7 +117,7 @@
     for service_class in &scenario.service_classes {
         dispatcher.add_service_class(&service_class.name, service_class.service_class());
     }
-    for kind in scenario.destinations.iter().filter(|kind| kind.routes_apart) {
+    for kind in scenario.destinations.iter().filter(|kind| kind.separate_routes) {
         dispatcher.separate_routes(&kind.kind);
     }
     for tenant in &scenario.tenants {
--- a/crates/quillhub-simulator/src/scenario/destinations.rs
+++ b/crates/quillhub-simulator/src/scenario/destinations.rs
@@ -33,10 +33,11 @@
     #[serde(rename = "limit")]
     pub rate_limit: Option<RateLimitSpec>,
     /// Whether each endpoint has a limit, and returns, by itself.
-    #[serde(default)]
-    pub routes_apart: bool,
+    #[serde(rename = "routes_apart", default)]
+    pub separate_routes: bool,
     /// Connections that an endpoint takes, idle ones counted.
-    pub connections: Option<usize>,
+    #[serde(rename = "connections")]
+    pub max_connections: Option<usize>,
     /// Share of the messages' traffic that goes to this kind, against the other kinds' shares.
     #[serde(default = "one")]
     pub weight: f64,
@@ -44,11 +45,11 @@
     #[serde(default)]
     pub skew: f64,
     /// Whether answers hold a report on the limit, as it was up to `report_age` ago.
-    #[serde(default)]
-    pub reports: bool,
+    #[serde(rename = "reports", default)]
+    pub sends_load_reports: bool,
     /// How old what a report tells may be.
-    #[serde(default, with = "humantime_serde")]
-    pub report_age: Duration,
+    #[serde(rename = "report_age", default, with = "humantime_serde")]
+    pub load_report_age: Duration,
 }
 
 /// A law of chance for the time that a call takes.
--- a/crates/quillhub-simulator/src/server.rs
+++ b/crates/quillhub-simulator/src/server.rs
@@ -156,7 +156,7 @@
     /// Whether one more connection fits.
     pub(crate) fn has_place(&self, kind: &Destinations) -> bool {
         let idle: usize = self.idle.values().map(Vec::len).sum();
-        kind.connections.is_none_or(|most| self.open + idle < most)
+        kind.max_connections.is_none_or(|most| self.open + idle < most)
     }
 
     /// Takes the connection of that instance that idled the shortest.
--- a/crates/quillhub-simulator/src/simulation/calls.rs
+++ b/crates/quillhub-simulator/src/simulation/calls.rs
@@ -128,7 +128,7 @@
         let Some(round_trip) = round_trip.filter(|_| !server.silent()) else { return };
         let kind = &self.scenario.destinations[server.kind];
         let has_place = server.has_place(kind);
-        if gone || server.refuses() || !has_place && !kind.reports {
+        if gone || server.refuses() || !has_place && !kind.sends_load_reports {
             self.end_after(round_trip, number, AttemptOutcome::ConnectFailed);
         } else if !has_place {
             // The connection comes up, and its first call is rejected without a report.
--- a/crates/quillhub-simulator/src/site.rs
+++ b/crates/quillhub-simulator/src/site.rs
@@ -124,7 +124,7 @@
                 let pace = of.spread.powf(rng.random_range(-1.0..=1.0));
                 site.rough.push(rng.random_range(0.5..1.5));
                 for nth in 0..of.endpoints {
-                    if nth == 0 || of.routes_apart {
+                    if nth == 0 || of.separate_routes {
                         let rate_limit = of.rate_limit.map(RateLimit::new);
                         site.routes.push(Route::new(rate_limit));
                     }
@@ -250,7 +250,7 @@
 
     /// Connections that a server takes, idle ones counted, where it has a bound.
     pub fn connections(&self, at: usize) -> Option<usize> {
-        self.scenario.destinations[self.servers[at].kind].connections
+        self.scenario.destinations[self.servers[at].kind].max_connections
     }
 
     /// How long endpoints let a connection idle.
@@ -272,8 +272,8 @@
     pub fn load_report(&mut self, at: usize, now: Duration) -> Option<LoadReport> {
         let server = &self.servers[at];
         let kind = &self.scenario.destinations[server.kind];
-        kind.reports.then(|| match &mut self.routes[server.route].rate_limit {
-            Some(limit) => limit.load_report(now, kind.report_age),
+        kind.sends_load_reports.then(|| match &mut self.routes[server.route].rate_limit {
+            Some(limit) => limit.load_report(now, kind.load_report_age),
             None => LoadReport { remaining_share: 1.0, rate_limit: 0.0 },
         })
     }
