--- a/crates/quillhub-simulator/src/rate_limit.rs
+++ b/crates/quillhub-simulator/src/rate_limit.rs
@@ -23,14 +23,14 @@
     }
 
     fn most(&self) -> f64 {
-        match self.of.span {
+        match self.of.window {
             Some(span) => (self.of.per_s * span.as_secs_f64()).floor(),
             None => self.of.per_s.max(1.0), // a burst of one second
         }
     }
 
     fn fill(&mut self, now: Duration) {
-        match self.of.span {
+        match self.of.window {
             Some(span) => {
                 let begun = span * (now.as_nanos() / span.as_nanos()) as u32;
                 if begun > self.since {
@@ -56,7 +56,7 @@
         if self.of.counts_rejected {
             self.left = (self.left - 1.0).max(-self.most());
         }
-        Err(match self.of.span {
+        Err(match self.of.window {
             Some(span) => self.since + span - now,
             None => Duration::from_secs_f64((1.0 - self.left) / self.of.per_s),
         })
--- a/crates/quillhub-simulator/src/rate_limit_tests.rs
+++ b/crates/quillhub-simulator/src/rate_limit_tests.rs
@@ -10,7 +10,7 @@
 fn a_span_takes_its_count_and_tells_its_end() {
     let of = RateLimitSpec {
         per_s: 5.0,
-        span: Some(Duration::from_secs(2)),
+        window: Some(Duration::from_secs(2)),
         retry_after_share: 1.0,
         counts_rejected: false,
     };
@@ -26,7 +26,7 @@
 
 #[test]
 fn where_refused_calls_count_a_limit_that_is_overrun_lets_nothing_in() {
-    let of = RateLimitSpec { per_s: 4.0, span: None, retry_after_share: 0.0, counts_rejected: true };
+    let of = RateLimitSpec { per_s: 4.0, window: None, retry_after_share: 0.0, counts_rejected: true };
     let mut limit = RateLimit::new(of);
     let mut let_in = |per_s: u64, from: u64| {
         let at = (0..per_s * 10).map(|nth| Duration::from_millis(from + nth * 1_000 / per_s));
@@ -41,7 +41,7 @@
 fn a_rate_saves_up_one_second_and_tells_when_the_next_fits() {
     let mut limit = RateLimit::new(RateLimitSpec {
         per_s: 4.0,
-        span: None,
+        window: None,
         retry_after_share: 1.0,
         counts_rejected: false,
     });
--- a/crates/quillhub-simulator/src/scenario/destinations.rs
+++ b/crates/quillhub-simulator/src/scenario/destinations.rs
@@ -110,8 +110,8 @@
     /// Calls a second.
     pub per_s: f64,
     /// Counted in spans that begin one after the other; absent, a plain rate with a burst of one second.
-    #[serde(default, with = "humantime_serde")]
-    pub span: Option<Duration>,
+    #[serde(rename = "span", default, with = "humantime_serde")]
+    pub window: Option<Duration>,
     /// Share of the refusals that tell how long to wait.
     #[serde(default)]
     #[serde(rename = "tells")]
--- a/crates/quillhub-simulator/src/scenario/validation.rs
+++ b/crates/quillhub-simulator/src/scenario/validation.rs
@@ -191,9 +191,9 @@
     require_share(place("limit.tells"), limit.retry_after_share)?;
     let per_s = limit.per_s;
     require(per_s.is_finite() && per_s > 0.0, place("limit.per_s"), "a rate over 0", per_s)?;
-    let Some(span) = limit.span else { return Ok(()) };
-    let found = format!("{span:?} at {per_s} a second");
-    let fits_one = span.as_secs_f64() * per_s >= 1.0;
+    let Some(window) = limit.window else { return Ok(()) };
+    let found = format!("{window:?} at {per_s} a second");
+    let fits_one = window.as_secs_f64() * per_s >= 1.0;
     require(fits_one, place("limit.span"), "a span in which one call fits", found)
 }
 
