--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -121,7 +121,7 @@
         dispatcher.separate_routes(&kind.kind);
     }
     for tenant in &scenario.tenants {
-        dispatcher.add_tenant(&tenant.name, tenant.per_s, tenant.over_share);
+        dispatcher.add_tenant(&tenant.name, tenant.per_s, tenant.excess_value_share);
     }
     Box::new(dispatcher)
 }
--- a/crates/quillhub-simulator/src/scenario/mod.rs
+++ b/crates/quillhub-simulator/src/scenario/mod.rs
@@ -73,8 +73,8 @@
     /// Its quota.
     pub per_s: f64,
     /// Share of their value that messages over the quota have.
-    #[serde(default = "one")]
-    pub over_share: f64,
+    #[serde(rename = "over_share", default = "one")]
+    pub excess_value_share: f64,
 }
 
 fn one() -> f64 {
