--- a/crates/quillhub-simulator/src/scenario/clients.rs
+++ b/crates/quillhub-simulator/src/scenario/clients.rs
@@ -17,11 +17,11 @@
     /// For so long the front goes on sending to an instance that died.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "notices_dead")]
-    pub death_noticed_after: Duration,
+    pub failure_detection_delay: Duration,
 }
 
 impl Default for Clients {
     fn default() -> Self {
-        Self { retries: 3, backoff: Duration::from_secs(1), death_noticed_after: Duration::from_secs(2) }
+        Self { retries: 3, backoff: Duration::from_secs(1), failure_detection_delay: Duration::from_secs(2) }
     }
 }
--- a/crates/quillhub-simulator/src/simulation/restarts.rs
+++ b/crates/quillhub-simulator/src/simulation/restarts.rs
@@ -69,7 +69,7 @@
         host.incarnation += 1;
         host.watches = false;
         host.stalled_until = now;
-        host.trusted_until = now + self.scenario.clients.death_noticed_after;
+        host.trusted_until = now + self.scenario.clients.failure_detection_delay;
         if state_kept { BTreeMap::new() } else { std::mem::take(&mut host.pending) }
     }
 
