--- a/crates/quillhub-simulator/src/clients.rs
+++ b/crates/quillhub-simulator/src/clients.rs
@@ -164,30 +164,30 @@
                 (at.max(now), 1)
             }
             Pattern::Even => (now + Duration::from_secs_f64(1.0 / rate), 1),
-            Pattern::Bursts { of } => {
-                let more = if *of > 1.0 {
-                    Poisson::new(of - 1.0).expect("checked").sample(&mut self.rng)
+            Pattern::Bursts { mean_size } => {
+                let more = if *mean_size > 1.0 {
+                    Poisson::new(mean_size - 1.0).expect("checked").sample(&mut self.rng)
                 } else {
                     0.0
                 };
-                (now + exp(&mut self.rng, rate / of), 1 + more as u64)
+                (now + exp(&mut self.rng, rate / mean_size), 1 + more as u64)
             }
-            Pattern::Daily { every, depth } => {
+            Pattern::Daily { period, depth } => {
                 // Thinned from the highest rate: exact, whatever the wave.
                 let mut at = now;
                 loop {
                     at += exp(&mut self.rng, rate * (1.0 + depth));
-                    let part = at.as_secs_f64() / every.as_secs_f64() * std::f64::consts::TAU;
+                    let part = at.as_secs_f64() / period.as_secs_f64() * std::f64::consts::TAU;
                     if self.rng.random::<f64>() * (1.0 + depth) <= 1.0 - depth * part.cos() {
                         break (at, 1);
                     }
                 }
             }
-            Pattern::Part { every, from } => {
-                let part = (*every - *from).as_secs_f64();
-                let each = rate * every.as_secs_f64(); // all of a span's messages come in its part
+            Pattern::Part { period, active_from } => {
+                let part = (*period - *active_from).as_secs_f64();
+                let each = rate * period.as_secs_f64(); // all of a span's messages come in its part
                 let nth = (self.count - 1) as f64 / each;
-                let at = every.as_secs_f64() * nth.floor() + from.as_secs_f64() + part * nth.fract();
+                let at = period.as_secs_f64() * nth.floor() + active_from.as_secs_f64() + part * nth.fract();
                 (of.from + Duration::from_secs_f64(at), 1)
             }
         };
--- a/crates/quillhub-simulator/src/scenario/arrivals.rs
+++ b/crates/quillhub-simulator/src/scenario/arrivals.rs
@@ -14,24 +14,25 @@
     /// Clumps for one destination: `of` at once on average.
     Bursts {
         /// Messages that come at once, on average.
-        of: f64,
+        #[serde(rename = "of")]
+        mean_size: f64,
     },
     /// A wave round `per_s`, from `1 - depth` to `1 + depth` times it.
     Daily {
         /// The length of one wave.
-        #[serde(with = "humantime_serde")]
-        every: Duration,
+        #[serde(rename = "every", with = "humantime_serde")]
+        period: Duration,
         /// How far the wave goes up and down, as a share of the rate.
         depth: f64,
     },
     /// Evenly, but only in the part of each `every` that begins at `from`.
     Part {
         /// The length of one span.
-        #[serde(with = "humantime_serde")]
-        every: Duration,
+        #[serde(rename = "every", with = "humantime_serde")]
+        period: Duration,
         /// Where in each span its part begins.
-        #[serde(with = "humantime_serde")]
-        from: Duration,
+        #[serde(rename = "from", with = "humantime_serde")]
+        active_from: Duration,
     },
 }
 
--- a/crates/quillhub-simulator/src/scenario/validation.rs
+++ b/crates/quillhub-simulator/src/scenario/validation.rs
@@ -199,11 +199,16 @@
 
 fn check_pattern(pattern: &Pattern, place: impl Fn(&str) -> String) -> Checked {
     match pattern {
-        Pattern::Bursts { of } => require(*of >= 1.0 && of.is_finite(), place("pattern.of"), "1 or more", of),
-        Pattern::Daily { depth, .. } => require_share(place("pattern.depth"), *depth),
-        Pattern::Part { every, from } => {
-            require(from < every, place("pattern.from"), "less than every", format!("{from:?}"))
+        Pattern::Bursts { mean_size } => {
+            require(*mean_size >= 1.0 && mean_size.is_finite(), place("pattern.of"), "1 or more", mean_size)
         }
+        Pattern::Daily { depth, .. } => require_share(place("pattern.depth"), *depth),
+        Pattern::Part { period, active_from } => require(
+            active_from < period,
+            place("pattern.from"),
+            "less than every",
+            format!("{active_from:?}"),
+        ),
         Pattern::Poisson | Pattern::Even => Ok(()),
     }
 }
