--- a/crates/quillhub-simulator/src/clients.rs
+++ b/crates/quillhub-simulator/src/clients.rs
@@ -138,7 +138,8 @@
             Some(name) => scenario.service_classes.iter().position(|g| g.name == *name).expect("checked"),
             None => self.rng.random_range(0..scenario.service_classes.len()),
         };
-        let key = (of.keys > 0).then(|| (nth as u64) << 32 | self.rng.random_range(0..of.keys));
+        let key =
+            (of.ordering_keys > 0).then(|| (nth as u64) << 32 | self.rng.random_range(0..of.ordering_keys));
         (service_class, key)
     }
 
--- a/crates/quillhub-simulator/src/scenario/arrivals.rs
+++ b/crates/quillhub-simulator/src/scenario/arrivals.rs
@@ -54,8 +54,8 @@
     /// Its tenant, and the number of ordering keys in use.
     pub tenant: Option<String>,
     /// How many ordering keys are in use; 0 for none.
-    #[serde(default)]
-    pub keys: u64,
+    #[serde(rename = "keys", default)]
+    pub ordering_keys: u64,
     /// A sidecar's stream: all goes to the instance of this number.
     #[serde(rename = "courier")]
     pub instance: Option<u32>,
