--- a/crates/quillhub-simulator/src/faults/drain.rs
+++ b/crates/quillhub-simulator/src/faults/drain.rs
@@ -10,21 +10,21 @@
 #[serde(deny_unknown_fields)]
 pub struct Drain {
     /// From the drain of one endpoint to its end.
-    #[serde(default = "two_seconds", with = "humantime_serde")]
+    #[serde(default = "default_gone_after", with = "humantime_serde")]
     pub gone_after: Duration,
     /// Whether a new endpoint takes its place.
-    #[serde(default = "yes")]
+    #[serde(default = "default_replaced")]
     pub replaced: bool,
     /// Whether the new one stands at the old one's address, where calls to the old id still arrive.
     #[serde(default)]
     pub same_address: bool,
 }
 
-fn two_seconds() -> Duration {
+fn default_gone_after() -> Duration {
     Duration::from_secs(2)
 }
 
-fn yes() -> bool {
+fn default_replaced() -> bool {
     true
 }
 
--- a/crates/quillhub-simulator/src/scenario/arrivals.rs
+++ b/crates/quillhub-simulator/src/scenario/arrivals.rs
@@ -43,7 +43,7 @@
     /// Messages a second, on average.
     pub per_s: f64,
     /// When they come.
-    #[serde(default = "poisson")]
+    #[serde(default = "default_pattern")]
     pub pattern: Pattern,
     /// Its service class; absent, all service classes in turn.
     #[serde(rename = "grade")]
@@ -67,6 +67,6 @@
     pub until: Option<Duration>,
 }
 
-fn poisson() -> Pattern {
+fn default_pattern() -> Pattern {
     Pattern::Poisson
 }
--- a/crates/quillhub-simulator/src/scenario/destinations.rs
+++ b/crates/quillhub-simulator/src/scenario/destinations.rs
@@ -1,6 +1,6 @@
 //! Destinations by kind: their endpoints, the time that their calls take, and their rate limits.
 
-use super::one;
+use super::default_one;
 use rand::Rng;
 use rand_distr::{Distribution, Exp, Gamma, LogNormal, Pareto};
 use serde::{Deserialize, Serialize};
@@ -13,21 +13,21 @@
     /// Its name.
     pub kind: String,
     /// How many destinations there are of this kind.
-    #[serde(default = "one_of")]
+    #[serde(default = "default_count")]
     pub count: usize,
     /// Of each destination.
-    #[serde(default = "one_of")]
+    #[serde(default = "default_count")]
     pub endpoints: usize,
     /// Calls that an endpoint works on at once, and that wait there; what comes beyond is rejected as full.
-    #[serde(default = "eight")]
+    #[serde(default = "default_workers")]
     pub workers: usize,
     /// Calls that wait at an endpoint for a worker.
-    #[serde(default = "sixty_four")]
+    #[serde(default = "default_queue")]
     pub queue: usize,
     /// The time that a call takes.
     pub service: Service,
     /// Some are slower than others: by even chance up to so many times, or a part as long.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub spread: f64,
     /// What instances may send, where that is limited.
     #[serde(rename = "limit")]
@@ -39,7 +39,7 @@
     #[serde(rename = "connections")]
     pub max_connections: Option<usize>,
     /// Share of the messages' traffic that goes to this kind, against the other kinds' shares.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub weight: f64,
     /// Within the kind the k-th busiest gets 1/k^skew of what the busiest gets; 0 spreads evenly.
     #[serde(default)]
@@ -76,10 +76,10 @@
     #[serde(with = "humantime_serde")]
     pub mean: Duration,
     /// The law.
-    #[serde(default = "lognormal")]
+    #[serde(default = "default_law")]
     pub law: Law,
     /// Standard deviation over mean, for the laws that take one; over 0.
-    #[serde(default = "half")]
+    #[serde(default = "default_cv")]
     pub cv: f64,
 }
 
@@ -122,22 +122,22 @@
     pub counts_rejected: bool,
 }
 
-fn half() -> f64 {
+fn default_cv() -> f64 {
     0.5
 }
 
-fn one_of() -> usize {
+fn default_count() -> usize {
     1
 }
 
-fn eight() -> usize {
+fn default_workers() -> usize {
     8
 }
 
-fn sixty_four() -> usize {
+fn default_queue() -> usize {
     64
 }
 
-fn lognormal() -> Law {
+fn default_law() -> Law {
     Law::LogNormal
 }
--- a/crates/quillhub-simulator/src/scenario/mod.rs
+++ b/crates/quillhub-simulator/src/scenario/mod.rs
@@ -73,10 +73,10 @@
     /// Its quota.
     pub per_s: f64,
     /// Share of their value that messages over the quota have.
-    #[serde(rename = "over_share", default = "one")]
+    #[serde(rename = "over_share", default = "default_one")]
     pub excess_value_share: f64,
 }
 
-fn one() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
--- a/crates/quillhub-simulator/src/scenario/service_class.rs
+++ b/crates/quillhub-simulator/src/scenario/service_class.rs
@@ -1,6 +1,6 @@
 //! Service classes: until when a message is needed, what it is worth, and what a retry of it may do.
 
-use super::one;
+use super::default_one;
 use quillhub::{RetrySafety, ServiceClass, ValueDecay};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -46,7 +46,7 @@
     #[serde(rename = "limit")]
     pub deadline: Duration,
     /// Value of a message delivered within its soft deadline, in units of the experiment's own.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     #[serde(rename = "earnings")]
     pub value: f64,
     /// Share of the value that is left at the deadline.
