--- a/crates/quillhub-simulator/src/conditions.rs
+++ b/crates/quillhub-simulator/src/conditions.rs
@@ -12,7 +12,7 @@
     /// Nothing at all comes back, not even for a connection.
     Silent,
     /// Such a share of the calls fails at once.
-    Errs(f64),
+    Fails(f64),
     /// All calls are rejected, with a retry-after until then if there is one.
     Shut { until: Option<Duration> },
     /// Calls take so many times as long.
@@ -30,7 +30,7 @@
     pub(crate) fn is_outage(self) -> bool {
         match self {
             Self::Refuses | Self::Hangs | Self::Silent | Self::Shut { .. } => true,
-            Self::Errs(share) => share > 0.5,
+            Self::Fails(share) => share > 0.5,
             _ => false,
         }
     }
--- a/crates/quillhub-simulator/src/faults/errors.rs
+++ b/crates/quillhub-simulator/src/faults/errors.rs
@@ -18,6 +18,6 @@
     }
 
     fn injection(&self, _: &ScheduledFault) -> Injection<'_> {
-        Injection::Servers(ServerFault::Errs(self.share))
+        Injection::Servers(ServerFault::Fails(self.share))
     }
 }
--- a/crates/quillhub-simulator/src/server.rs
+++ b/crates/quillhub-simulator/src/server.rs
@@ -124,7 +124,7 @@
     }
 
     pub(crate) fn errs(&self) -> f64 {
-        1.0 - self.spared(|t| if let ServerFault::Errs(share) = t { Some(*share) } else { None })
+        1.0 - self.spared(|t| if let ServerFault::Fails(share) = t { Some(*share) } else { None })
     }
 
     pub(crate) fn response_loss(&self) -> f64 {
--- a/crates/quillhub-simulator/src/server_tests.rs
+++ b/crates/quillhub-simulator/src/server_tests.rs
@@ -26,9 +26,9 @@
 fn faults_compose() {
     let mut server = Server::new(0, 0, 0, 0, 1.0);
     server.faults =
-        vec![(0, ServerFault::Slow(2.0)), (1, ServerFault::Slow(3.0)), (2, ServerFault::Errs(0.5))];
+        vec![(0, ServerFault::Slow(2.0)), (1, ServerFault::Slow(3.0)), (2, ServerFault::Fails(0.5))];
     assert_eq!((server.slow(), server.errs(), server.is_out()), (6.0, 0.5, false));
-    server.faults.push((3, ServerFault::Errs(0.5)));
+    server.faults.push((3, ServerFault::Fails(0.5)));
     assert_eq!(server.errs(), 0.75);
     server.faults.retain(|(fault, _)| *fault != 0);
     assert_eq!(server.slow(), 3.0);
