--- a/crates/quillhub-experiments/src/results.rs
+++ b/crates/quillhub-experiments/src/results.rs
@@ -51,12 +51,12 @@
     let asked = tally.submitted.max(1) as f64;
     let time = |quantile: f64| tally.latency.value_at_quantile(quantile) as f64 / 1e6;
     [
-        ("earned", tally.share()),
-        ("worst 10 s", tally.worst_ten()),
-        ("worst grade", tally.worst_service_class()),
+        ("earned", tally.delivered_value_share()),
+        ("worst 10 s", tally.worst_ten_second_share()),
+        ("worst grade", tally.worst_service_class_share()),
         ("handled", tally.delivered as f64 / asked),
         ("in contract", tally.within_soft_deadline as f64 / asked),
-        ("sends each", tally.attempts_each()),
+        ("sends each", tally.attempts_per_message()),
         ("repeats each", tally.retries as f64 / asked),
         ("turned away each", tally.rejected_calls as f64 / asked),
         ("connections each", tally.connections as f64 / asked),
@@ -88,10 +88,12 @@
     let rows = seconds.chunks(each);
     let sum = |of: &dyn Fn(&quillhub_simulator::Second) -> f64| {
         rows.clone()
-            .map(|row| round(row.iter().map(of).sum::<f64>() / row.len() as f64 / report.tally.row_s as f64))
+            .map(|row| {
+                round(row.iter().map(of).sum::<f64>() / row.len() as f64 / report.tally.secs_per_row as f64)
+            })
             .collect()
     };
-    let at = (0..rows.len()).map(|row| (row * each) as f64 * report.tally.row_s as f64).collect();
+    let at = (0..rows.len()).map(|row| (row * each) as f64 * report.tally.secs_per_row as f64).collect();
     [
         ("at s", at),
         ("asked", sum(&|s| f64::from(s.submitted))),
@@ -99,7 +101,7 @@
         ("repeats", sum(&|s| f64::from(s.retries))),
         ("handled", sum(&|s| f64::from(s.delivered))),
         ("denied", sum(&|s| f64::from(s.rejected + s.abandoned))),
-        ("held", sum(&|s| s.pending as f64 * report.tally.row_s as f64)),
+        ("held", sum(&|s| s.pending as f64 * report.tally.secs_per_row as f64)),
     ]
     .map(|(name, row): (&str, Vec<f64>)| (name.into(), row))
     .into()
--- a/crates/quillhub-simulator/src/tally.rs
+++ b/crates/quillhub-simulator/src/tally.rs
@@ -44,7 +44,7 @@
     /// The rows, from the start of the run on.
     pub seconds: Vec<Second>,
     /// Seconds of each row.
-    pub row_s: u64,
+    pub secs_per_row: u64,
     /// Messages that came.
     pub submitted: u64,
     /// Messages delivered.
@@ -58,7 +58,7 @@
     /// Value of all messages that came.
     pub submitted_value: f64,
     /// By service class: value submitted, and value delivered.
-    pub by_service_class: Vec<(f64, f64)>,
+    pub value_by_service_class: Vec<(f64, f64)>,
     /// First attempts.
     pub first_attempts: u64,
     /// Retries.
@@ -86,7 +86,7 @@
     pub max_pending: i64,
     pending: i64,
     /// Attempts by destination.
-    pub by_destination: Vec<u64>,
+    pub attempts_by_destination: Vec<u64>,
 }
 
 /// Rows of a run's course: a day of seconds.
@@ -107,14 +107,14 @@
                 .map(|service_class| service_class.service_class())
                 .collect(),
             seconds: Vec::new(),
-            row_s: (scenario.length.as_secs() / MAX_ROWS).max(1),
+            secs_per_row: (scenario.length.as_secs() / MAX_ROWS).max(1),
             submitted: 0,
             delivered: 0,
             within_soft_deadline: 0,
             unserved: 0,
             earned: 0.0,
             submitted_value: 0.0,
-            by_service_class: vec![(0.0, 0.0); scenario.service_classes.len()],
+            value_by_service_class: vec![(0.0, 0.0); scenario.service_classes.len()],
             first_attempts: 0,
             retries: 0,
             rejected_calls: 0,
@@ -128,12 +128,12 @@
             queueing: histogram(),
             max_pending: 0,
             pending: 0,
-            by_destination: vec![0; destinations],
+            attempts_by_destination: vec![0; destinations],
         }
     }
 
     fn second(&mut self, at: Duration) -> &mut Second {
-        let nth = (at.as_secs() / self.row_s) as usize;
+        let nth = (at.as_secs() / self.secs_per_row) as usize;
         if self.seconds.len() <= nth {
             let pending = self.pending;
             self.seconds.resize(nth + 1, Second { pending, ..Second::default() });
@@ -145,7 +145,7 @@
         let value = self.value[service_class];
         self.submitted += 1;
         self.submitted_value += value;
-        self.by_service_class[service_class].0 += value;
+        self.value_by_service_class[service_class].0 += value;
         let second = self.second(now);
         second.submitted += 1;
         second.value += value;
@@ -162,13 +162,13 @@
         self.delivered += 1;
         self.within_soft_deadline += u64::from(age <= self.service_classes[service_class].soft_deadline);
         self.earned += earned;
-        self.by_service_class[service_class].1 += earned;
+        self.value_by_service_class[service_class].1 += earned;
         self.latency.saturating_record((age.as_micros() as u64).max(1));
         self.second(born).earned += earned;
     }
 
     pub(crate) fn attempt_started(&mut self, now: Duration, destination: usize, is_retry: bool) {
-        self.by_destination[destination] += 1;
+        self.attempts_by_destination[destination] += 1;
         *(if is_retry { &mut self.retries } else { &mut self.first_attempts }) += 1;
         let second = self.second(now);
         *(if is_retry { &mut second.retries } else { &mut second.first_attempts }) += 1;
@@ -204,13 +204,13 @@
     }
 
     /// The share of the submitted value that was delivered.
-    pub fn share(&self) -> f64 {
+    pub fn delivered_value_share(&self) -> f64 {
         self.earned / self.submitted_value.max(f64::MIN_POSITIVE)
     }
 
     /// The same of what was asked for in the worst ten seconds in a row.
-    pub fn worst_ten(&self) -> f64 {
-        let sums = self.seconds.windows(10u64.div_ceil(self.row_s) as usize).map(|w| {
+    pub fn worst_ten_second_share(&self) -> f64 {
+        let sums = self.seconds.windows(10u64.div_ceil(self.secs_per_row) as usize).map(|w| {
             let submitted: f64 = w.iter().map(|s| s.value).sum();
             (w.iter().map(|s| s.earned).sum::<f64>(), submitted)
         });
@@ -219,17 +219,17 @@
         let busy = sums.filter(|(_, submitted)| *submitted > usual);
         busy.map(|(earned, submitted)| earned / submitted)
             .min_by(f64::total_cmp)
-            .unwrap_or_else(|| self.share())
+            .unwrap_or_else(|| self.delivered_value_share())
     }
 
     /// The same of the worst-served service class.
-    pub fn worst_service_class(&self) -> f64 {
-        let shares = self.by_service_class.iter().filter(|g| g.0 > 0.0).map(|g| g.1 / g.0);
+    pub fn worst_service_class_share(&self) -> f64 {
+        let shares = self.value_by_service_class.iter().filter(|g| g.0 > 0.0).map(|g| g.1 / g.0);
         shares.min_by(f64::total_cmp).unwrap_or(1.0)
     }
 
     /// Attempts for each submitted message.
-    pub fn attempts_each(&self) -> f64 {
+    pub fn attempts_per_message(&self) -> f64 {
         (self.first_attempts + self.retries) as f64 / self.submitted.max(1) as f64
     }
 }
