--- a/crates/quillhub-experiments/tests/simulation.rs
+++ b/crates/quillhub-experiments/tests/simulation.rs
@@ -54,8 +54,11 @@
 /// Whether the mean wait over 20 seeds lies within 99% confidence of theory's.
 fn agrees(workers: usize, rate: f64) {
     let planned = queue(workers, rate);
-    let waits: Vec<_> =
-        planned.runs().iter().map(|run| planned.play(run, |_, _| {}).tally.queueing.mean() / 1e6).collect();
+    let waits: Vec<_> = planned
+        .runs()
+        .iter()
+        .map(|run| planned.play(run, |_, _| {}).tally.queueing_time.mean() / 1e6)
+        .collect();
     let (mean, deviation) = mean(&waits);
     let expected = erlang_wait(workers, rate, 0.02);
     let margin = 2.861 * deviation / (waits.len() as f64).sqrt(); // Student's t, 19 degrees of freedom
--- a/crates/quillhub-simulator/src/simulation/clients.rs
+++ b/crates/quillhub-simulator/src/simulation/clients.rs
@@ -145,14 +145,14 @@
 
     fn delivered(&mut self, number: u64) {
         if let Some(request) = self.requests.remove(&number) {
-            self.record.tally.over(self.clock.now(), request.service_class, request.born, true);
+            self.record.tally.request_finished(self.clock.now(), request.service_class, request.born, true);
         }
     }
 
     /// Its client gives a message up, or it is lost.
     pub(super) fn unserved(&mut self, number: u64) {
         if let Some(request) = self.requests.remove(&number) {
-            self.record.tally.over(self.clock.now(), request.service_class, request.born, false);
+            self.record.tally.request_finished(self.clock.now(), request.service_class, request.born, false);
         }
     }
 
--- a/crates/quillhub-simulator/src/simulation/servers.rs
+++ b/crates/quillhub-simulator/src/simulation/servers.rs
@@ -67,7 +67,7 @@
     fn begin(&mut self, number: u64, server: usize) {
         let time = self.site.begins(server, self.clock.now(), &mut self.rng);
         if let Some(call) = self.calls.get(&number) {
-            self.record.tally.queued(self.clock.now() - call.started);
+            self.record.tally.work_started(self.clock.now() - call.started);
         }
         let effect = time.mul_f64(self.rng.random());
         self.after(effect, Event::TakesEffect { call: number });
--- a/crates/quillhub-simulator/src/tally.rs
+++ b/crates/quillhub-simulator/src/tally.rs
@@ -81,7 +81,7 @@
     /// From a message's first submission to when its client hears that it is delivered, in microseconds.
     pub latency: Histogram<u64>,
     /// From an attempt's decision to when a worker takes it up, in microseconds.
-    pub queueing: Histogram<u64>,
+    pub queueing_time: Histogram<u64>,
     /// Most messages pending at once.
     pub max_pending: i64,
     pending: i64,
@@ -125,7 +125,7 @@
             deduplicated: 0,
             duplicate_effects: 0,
             latency: histogram(),
-            queueing: histogram(),
+            queueing_time: histogram(),
             max_pending: 0,
             pending: 0,
             attempts_by_destination: vec![0; destinations],
@@ -152,7 +152,13 @@
     }
 
     /// A message is over for its client.
-    pub(crate) fn over(&mut self, now: Duration, service_class: usize, born: Duration, delivered: bool) {
+    pub(crate) fn request_finished(
+        &mut self,
+        now: Duration,
+        service_class: usize,
+        born: Duration,
+        delivered: bool,
+    ) {
         if !delivered {
             self.unserved += 1;
             return;
@@ -174,8 +180,8 @@
         *(if is_retry { &mut second.retries } else { &mut second.first_attempts }) += 1;
     }
 
-    pub(crate) fn queued(&mut self, time: Duration) {
-        self.queueing.saturating_record((time.as_micros() as u64).max(1));
+    pub(crate) fn work_started(&mut self, queueing_time: Duration) {
+        self.queueing_time.saturating_record((queueing_time.as_micros() as u64).max(1));
     }
 
     pub(crate) fn record(&mut self, now: Duration, fact: &Fact) {
