--- a/crates/quillhub-simulator/src/tally.rs
+++ b/crates/quillhub-simulator/src/tally.rs
@@ -133,12 +133,12 @@
     }
 
     fn second(&mut self, at: Duration) -> &mut Second {
-        let nth = (at.as_secs() / self.secs_per_row) as usize;
-        if self.seconds.len() <= nth {
+        let row = (at.as_secs() / self.secs_per_row) as usize;
+        if self.seconds.len() <= row {
             let pending = self.pending;
-            self.seconds.resize(nth + 1, Second { pending, ..Second::default() });
+            self.seconds.resize(row + 1, Second { pending, ..Second::default() });
         }
-        &mut self.seconds[nth]
+        &mut self.seconds[row]
     }
 
     pub(crate) fn submitted(&mut self, now: Duration, service_class: usize) {
@@ -156,21 +156,21 @@
         &mut self,
         now: Duration,
         service_class: usize,
-        born: Duration,
+        submitted_at: Duration,
         delivered: bool,
     ) {
         if !delivered {
             self.unserved += 1;
             return;
         }
-        let age = now - born;
+        let age = now - submitted_at;
         let earned = self.value[service_class] * self.service_classes[service_class].value_share(age);
         self.delivered += 1;
         self.within_soft_deadline += u64::from(age <= self.service_classes[service_class].soft_deadline);
         self.earned += earned;
         self.value_by_service_class[service_class].1 += earned;
         self.latency.saturating_record((age.as_micros() as u64).max(1));
-        self.second(born).earned += earned;
+        self.second(submitted_at).earned += earned;
     }
 
     pub(crate) fn attempt_started(&mut self, now: Duration, destination: usize, is_retry: bool) {
@@ -216,21 +216,26 @@
 
     /// The same of what was asked for in the worst ten seconds in a row.
     pub fn worst_ten_second_share(&self) -> f64 {
-        let sums = self.seconds.windows(10u64.div_ceil(self.secs_per_row) as usize).map(|w| {
-            let submitted: f64 = w.iter().map(|s| s.value).sum();
-            (w.iter().map(|s| s.earned).sum::<f64>(), submitted)
+        let windows = self.seconds.windows(10u64.div_ceil(self.secs_per_row) as usize).map(|rows| {
+            let submitted: f64 = rows.iter().map(|row| row.value).sum();
+            (rows.iter().map(|row| row.earned).sum::<f64>(), submitted)
         });
         // Spans in which next to nothing was asked for say nothing.
-        let usual = self.submitted_value / self.seconds.len().max(1) as f64;
-        let busy = sums.filter(|(_, submitted)| *submitted > usual);
-        busy.map(|(earned, submitted)| earned / submitted)
+        let mean_row_value = self.submitted_value / self.seconds.len().max(1) as f64;
+        let busy_windows = windows.filter(|(_, submitted)| *submitted > mean_row_value);
+        busy_windows
+            .map(|(earned, submitted)| earned / submitted)
             .min_by(f64::total_cmp)
             .unwrap_or_else(|| self.delivered_value_share())
     }
 
     /// The same of the worst-served service class.
     pub fn worst_service_class_share(&self) -> f64 {
-        let shares = self.value_by_service_class.iter().filter(|g| g.0 > 0.0).map(|g| g.1 / g.0);
+        let shares = self
+            .value_by_service_class
+            .iter()
+            .filter(|(submitted, _)| *submitted > 0.0)
+            .map(|(submitted, delivered)| delivered / submitted);
         shares.min_by(f64::total_cmp).unwrap_or(1.0)
     }
 
