--- a/crates/quillhub-simulator/src/audit/mod.rs
+++ b/crates/quillhub-simulator/src/audit/mod.rs
@@ -18,9 +18,9 @@
 /// Breaches kept; a run with more is broken all the same.
 const MAX_BREACHES: usize = 1_000;
 /// How long a message is remembered after its end: for attempts, and effects, after it.
-const REMEMBERED: Duration = Duration::from_secs(120);
+const FINISHED_RETENTION: Duration = Duration::from_secs(120);
 /// What an instance that starts again, or stood still, has for what should have ended meanwhile.
-const CATCH_UP: Duration = Duration::from_millis(100);
+const CATCH_UP_GRACE: Duration = Duration::from_millis(100);
 
 /// Names an attempt, and the instance that it is from.
 #[derive(Clone, Copy)]
@@ -143,7 +143,8 @@
     }
 
     fn forget_finished(&mut self, now: Duration) {
-        while let Some((_, id)) = self.past.front().copied().filter(|(at, _)| *at + REMEMBERED < now) {
+        while let Some((_, id)) = self.past.front().copied().filter(|(at, _)| *at + FINISHED_RETENTION < now)
+        {
             self.past.pop_front();
             self.messages.remove(&id);
         }
@@ -233,7 +234,7 @@
         let safety = self.service_classes[message.service_class].retry_safety;
         let may_have_run = message.first_possible_execution().map(|attempt| attempt.at);
         let busy = self.instances.get(&message.instance);
-        let excused_until = busy.map_or(Duration::ZERO, |instance| instance.busy_until + CATCH_UP);
+        let excused_until = busy.map_or(Duration::ZERO, |instance| instance.busy_until + CATCH_UP_GRACE);
         if now > deadline && now > excused_until {
             self.report(breach(Rule::OneAnswer, deadline, "answered after its time"));
         }
