--- a/crates/quillhub-simulator/src/audit/attempts.rs
+++ b/crates/quillhub-simulator/src/audit/attempts.rs
@@ -27,7 +27,7 @@
             let attempt = Attempt { endpoint, at: now, outcome: None, orphaned: false };
             message.attempts.insert(id.attempt, attempt);
         }
-        if !self.by_first_byte {
+        if !self.checks_before_first_byte {
             self.check_drain_and_retry_after(now, id);
         }
     }
--- a/crates/quillhub-simulator/src/audit/mod.rs
+++ b/crates/quillhub-simulator/src/audit/mod.rs
@@ -35,12 +35,12 @@
     service_classes: Vec<ServiceClassSpec>,
     rules: RuleSettings,
     /// Whether a drain or a retry-after counts up to a call's first byte, or up to the decision only.
-    by_first_byte: bool,
+    checks_before_first_byte: bool,
     endpoints: BTreeMap<String, Endpoint>,
     zones: BTreeMap<String, usize>,
     messages: BTreeMap<MessageId, Message>,
     /// Finished messages that are still remembered, in the order of their ends.
-    past: VecDeque<(Duration, MessageId)>,
+    finished_messages: VecDeque<(Duration, MessageId)>,
     /// By instance and ordering key.
     ordering: BTreeMap<(usize, u64), OrderingQueue>,
     instances: BTreeMap<usize, Instance>,
@@ -54,11 +54,11 @@
         Self {
             service_classes: scenario.service_classes.clone(),
             rules: scenario.rules.clone(),
-            by_first_byte: scenario.instances.checks_before_first_byte,
+            checks_before_first_byte: scenario.instances.checks_before_first_byte,
             endpoints: BTreeMap::new(),
             zones: BTreeMap::new(),
             messages: BTreeMap::new(),
-            past: VecDeque::new(),
+            finished_messages: VecDeque::new(),
             ordering: BTreeMap::new(),
             instances: BTreeMap::new(),
             routes: BTreeMap::new(),
@@ -105,7 +105,7 @@
                 self.attempt_started(now, AttemptId { instance, message_id, attempt }, endpoint);
             }
             Fact::FirstByteSent { instance, message_id, attempt } => {
-                if self.by_first_byte {
+                if self.checks_before_first_byte {
                     self.check_drain_and_retry_after(now, AttemptId { instance, message_id, attempt });
                 }
             }
@@ -143,9 +143,10 @@
     }
 
     fn forget_finished(&mut self, now: Duration) {
-        while let Some((_, id)) = self.past.front().copied().filter(|(at, _)| *at + FINISHED_RETENTION < now)
+        while let Some((_, id)) =
+            self.finished_messages.front().copied().filter(|(at, _)| *at + FINISHED_RETENTION < now)
         {
-            self.past.pop_front();
+            self.finished_messages.pop_front();
             self.messages.remove(&id);
         }
     }
@@ -242,6 +243,6 @@
         if let Some(since) = may_have_run.filter(|_| is_rejected && safety == RetrySafetyKind::AtMostOnce) {
             self.report(breach(Rule::OneEffect, since, "binding, denied though it may have run"));
         }
-        self.past.push_back((now, id));
+        self.finished_messages.push_back((now, id));
     }
 }
