--- a/crates/quillhub-simulator/src/audit/mod.rs
+++ b/crates/quillhub-simulator/src/audit/mod.rs
@@ -126,7 +126,7 @@
     }
 
     /// The breaches of a run that ends now: each message is to have its final outcome.
-    pub fn end(mut self, now: Duration) -> Vec<Breach> {
+    pub fn finish(mut self, now: Duration) -> Vec<Breach> {
         let is_lost = |message: &Message| message.finished.is_none() && message.deadline < now;
         let lost = self.messages.iter().filter(|(_, message)| is_lost(message));
         let lost: Vec<_> = lost.map(|(id, message)| (*id, message.deadline)).collect();
--- a/crates/quillhub-simulator/src/simulation/record.rs
+++ b/crates/quillhub-simulator/src/simulation/record.rs
@@ -58,6 +58,6 @@
     /// Ends the record; the auditor finds what is still pending.
     pub(super) fn finish(self, now: Duration, events: u64) -> Report {
         let Self { auditor, tally, hash, facts, .. } = self;
-        Report { breaches: auditor.end(now), tally, hash: hash.finish(), facts, events }
+        Report { breaches: auditor.finish(now), tally, hash: hash.finish(), facts, events }
     }
 }
