--- a/crates/quillhub-simulator/src/audit/mod.rs
+++ b/crates/quillhub-simulator/src/audit/mod.rs
@@ -204,7 +204,7 @@
     /// A call took effect at its destination.
     fn executed(&mut self, now: Duration, id: MessageId, deduplicated: bool) {
         let Some(message) = self.messages.get_mut(&id) else { return };
-        // The rule on idempotency keys binds attempts, and is judged there: that one started in time took effect late
+        // The rule on idempotency keys binds attempts, and is overload_found there: that one started in time took effect late
         // is not its doing.
         let class = &self.service_classes[message.service_class];
         if deduplicated || class.retry_safety != RetrySafetyKind::AtMostOnce {
--- a/crates/quillhub-simulator/src/audit/overload.rs
+++ b/crates/quillhub-simulator/src/audit/overload.rs
@@ -53,14 +53,14 @@
             return;
         }
         route.call_arrived(now, id.instance, rules.overload_tolerance);
-        if route.judged || now < recovery.recovered_at + rules.overload_tolerance {
+        if route.overload_found || now < recovery.recovered_at + rules.overload_tolerance {
             return;
         }
         let calls = route.calls.len() as f64;
         if calls <= rules.overload_factor * capacity_of_span(now, rules, recovery) {
             return;
         }
-        route.judged = true;
+        route.overload_found = true;
         let informed = route.calls.iter().filter(|(_, instance)| route.informed.contains(instance)).count();
         if informed as f64 >= calls * INFORMED_SHARE {
             self.report(Breach {
--- a/crates/quillhub-simulator/src/audit/records.rs
+++ b/crates/quillhub-simulator/src/audit/records.rs
@@ -99,7 +99,7 @@
     /// The calls that reached it of late, and their instances; emptied with the overload span.
     pub(super) calls: VecDeque<(Duration, usize)>,
     /// Whether it was found overloaded since its recovery.
-    pub(super) judged: bool,
+    pub(super) overload_found: bool,
 }
 
 /// A retry-after that an instance heard from a route.
