--- a/crates/quillhub-simulator/src/audit/attempts.rs
+++ b/crates/quillhub-simulator/src/audit/attempts.rs
@@ -110,10 +110,10 @@
         attempt.outcome = Some(outcome);
         let (endpoint, ordering_key) = (attempt.endpoint, message.ordering_key);
         if let Some(Endpoint { route, .. }) = endpoint {
-            self.outage_seen(id.instance, route, outcome);
-            self.retry_after_heard(now, id.instance, route, outcome);
+            self.outage_observed(id.instance, route, outcome);
+            self.retry_after_received(now, id.instance, route, outcome);
         }
-        if let Some(key) = ordering_key.filter(|_| leaves_execution_open(outcome))
+        if let Some(key) = ordering_key.filter(|_| may_still_execute(outcome))
             && let Some(queue) = self.ordering.get_mut(&(id.instance, key))
         {
             queue.pause =
@@ -122,32 +122,38 @@
     }
 
     /// An instance knows of an outage once it saw a call fail, or be rejected, during it.
-    fn outage_seen(&mut self, instance: usize, route: usize, outcome: AttemptOutcome) {
-        let shows_nothing = matches!(
+    fn outage_observed(&mut self, instance: usize, route: usize, outcome: AttemptOutcome) {
+        let shows_no_outage = matches!(
             outcome,
             AttemptOutcome::Delivered | AttemptOutcome::Cancelled | AttemptOutcome::NotSent
         );
-        if let Some(route) = self.routes.get_mut(&route).filter(|route| route.is_down && !shows_nothing) {
+        if let Some(route) = self.routes.get_mut(&route).filter(|route| route.is_down && !shows_no_outage) {
             route.informed.insert(instance);
         }
     }
 
-    fn retry_after_heard(&mut self, now: Duration, instance: usize, route: usize, outcome: AttemptOutcome) {
+    fn retry_after_received(
+        &mut self,
+        now: Duration,
+        instance: usize,
+        route: usize,
+        outcome: AttemptOutcome,
+    ) {
         let (AttemptOutcome::Rejected { retry_after: Some(wait) }
         | AttemptOutcome::AmbiguousRejection { retry_after: Some(wait) }) = outcome
         else {
             return;
         };
-        let heard = RetryAfter { since: now, until: now + wait };
-        let known = self.instance(instance).retry_after.entry(route).or_insert(heard);
-        if heard.until > known.until {
-            *known = heard;
+        let received = RetryAfter { since: now, until: now + wait };
+        let known = self.instance(instance).retry_after.entry(route).or_insert(received);
+        if received.until > known.until {
+            *known = received;
         }
     }
 }
 
 /// Whether it is not known after such an outcome that the call is over at its destination.
-fn leaves_execution_open(outcome: AttemptOutcome) -> bool {
+fn may_still_execute(outcome: AttemptOutcome) -> bool {
     matches!(
         outcome,
         AttemptOutcome::TimedOut
--- a/crates/quillhub-simulator/src/audit/mod.rs
+++ b/crates/quillhub-simulator/src/audit/mod.rs
@@ -143,8 +143,11 @@
     }
 
     fn forget_finished(&mut self, now: Duration) {
-        while let Some((_, id)) =
-            self.finished_messages.front().copied().filter(|(at, _)| *at + FINISHED_RETENTION < now)
+        while let Some((_, id)) = self
+            .finished_messages
+            .front()
+            .copied()
+            .filter(|(finished_at, _)| *finished_at + FINISHED_RETENTION < now)
         {
             self.finished_messages.pop_front();
             self.messages.remove(&id);
@@ -179,7 +182,7 @@
     fn instance_died(&mut self, instance: usize, state_kept: bool) {
         // A retry-after was known to the process that is gone; so were drains, but its list outlasts it.
         self.instance(instance).retry_after.clear();
-        self.ordering.retain(|(of, _), _| state_kept || *of != instance);
+        self.ordering.retain(|(owner, _), _| state_kept || *owner != instance);
         let mut lost = Vec::new();
         for (id, message) in self.messages.iter_mut().filter(|(_, message)| message.instance == instance) {
             for attempt in message.attempts.values_mut() {
@@ -234,9 +237,9 @@
         let deadline = message.deadline;
         let safety = self.service_classes[message.service_class].retry_safety;
         let may_have_run = message.first_possible_execution().map(|attempt| attempt.started_at);
-        let busy = self.instances.get(&message.instance);
+        let instance = self.instances.get(&message.instance);
         let excused_until =
-            busy.map_or(Duration::ZERO, |instance| instance.unavailable_until + CATCH_UP_GRACE);
+            instance.map_or(Duration::ZERO, |instance| instance.unavailable_until + CATCH_UP_GRACE);
         if now > deadline && now > excused_until {
             self.report(breach(Rule::OneAnswer, deadline, "answered after its time"));
         }
--- a/crates/quillhub-simulator/src/audit/overload.rs
+++ b/crates/quillhub-simulator/src/audit/overload.rs
@@ -11,22 +11,22 @@
 const CAPACITY_STEPS: u32 = 100;
 
 /// The calls that a route could work off in the overload span that ends now: its capacity, summed up in small steps.
-fn capacity_of_span(now: Duration, rules: &RuleSettings, recovery: Recovery) -> f64 {
-    let (start, warm_up, span) = (rules.initial_share, rules.warm_up, rules.overload_tolerance);
+fn capacity_in_window(now: Duration, rules: &RuleSettings, recovery: Recovery) -> f64 {
+    let (initial_share, warm_up, window) = (rules.initial_share, rules.warm_up, rules.overload_tolerance);
     let steps = f64::from(CAPACITY_STEPS);
     let capacity_of_step = |step: u32| {
-        let at = now - span - recovery.recovered_at + span.mul_f64((f64::from(step) + 0.5) / steps);
-        let warmth = (at.as_secs_f64() / warm_up.as_secs_f64()).min(1.0);
-        (start + (1.0 - start) * warmth) * recovery.warm_per_s * span.as_secs_f64() / steps
+        let age = now - window - recovery.recovered_at + window.mul_f64((f64::from(step) + 0.5) / steps);
+        let warmth = (age.as_secs_f64() / warm_up.as_secs_f64()).min(1.0);
+        (initial_share + (1.0 - initial_share) * warmth) * recovery.warm_per_s * window.as_secs_f64() / steps
     };
     (0..CAPACITY_STEPS).map(capacity_of_step).sum()
 }
 
 impl Route {
     /// Keeps a call that arrived, and forgets those before the overload span.
-    fn call_arrived(&mut self, now: Duration, instance: usize, span: Duration) {
+    fn call_arrived(&mut self, now: Duration, instance: usize, window: Duration) {
         self.calls.push_back((now, instance));
-        while self.calls.front().is_some_and(|(at, _)| *at + span < now) {
+        while self.calls.front().is_some_and(|(arrived_at, _)| *arrived_at + window < now) {
             self.calls.pop_front();
         }
     }
@@ -57,7 +57,7 @@
             return;
         }
         let calls = route.calls.len() as f64;
-        if calls <= rules.overload_factor * capacity_of_span(now, rules, recovery) {
+        if calls <= rules.overload_factor * capacity_in_window(now, rules, recovery) {
             return;
         }
         route.overload_found = true;
--- a/crates/quillhub-simulator/src/audit/records.rs
+++ b/crates/quillhub-simulator/src/audit/records.rs
@@ -102,7 +102,7 @@
     pub(super) overload_found: bool,
 }
 
-/// A retry-after that an instance heard from a route.
+/// A retry-after that an instance received from a route.
 #[derive(Clone, Copy)]
 pub(super) struct RetryAfter {
     pub(super) since: Duration,
