--- a/crates/quillhub-simulator/src/audit/breach.rs
+++ b/crates/quillhub-simulator/src/audit/breach.rs
@@ -1,37 +1,38 @@
-//! The six rules, and what is reported where one is broken.
+//! The six rules, and the breach that is reported for a violation.
 
 use quillhub::MessageId;
 use std::time::Duration;
 
-/// What each rule asks for, in the order of the rules.
+/// Rules that a run must satisfy; the discriminant is the number of the rule in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// Each accepted message gets exactly one final outcome in time, and no attempt starts after it.
     OneAnswer = 1,
-    /// No effect twice.
+    /// No message is executed twice at its destination in violation of the retry safety of its service class.
     OneEffect,
-    /// No new attempt at an endpoint once it is known to drain and the grace is over.
+    /// No attempt goes to an endpoint that the instance has known to be draining for longer than the drain grace.
     Drains,
-    /// A destination that recovers is not overloaded by those who knew that it was down.
+    /// Instances that knew of an outage do not overload the destination while it recovers.
     Returns,
-    /// One at a time and in the order of acceptance, for each ordering key, where a service class asks for it.
+    /// In ordered service classes, the messages of an ordering key are attempted one at a time and in the order of
+    /// acceptance.
     Order,
-    /// No attempt at a destination before the end of its retry-after.
+    /// No attempt goes to a route before the retry-after that it sent has expired.
     Waits,
 }
 
-/// One breach: the rule, the message where there is one, the instants, and what was seen.
+/// Violation of a rule; times count from the start of the run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
-    /// The rule that was broken.
+    /// Rule that was violated.
     pub rule: Rule,
-    /// The message that it was broken for, if it was one.
+    /// Message concerned; absent if the rule concerns a route.
     pub message_id: Option<MessageId>,
-    /// When what was broken began to bind.
+    /// Time from which the violated constraint applied.
     pub since: Duration,
-    /// When it was broken.
+    /// Time of the violation.
     pub at: Duration,
-    /// What was seen, in words.
+    /// Description of the violation, which is part of kept results.
     pub what: &'static str,
 }
 
