--- a/crates/quillhub-simulator/src/audit/overload.rs
+++ b/crates/quillhub-simulator/src/audit/overload.rs
@@ -1,16 +1,17 @@
-//! The rule on destinations that recover: those that knew of an outage do not overload the route after it.
+//! The rule on recovering destinations: instances that knew of an outage do not overload the route after it.
 
 use super::records::{Endpoint, Recovery, Route};
 use super::{AttemptId, Auditor, Breach, Rule};
 use crate::scenario::RuleSettings;
 use std::time::Duration;
 
-/// Share of the calls of an overload that must come from instances that knew of the outage.
+/// Min share of the calls in an overload from instances that knew of the outage, for the overload to be a breach.
 const INFORMED_SHARE: f64 = 2.0 / 3.0;
-/// Steps in which the capacity of a route that warms up is summed.
+/// Number of steps in which the growing capacity of a recovering route is summed.
 const CAPACITY_STEPS: u32 = 100;
 
-/// The calls that a route could work off in the overload span that ends now: its capacity, summed up in small steps.
+/// Returns the number of calls that the route could process in the window of the overload tolerance that ends at `now`:
+/// its capacity summed in small steps.
 fn capacity_in_window(now: Duration, rules: &RuleSettings, recovery: Recovery) -> f64 {
     let (initial_share, warm_up, window) = (rules.initial_share, rules.warm_up, rules.overload_tolerance);
     let steps = f64::from(CAPACITY_STEPS);
@@ -23,7 +24,7 @@
 }
 
 impl Route {
-    /// Keeps a call that arrived, and forgets those before the overload span.
+    /// Records a call at `now`, and drops those older than `window`.
     fn call_arrived(&mut self, now: Duration, instance: usize, window: Duration) {
         self.calls.push_back((now, instance));
         while self.calls.front().is_some_and(|(arrived_at, _)| *arrived_at + window < now) {
@@ -33,7 +34,7 @@
 }
 
 impl Auditor {
-    /// A route is back, cold.
+    /// Handles the end of an outage: the route recovers, with a full capacity of `milli_per_s` calls per 1000 seconds.
     pub(super) fn route_recovered(&mut self, now: Duration, route: usize, milli_per_s: u64) {
         let route = self.routes.entry(route).or_default();
         route.is_down = false;
@@ -41,7 +42,7 @@
         route.calls.clear();
     }
 
-    /// An attempt reached its endpoint.
+    /// Checks for an overload when an attempt reaches its endpoint.
     pub(super) fn attempt_arrived(&mut self, now: Duration, id: AttemptId) {
         let Some(Endpoint { route, .. }) = self.endpoint_of(id) else { return };
         let rules = &self.rules;
