--- a/crates/quillhub-simulator/src/audit/attempts.rs
+++ b/crates/quillhub-simulator/src/audit/attempts.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 impl Auditor {
-    /// An instance decided on an attempt.
+    /// Checks an attempt when its instance starts it, and records it.
     pub(super) fn attempt_started(&mut self, now: Duration, id: AttemptId, endpoint: &str) {
         let endpoint = self.endpoints.get(endpoint).copied();
         let breach =
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Why a message must not have one more attempt now, and since when, if it must not.
+    /// Returns the time since which a further attempt violates the retry safety of the message, and the description of
+    /// the breach; `None` if the attempt is allowed.
     fn unsafe_attempt(
         &self,
         now: Duration,
@@ -59,11 +60,12 @@
         Some((first.started_at, what))
     }
 
+    /// Returns the endpoint that an attempt goes to, if both are known.
     pub(super) fn endpoint_of(&self, id: AttemptId) -> Option<Endpoint> {
         self.messages.get(&id.message_id)?.attempts.get(&id.attempt)?.endpoint
     }
 
-    /// No attempt goes to an endpoint that drains, or to a route before its retry-after is over.
+    /// Reports an attempt at an endpoint that drains, or at a route whose retry-after has not expired.
     pub(super) fn check_drain_and_retry_after(&mut self, now: Duration, id: AttemptId) {
         let Some(Endpoint { number, route, .. }) = self.endpoint_of(id) else { return };
         let Some(instance) = self.instances.get(&id.instance) else { return };
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Messages of one ordering key go one at a time, in the order of acceptance, and not during its pause.
+    /// Reports an attempt that overtakes an earlier message of its ordering key or starts during the key's pause.
     fn check_order(&mut self, now: Duration, id: AttemptId) {
         let AttemptId { instance, message_id, .. } = id;
         let Some(key) = self.messages.get(&message_id).and_then(|message| message.ordering_key) else {
@@ -103,7 +105,7 @@
         self.report(Breach { rule: Rule::Order, message_id, since, at: now, what });
     }
 
-    /// An instance learned of the outcome of an attempt.
+    /// Records the outcome of an attempt when its instance receives it.
     pub(super) fn attempt_ended(&mut self, now: Duration, id: AttemptId, outcome: AttemptOutcome) {
         let Some(message) = self.messages.get_mut(&id.message_id) else { return };
         let Some(attempt) = message.attempts.get_mut(&id.attempt) else { return };
@@ -121,7 +123,7 @@
         }
     }
 
-    /// An instance knows of an outage once it saw a call fail, or be rejected, during it.
+    /// Records that an instance knows of an outage, if the route is down and `outcome` shows a failure or a rejection.
     fn outage_observed(&mut self, instance: usize, route: usize, outcome: AttemptOutcome) {
         let shows_no_outage = matches!(
             outcome,
@@ -132,6 +134,7 @@
         }
     }
 
+    /// Records the retry-after in `outcome`, if any, unless one that ends later applies already.
     fn retry_after_received(
         &mut self,
         now: Duration,
@@ -152,7 +155,7 @@
     }
 }
 
-/// Whether it is not known after such an outcome that the call is over at its destination.
+/// Returns `true` if the destination may still execute the call after this outcome.
 fn may_still_execute(outcome: AttemptOutcome) -> bool {
     matches!(
         outcome,
