--- a/crates/quillhub-simulator/src/audit/mod.rs
+++ b/crates/quillhub-simulator/src/audit/mod.rs
@@ -1,5 +1,7 @@
-//! Judges a run by the six rules, from its facts alone. It is written from the rules and shares no code with the
-//! dispatcher; what an instance believes is not known here.
+//! Auditor: checks a run against the six rules, from its facts alone.
+//!
+//! The auditor implements the rules independently: it shares no code with the dispatcher and does not see the internal
+//! state of an instance.
 
 mod attempts;
 mod breach;
@@ -15,14 +17,14 @@
 
 pub use breach::{Breach, Rule};
 
-/// Breaches kept; a run with more is broken all the same.
+/// Max breaches reported per run; further ones are dropped, as the run has failed anyway.
 const MAX_BREACHES: usize = 1_000;
-/// How long a message is remembered after its end: for attempts, and effects, after it.
+/// Time for which a finished message is kept, to detect attempts and executions after its final outcome.
 const FINISHED_RETENTION: Duration = Duration::from_secs(120);
-/// What an instance that starts again, or stood still, has for what should have ended meanwhile.
+/// Time that an instance has after a restart or a stall to finish the messages whose deadline passed meanwhile.
 const CATCH_UP_GRACE: Duration = Duration::from_millis(100);
 
-/// Names an attempt, and the instance that it is from.
+/// Identifies an attempt and the instance that makes it.
 #[derive(Clone, Copy)]
 struct AttemptId {
     instance: usize,
@@ -30,18 +32,21 @@
     attempt: u32,
 }
 
-/// Takes the facts of a run one by one and finds the breaches of the six rules.
+/// Receives the facts of a run one by one and finds the breaches of the six rules.
 pub struct Auditor {
     service_classes: Vec<ServiceClassSpec>,
     rules: RuleSettings,
-    /// Whether a drain or a retry-after counts up to a call's first byte, or up to the decision only.
+    /// `true` if drains and retry-afters are checked when the first byte of a call is sent; otherwise they are checked
+    /// when the attempt starts.
     checks_before_first_byte: bool,
+    /// Announced endpoints, by name.
     endpoints: BTreeMap<String, Endpoint>,
+    /// Zone numbers in the order of first use, by name.
     zones: BTreeMap<String, usize>,
     messages: BTreeMap<MessageId, Message>,
-    /// Finished messages that are still remembered, in the order of their ends.
+    /// Times of the final outcomes of finished messages that are still kept, in ascending order.
     finished_messages: VecDeque<(Duration, MessageId)>,
-    /// By instance and ordering key.
+    /// Messages of ordered service classes, by instance and ordering key.
     ordering: BTreeMap<(usize, u64), OrderingQueue>,
     instances: BTreeMap<usize, Instance>,
     routes: BTreeMap<usize, Route>,
@@ -49,7 +54,7 @@
 }
 
 impl Auditor {
-    /// An auditor by the rule settings of that scenario.
+    /// Creates an auditor with the service classes and rule settings of `scenario`.
     pub fn new(scenario: &Scenario) -> Self {
         Self {
             service_classes: scenario.service_classes.clone(),
@@ -72,7 +77,7 @@
         }
     }
 
-    /// Records the next fact; `now` never falls.
+    /// Checks and records the next fact; `now` must not decrease from one call to the next.
     pub fn record(&mut self, now: Duration, fact: &Fact) {
         self.forget_finished(now);
         match *fact {
@@ -125,7 +130,8 @@
         }
     }
 
-    /// The breaches of a run that ends now: each message is to have its final outcome.
+    /// Ends the audit and returns all breaches, including those of messages without a final outcome whose deadline is
+    /// before `now`.
     pub fn finish(mut self, now: Duration) -> Vec<Breach> {
         let is_lost = |message: &Message| message.finished.is_none() && message.deadline < now;
         let lost = self.messages.iter().filter(|(_, message)| is_lost(message));
@@ -180,7 +186,7 @@
     }
 
     fn instance_died(&mut self, instance: usize, state_kept: bool) {
-        // A retry-after was known to the process that is gone; so were drains, but its list outlasts it.
+        // The retry-afters are lost with the process; the drains are not, as the instance's endpoint list is persisted.
         self.instance(instance).retry_after.clear();
         self.ordering.retain(|(owner, _), _| state_kept || *owner != instance);
         let mut lost = Vec::new();
@@ -193,7 +199,7 @@
             }
         }
         for id in lost {
-            self.messages.remove(&id); // no longer its duty
+            self.messages.remove(&id); // lost with its state directory, so it needs no final outcome
         }
     }
 
@@ -204,7 +210,7 @@
         self.messages.insert(id, message);
     }
 
-    /// A call took effect at its destination.
+    /// Checks an execution at the destination, which must be the only one of an at-most-once message.
     fn executed(&mut self, now: Duration, id: MessageId, deduplicated: bool) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         // The rule on idempotency keys binds attempts, and is overload_found there: that one started in time took effect late
@@ -224,7 +230,7 @@
         }
     }
 
-    /// A message has its final outcome.
+    /// Checks and records the final outcome of a message.
     fn finished(&mut self, now: Duration, id: MessageId, outcome: FinalOutcome) {
         let breach = |rule, since, what| Breach { rule, message_id: Some(id), since, at: now, what };
         let Some(message) = self.messages.get_mut(&id) else {
