--- a/crates/quillhub-simulator/src/conditions.rs
+++ b/crates/quillhub-simulator/src/conditions.rs
@@ -1,32 +1,35 @@
-//! What can be wrong with an endpoint or with a path through the network.
+//! Faults in effect at servers and on network paths.
 
 use std::time::Duration;
 
-/// What is wrong with a server, by the fault that did it; several hold at once.
+/// Fault in effect at a server; several may be in effect at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ServerFault {
-    /// Connections are refused, and those that stood are reset.
+    /// New connections are refused, and established ones are reset when the fault begins.
     Refuses,
-    /// Calls are taken and none is answered; connections come up.
+    /// Connections are accepted, but no call gets a response.
     Hangs,
-    /// Nothing at all comes back, not even for a connection.
+    /// No packet is answered, so connection attempts time out as well.
     Silent,
-    /// Such a share of the calls fails at once.
+    /// The given share of the calls, from 0 to 1, fails quickly with an error.
     Fails(f64),
-    /// All calls are rejected, with a retry-after until then if there is one.
-    Shut { until: Option<Duration> },
-    /// Calls take so many times as long.
+    /// All calls are rejected without being executed.
+    Shut {
+        /// Time at which the fault ends, sent as a retry-after; without it, rejections carry none.
+        until: Option<Duration>,
+    },
+    /// Calls take the given multiple of their usual time.
     Slow(f64),
-    /// Such a share of the answers is lost after their calls ran.
+    /// The given share of the responses, from 0 to 1, is lost after the call was executed.
     LosesResponses(f64),
-    /// Such a share of the kept connections is dead when used.
+    /// The given share of the idle connections, from 0 to 1, turns out broken when reused.
     Stale(f64),
-    /// Opening a connection takes so much longer.
+    /// Opening a connection takes longer by the given delay.
     Handshake(Duration),
 }
 
 impl ServerFault {
-    /// Whether an endpoint struck by it counts as out: down, silent, hung, shut, or most calls failing.
+    /// Returns `true` if the fault is an outage of the server: no call succeeds, or more than half of them fail.
     pub(crate) fn is_outage(self) -> bool {
         match self {
             Self::Refuses | Self::Hangs | Self::Silent | Self::Shut { .. } => true,
@@ -36,13 +39,13 @@
     }
 }
 
-/// What is wrong with the path from zone to zone.
+/// Fault in effect on the network path from one zone to another, in that direction only.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PathFault {
-    /// Nothing gets through, and nobody hears of it.
+    /// All traffic is dropped, without any error at either end.
     Cut,
-    /// Such a share of what is sent does not arrive.
+    /// The given share of the transmissions, from 0 to 1, is dropped.
     Loses(f64),
-    /// So much longer on the way.
+    /// Each transmission takes longer by the given delay.
     Slower(Duration),
 }
