--- a/crates/quillhub-simulator/src/tally.rs
+++ b/crates/quillhub-simulator/src/tally.rs
@@ -1,4 +1,4 @@
-//! Counts what a run came to: value, attempts, waits, and a row for each second.
+//! Totals of a run: messages, value, attempts and latencies, and their course in rows of one second or more.
 
 use crate::fact::{Fact, FinalOutcome};
 use crate::scenario::Scenario;
@@ -6,92 +6,94 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// One second of a run, or a longer span of a long one.
+/// Row of a run's course, which covers one second, or [`Tally::secs_per_row`] in a long run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Second {
-    /// Messages that came.
+    /// Messages submitted for the first time in the row's interval.
     #[serde(rename = "asked")]
     pub submitted: u32,
-    /// First attempts.
+    /// First attempts started.
     #[serde(rename = "firsts")]
     pub first_attempts: u32,
-    /// Retries.
+    /// Retries started.
     #[serde(rename = "repeats")]
     pub retries: u32,
-    /// Messages delivered.
+    /// Messages with the final outcome delivered.
     #[serde(rename = "handled")]
     pub delivered: u32,
-    /// Messages rejected.
+    /// Messages with the final outcome rejected.
     #[serde(rename = "denied")]
     pub rejected: u32,
-    /// Messages abandoned.
+    /// Messages with the final outcome abandoned.
     #[serde(rename = "written_off")]
     pub abandoned: u32,
-    /// Value of the messages that came in this second.
+    /// Full value of the messages submitted in the interval.
     #[serde(rename = "worth")]
     pub value: f64,
-    /// The part of that value that was delivered in the end.
+    /// Value earned, then or later, by deliveries of the messages submitted in the interval.
     pub earned: f64,
-    /// Accepted and without a final outcome at its end.
+    /// Pending messages at the end of the interval.
     #[serde(rename = "held")]
     pub pending: i64,
 }
 
-/// The figures of a run; counts are of messages as their clients see them, unless they say otherwise.
+/// Totals of a run; a message that its client submits again counts once, unless stated otherwise.
 pub struct Tally {
+    /// Value of an in-time delivery, by service class.
     value: Vec<f64>,
     service_classes: Vec<quillhub::ServiceClass>,
-    /// The rows, from the start of the run on.
+    /// Course of the run, in rows from its start.
     pub seconds: Vec<Second>,
-    /// Seconds of each row.
+    /// Length of each row, in whole seconds: 1, or more in runs with more than `MAX_ROWS` seconds.
     pub secs_per_row: u64,
-    /// Messages that came.
+    /// Messages submitted.
     pub submitted: u64,
-    /// Messages delivered.
+    /// Messages that were delivered, as their clients learned.
     pub delivered: u64,
     /// Messages delivered within their soft deadline.
     pub within_soft_deadline: u64,
-    /// Given up by clients, or lost with an instance.
+    /// Messages that clients gave up, or that were lost with an instance and not submitted again.
     pub unserved: u64,
-    /// Value of what was delivered.
+    /// Value earned by deliveries, reduced for those after the soft deadline.
     pub earned: f64,
-    /// Value of all messages that came.
+    /// Full value of all messages submitted.
     pub submitted_value: f64,
-    /// By service class: value submitted, and value delivered.
+    /// Value submitted and value earned, by service class.
     pub value_by_service_class: Vec<(f64, f64)>,
-    /// First attempts.
+    /// First attempts started; a message submitted again has another.
     pub first_attempts: u64,
-    /// Retries.
+    /// Retries started by instances.
     pub retries: u64,
-    /// Calls that endpoints rejected.
+    /// Calls rejected by endpoints without being executed.
     pub rejected_calls: u64,
-    /// Connections opened.
+    /// Connections opened by instances to endpoints.
     pub connections: u64,
-    /// Rejections; a message may be submitted again after one.
+    /// Final outcomes rejected; a message counts again if it is submitted again and rejected again.
     pub rejections: u64,
-    /// Messages abandoned.
+    /// Final outcomes abandoned.
     pub abandoned: u64,
-    /// Effects that took place.
+    /// Calls executed at destinations, without those dropped as duplicates.
     pub executed: u64,
-    /// Calls that destinations dropped as duplicates.
+    /// Calls that destinations dropped as duplicates by their idempotency key.
     pub deduplicated: u64,
-    /// Effects that came twice though they must not: a retry inside the deduplication window that took effect after
-    /// it, or a message submitted again after a loss.
+    /// Repeated executions of messages that are not idempotent: a retry started inside the deduplication window and
+    /// executed after it, or a message submitted again after its instance lost it.
     pub duplicate_effects: u64,
-    /// From a message's first submission to when its client hears that it is delivered, in microseconds.
+    /// Time from a message's first submission until its client learns of the delivery, in microseconds.
     pub latency: Histogram<u64>,
-    /// From an attempt's decision to when a worker takes it up, in microseconds.
+    /// Time from the start of an attempt until a worker of the endpoint starts on it, in microseconds.
     pub queueing_time: Histogram<u64>,
-    /// Most messages pending at once.
+    /// Max number of messages pending at once, at all instances together.
     pub max_pending: i64,
     pending: i64,
-    /// Attempts by destination.
+    /// Attempts started, by destination in the order of numbers.
     pub attempts_by_destination: Vec<u64>,
 }
 
-/// Rows of a run's course: a day of seconds.
+/// Number of seconds above which rows become longer than one second; it covers a day (86,400 s).
 const MAX_ROWS: u64 = 100_000;
 
+/// Creates a histogram of durations in microseconds, from 1 µs to 24 h, with 3 significant digits.
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 24 * 3_600 * 1_000_000, 3).expect("the bounds are in order")
 }
@@ -132,6 +134,7 @@
         }
     }
 
+    /// Returns the row that covers `at`; rows in between are created with the current number of pending messages.
     fn second(&mut self, at: Duration) -> &mut Second {
         let row = (at.as_secs() / self.secs_per_row) as usize;
         if self.seconds.len() <= row {
@@ -141,6 +144,7 @@
         &mut self.seconds[row]
     }
 
+    /// Records the first submission of a message.
     pub(crate) fn submitted(&mut self, now: Duration, service_class: usize) {
         let value = self.value[service_class];
         self.submitted += 1;
@@ -151,7 +155,7 @@
         second.value += value;
     }
 
-    /// A message is over for its client.
+    /// Records that a client's message is delivered, or that the client gives up on it.
     pub(crate) fn request_finished(
         &mut self,
         now: Duration,
@@ -173,6 +177,7 @@
         self.second(submitted_at).earned += earned;
     }
 
+    /// Records the start of an attempt.
     pub(crate) fn attempt_started(&mut self, now: Duration, destination: usize, is_retry: bool) {
         self.attempts_by_destination[destination] += 1;
         *(if is_retry { &mut self.retries } else { &mut self.first_attempts }) += 1;
@@ -180,10 +185,12 @@
         *(if is_retry { &mut second.retries } else { &mut second.first_attempts }) += 1;
     }
 
+    /// Records that a worker starts on a call, `queueing_time` after the start of the attempt.
     pub(crate) fn work_started(&mut self, queueing_time: Duration) {
         self.queueing_time.saturating_record((queueing_time.as_micros() as u64).max(1));
     }
 
+    /// Records a fact; only acceptances, executions and final outcomes are counted here.
     pub(crate) fn record(&mut self, now: Duration, fact: &Fact) {
         match fact {
             Fact::Accepted { .. } => self.pending += 1,
@@ -209,18 +216,18 @@
         self.second(now).pending = pending;
     }
 
-    /// The share of the submitted value that was delivered.
+    /// Returns the share of the submitted value that was earned, from 0 to 1.
     pub fn delivered_value_share(&self) -> f64 {
         self.earned / self.submitted_value.max(f64::MIN_POSITIVE)
     }
 
-    /// The same of what was asked for in the worst ten seconds in a row.
+    /// Returns the earned share of the value submitted in the worst ten consecutive seconds.
     pub fn worst_ten_second_share(&self) -> f64 {
         let windows = self.seconds.windows(10u64.div_ceil(self.secs_per_row) as usize).map(|rows| {
             let submitted: f64 = rows.iter().map(|row| row.value).sum();
             (rows.iter().map(|row| row.earned).sum::<f64>(), submitted)
         });
-        // Spans in which next to nothing was asked for say nothing.
+        // Windows with less submitted value than a mean row are skipped: their share depends on a few messages.
         let mean_row_value = self.submitted_value / self.seconds.len().max(1) as f64;
         let busy_windows = windows.filter(|(_, submitted)| *submitted > mean_row_value);
         busy_windows
@@ -229,7 +236,7 @@
             .unwrap_or_else(|| self.delivered_value_share())
     }
 
-    /// The same of the worst-served service class.
+    /// Returns the lowest earned share of the submitted value among the service classes, from 0 to 1.
     pub fn worst_service_class_share(&self) -> f64 {
         let shares = self
             .value_by_service_class
@@ -239,7 +246,7 @@
         shares.min_by(f64::total_cmp).unwrap_or(1.0)
     }
 
-    /// Attempts for each submitted message.
+    /// Returns the mean number of attempts per submitted message.
     pub fn attempts_per_message(&self) -> f64 {
         (self.first_attempts + self.retries) as f64 / self.submitted.max(1) as f64
     }
