--- a/crates/quillhub-simulator/src/tally.rs
+++ b/crates/quillhub-simulator/src/tally.rs
@@ -44,7 +44,7 @@
     service_classes: Vec<quillhub::ServiceClass>,
     /// Course of the run, in rows from its start.
     pub seconds: Vec<Second>,
-    /// Length of each row, in whole seconds: 1, or more in runs with more than `MAX_ROWS` seconds.
+    /// Length of each row, in whole seconds: 1 in runs of up to a day.
     pub secs_per_row: u64,
     /// Messages submitted.
     pub submitted: u64,
@@ -52,7 +52,7 @@
     pub delivered: u64,
     /// Messages delivered within their soft deadline.
     pub within_soft_deadline: u64,
-    /// Messages that clients gave up, or that were lost with an instance and not submitted again.
+    /// Messages that were abandoned, that clients gave up, or that were lost with an instance and not submitted again.
     pub unserved: u64,
     /// Value earned by deliveries, reduced for those after the soft deadline.
     pub earned: f64,
@@ -90,8 +90,9 @@
     pub attempts_by_destination: Vec<u64>,
 }
 
-/// Number of seconds above which rows become longer than one second; it covers a day (86,400 s).
-const MAX_ROWS: u64 = 100_000;
+/// Target number of rows: a run of `n * TARGET_ROWS` seconds has rows of `n` seconds. A day (86,400 s) has rows of one
+/// second.
+const TARGET_ROWS: u64 = 100_000;
 
 /// Creates a histogram of durations in microseconds, from 1 µs to 24 h, with 3 significant digits.
 fn histogram() -> Histogram<u64> {
@@ -109,7 +110,7 @@
                 .map(|service_class| service_class.service_class())
                 .collect(),
             seconds: Vec::new(),
-            secs_per_row: (scenario.length.as_secs() / MAX_ROWS).max(1),
+            secs_per_row: (scenario.length.as_secs() / TARGET_ROWS).max(1),
             submitted: 0,
             delivered: 0,
             within_soft_deadline: 0,
@@ -238,11 +239,8 @@
 
     /// Returns the lowest earned share of the submitted value among the service classes, from 0 to 1.
     pub fn worst_service_class_share(&self) -> f64 {
-        let shares = self
-            .value_by_service_class
-            .iter()
-            .filter(|(submitted, _)| *submitted > 0.0)
-            .map(|(submitted, delivered)| delivered / submitted);
+        let shares =
+            self.value_by_service_class.iter().filter(|value| value.0 > 0.0).map(|value| value.1 / value.0);
         shares.min_by(f64::total_cmp).unwrap_or(1.0)
     }
 
