--- a/crates/quillhub-simulator/src/fact.rs
+++ b/crates/quillhub-simulator/src/fact.rs
@@ -1,177 +1,176 @@
-//! What happened in a run, one fact at a time: for the auditor, for figures, and for whoever asks after one message.
+//! Facts: the record of a run, which the auditor, the tally and `explain` evaluate.
 
 use quillhub::{AttemptOutcome, DestinationId, EndpointState, MessageId};
 use std::time::Duration;
 
-/// How a message ended, as its client hears it.
+/// Final outcome of a message, as reported to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinalOutcome {
-    /// Delivered.
+    /// An endpoint reported success.
     Delivered,
-    /// Rejected: a retry is harmless.
+    /// The message was not delivered and is safe to submit again.
     Rejected {
-        /// How long to wait before it, if that is known.
+        /// Recommended delay before the client submits the message again, if any.
         retry_after: Option<Duration>,
     },
-    /// Abandoned: it may have taken effect or not.
+    /// The message is not known to have been delivered, but may have been executed.
     Abandoned,
 }
 
-/// One fact; `instance` counts from 0, and `message` names one submission, which survives a restart with a state
-/// directory.
+/// Event of a run as the simulator knows it. Instances count from 0; a message identifier stands for one submission and
+/// stays the same when the message is recovered after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fact<'a> {
-    /// A message was submitted and accepted; `request` is the client's own number for it, the same at each
-    /// submission.
+    /// An instance accepted a submitted message.
     Accepted {
-        /// The instance that accepted it.
+        /// Instance that accepted the message.
         instance: usize,
-        /// Its number.
+        /// Identifier assigned for this submission.
         message_id: MessageId,
-        /// Its client's number.
+        /// The client's number of the message, which is the same at each submission.
         request: u64,
-        /// Its service class.
+        /// Name of the service class.
         service_class: &'a str,
-        /// Where it goes.
+        /// Destination of the message.
         destination: DestinationId,
-        /// Its ordering key, where its class asks for order.
+        /// Ordering key; absent if the service class is not ordered.
         ordering_key: Option<u64>,
-        /// Its deadline, since the start of the run.
+        /// Deadline for the final outcome, as time since the start of the run.
         deadline: Duration,
     },
-    /// An instance decided on an attempt, which takes a slot from now on.
+    /// An instance started an attempt, which occupies one of its slots from now on.
     AttemptStarted {
-        /// The instance that decided.
+        /// Instance that started the attempt.
         instance: usize,
-        /// The message.
+        /// Message that is attempted.
         message_id: MessageId,
-        /// The attempt's number, from 0.
+        /// Number of the attempt among those of its message, counted from 0.
         attempt: u32,
-        /// The endpoint that it goes to.
+        /// Name of the endpoint called.
         endpoint: &'a str,
-        /// After which it ends as timed out.
+        /// Time after which the attempt ends as timed out.
         timeout: Duration,
     },
-    /// Its first byte left; on a connection that broke, it may not arrive.
+    /// An instance sent the first byte of a request; it may be lost if the connection is broken.
     FirstByteSent {
-        /// The instance that it left.
+        /// Instance that sent the byte.
         instance: usize,
-        /// The message.
+        /// Message that is attempted.
         message_id: MessageId,
-        /// The attempt's number.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
     },
-    /// It reached its endpoint, whatever the endpoint makes of it.
+    /// A call reached its endpoint, which may execute, reject or ignore it.
     AttemptArrived {
-        /// The instance that it comes from.
+        /// Instance that made the call.
         instance: usize,
-        /// The message.
+        /// Message that is attempted.
         message_id: MessageId,
-        /// The attempt's number.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
     },
-    /// Its effect took place; `deduplicated` if the destination knew its idempotency key and
-    /// dropped it; `duplicate_effect` if the same request had
-    /// its effect before, and must not, but the destination had forgotten its idempotency key.
+    /// The destination executed a call, or dropped it as a duplicate.
     Executed {
-        /// The message.
+        /// Message that was attempted.
         message_id: MessageId,
-        /// Its client's number.
+        /// The client's number of the message.
         request: u64,
-        /// The attempt's number.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
-        /// Whether the destination knew its idempotency key and dropped it.
+        /// `true` if the destination recognized the idempotency key and dropped the call.
         deduplicated: bool,
-        /// Whether the request had its effect before, and must not have it again.
+        /// `true` if the request was executed before although its service class is not idempotent, and the destination
+        /// did not recognize it.
         duplicate_effect: bool,
     },
-    /// The instance learned the outcome of its attempt.
+    /// An instance received the outcome of an attempt.
     AttemptEnded {
-        /// The instance that learned of it.
+        /// Instance that made the attempt.
         instance: usize,
-        /// The message.
+        /// Message that was attempted.
         message_id: MessageId,
-        /// The attempt's number.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: AttemptOutcome,
     },
-    /// A message had its final outcome.
+    /// An instance reported the final outcome of a message.
     Finished {
-        /// The instance that had accepted it.
+        /// Instance that had accepted the message.
         instance: usize,
-        /// The message.
+        /// Message that is finished.
         message_id: MessageId,
-        /// Its final outcome.
+        /// Final outcome of the message.
         outcome: FinalOutcome,
     },
-    /// An instance learned the state of an endpoint from service discovery.
+    /// An instance received the state of an endpoint from service discovery.
     EndpointLearned {
-        /// The instance that learned of it.
+        /// Instance that received the state.
         instance: usize,
-        /// The endpoint's name.
+        /// Name of the endpoint.
         endpoint: &'a str,
-        /// What the list says of it.
+        /// State of the endpoint in the endpoint list.
         state: EndpointState,
     },
-    /// An instance died; without `state_kept` all its pending messages are lost.
+    /// An instance died.
     InstanceDied {
-        /// The instance that died.
+        /// Instance that died.
         instance: usize,
-        /// Whether its state directory outlasts it.
+        /// `true` if its state directory remains; otherwise all its pending messages are lost.
         state_kept: bool,
     },
-    /// An instance stands still.
+    /// An instance stalled: it handles no events for a while.
     InstanceStalled {
-        /// The instance that stands still.
+        /// Instance that stalled.
         instance: usize,
-        /// Until when.
+        /// End of the stall, as time since the start of the run.
         until: Duration,
     },
-    /// An instance began, or began again, with what is in its state directory or with nothing.
+    /// An instance started or restarted.
     InstanceStarted {
-        /// The instance that began.
+        /// Instance that started.
         instance: usize,
-        /// Whether it recovered pending messages from its state directory.
+        /// `true` if it recovered pending messages from its state directory.
         state_recovered: bool,
     },
-    /// An endpoint appeared at a route: a destination, or one endpoint of it where routes are apart.
+    /// An endpoint was added to a route: to that of its destination, or to its own if the destination has separate
+    /// routes.
     EndpointPlaced {
-        /// The endpoint's name.
+        /// Name of the endpoint.
         endpoint: &'a str,
-        /// The zone that it stands in.
+        /// Name of the zone that the endpoint is in.
         zone: &'a str,
-        /// The route that it belongs to.
+        /// Number of the route.
         route: usize,
     },
-    /// All that a route may be reached by is out.
+    /// A route went down: all its endpoints have an outage.
     RouteDown {
-        /// The route that is out.
+        /// Number of the route.
         route: usize,
     },
-    /// It is back, cold; warm it works off so many calls in a thousand seconds.
+    /// A route recovered from an outage, at a reduced capacity that grows until the end of its warm-up.
     RouteRecovered {
-        /// The route that is back.
+        /// Number of the route.
         route: usize,
-        /// Its warm capacity, in calls in a thousand seconds.
+        /// Full capacity of the route, in calls per 1000 seconds.
         milli_per_s: u64,
     },
-    /// It was pushed over, and stays down.
+    /// A recovering route was overloaded, and stays down for the rest of the run.
     RouteOverloaded {
-        /// The route that fell.
+        /// Number of the route.
         route: usize,
     },
     /// A fault began, or ended.
     FaultChanged {
-        /// The fault's place in the scenario's list.
+        /// Index of the fault in the scenario.
         number: usize,
-        /// Whether it began, and did not end.
+        /// `true` if the fault began, `false` if it ended.
         begins: bool,
     },
 }
 
 impl Fact<'_> {
-    /// The message that it is about, if it is about one.
+    /// Returns the identifier of the message concerned, if any.
     pub fn message_id(&self) -> Option<MessageId> {
         match self {
             Self::Accepted { message_id, .. }
@@ -186,7 +185,7 @@
     }
 }
 
-/// One line for people: the instant in seconds, and the fact.
+/// Formats a fact as a line of text for operators, after its time in seconds.
 pub fn line(at: Duration, fact: &Fact) -> String {
     format!("{:11.6}  {}", at.as_secs_f64(), sentence(fact))
 }
