--- a/crates/quillhub-simulator/src/fact.rs
+++ b/crates/quillhub-simulator/src/fact.rs
@@ -202,30 +202,32 @@
             deadline,
         } => format!(
             "instance {instance} accepts message {message_id} (request {request}): {service_class} for \
-             destination {destination}{}, until {:.3}",
+             destination {destination}{}, deadline {:.3} s",
             ordering_key.map_or(String::new(), |key| format!(", ordering key {key}")),
             deadline.as_secs_f64()
         ),
         Fact::AttemptStarted { instance, message_id, attempt, endpoint, timeout } => format!(
-            "instance {instance} starts attempt {attempt} of message {message_id} at {endpoint}, for {:.3} s",
+            "instance {instance} starts attempt {attempt} of message {message_id} at {endpoint}, with a timeout of {:.3} s",
             timeout.as_secs_f64()
         ),
         Fact::FirstByteSent { message_id, attempt, .. } => {
-            format!("first byte of message {message_id}, attempt {attempt}")
+            format!("first byte of message {message_id}, attempt {attempt}, is sent")
         }
         Fact::AttemptArrived { message_id, attempt, .. } => {
-            format!("message {message_id}, attempt {attempt}, is at its endpoint")
+            format!("message {message_id}, attempt {attempt}, reaches its endpoint")
         }
         Fact::Executed { message_id, attempt, deduplicated, duplicate_effect, .. } => {
-            let effect = match (deduplicated, duplicate_effect) {
-                (true, _) => "is known by its idempotency key and dropped",
-                (_, true) => "takes effect, a second time",
-                _ => "takes effect",
+            let execution = match (deduplicated, duplicate_effect) {
+                (true, _) => "is dropped as a duplicate by its idempotency key",
+                (_, true) => "is executed a second time",
+                _ => "is executed",
             };
-            format!("message {message_id}, attempt {attempt}, {effect}")
+            format!("message {message_id}, attempt {attempt}, {execution}")
         }
         Fact::AttemptEnded { instance, message_id, attempt, outcome } => {
-            format!("instance {instance} hears of message {message_id}, attempt {attempt}: {outcome:?}")
+            format!(
+                "instance {instance} receives the outcome of message {message_id}, attempt {attempt}: {outcome:?}"
+            )
         }
         Fact::Finished { instance, message_id, outcome } => {
             format!("instance {instance} finishes message {message_id}: {outcome:?}")
