--- a/crates/quillhub-simulator/src/scenario/arrivals.rs
+++ b/crates/quillhub-simulator/src/scenario/arrivals.rs
@@ -1,68 +1,70 @@
-//! The streams of messages: how many come, when, and for whom.
+//! Streams of submitted messages: rates, arrival patterns and destinations.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// When the messages of a stream come.
+/// Arrival pattern of a stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "law", rename_all = "lowercase", deny_unknown_fields)]
 pub enum Pattern {
-    /// Each at any instant, whatever the others do.
+    /// Poisson process: exponentially distributed, independent intervals.
     Poisson,
-    /// One after each `1/per_s`.
+    /// Constant intervals of `1 / per_s` seconds.
     Even,
-    /// Clumps for one destination: `of` at once on average.
+    /// Bursts of messages to a single destination, at the times of a Poisson process.
     Bursts {
-        /// Messages that come at once, on average.
+        /// Mean number of messages in a burst, at least 1.
         #[serde(rename = "of")]
         mean_size: f64,
     },
-    /// A wave round `per_s`, from `1 - depth` to `1 + depth` times it.
+    /// Poisson process with a rate that follows a cosine wave between `1 - depth` and `1 + depth` times `per_s`, from the
+    /// lowest rate at the start of the run.
     Daily {
-        /// The length of one wave.
+        /// Period of the wave.
         #[serde(rename = "every", with = "humantime_serde")]
         period: Duration,
-        /// How far the wave goes up and down, as a share of the rate.
+        /// Amplitude of the wave as a share of the rate, from 0 to 1.
         depth: f64,
     },
-    /// Evenly, but only in the part of each `every` that begins at `from`.
+    /// Constant intervals in the active part of each period, and none outside it; the mean rate stays `per_s`.
     Part {
-        /// The length of one span.
+        /// Length of a period.
         #[serde(rename = "every", with = "humantime_serde")]
         period: Duration,
-        /// Where in each span its part begins.
+        /// Start of the active part within each period, which lasts until the period's end.
         #[serde(rename = "from", with = "humantime_serde")]
         active_from: Duration,
     },
 }
 
-/// One open-loop stream of messages: it comes whatever became of those before.
+/// Open-loop stream of messages: arrivals do not depend on the outcomes of earlier messages.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Arrivals {
-    /// Messages a second, on average.
+    /// Mean rate, in messages per second.
     pub per_s: f64,
-    /// When they come.
+    /// Arrival pattern; Poisson by default.
     #[serde(default = "default_pattern")]
     pub pattern: Pattern,
-    /// Its service class; absent, all service classes in turn.
+    /// Name of the service class; by default, each message has a random one of the scenario's.
     #[serde(rename = "grade")]
     pub service_class: Option<String>,
-    /// Kind of its destinations; absent, all by weight.
+    /// Kind of the destinations; by default, all kinds by their weight.
     #[serde(rename = "to")]
     pub destination_kind: Option<String>,
-    /// Its tenant, and the number of ordering keys in use.
+    /// Name of the tenant whose quota applies, if any.
     pub tenant: Option<String>,
-    /// How many ordering keys are in use; 0 for none.
+    /// Number of different ordering keys; 0, the default, for messages without one.
     #[serde(rename = "keys", default)]
     pub ordering_keys: u64,
-    /// A sidecar's stream: all goes to the instance of this number.
+    /// Number, from 1, of the only instance that receives the stream, as that of a sidecar; by default, the load balancer
+    /// distributes the messages.
     #[serde(rename = "courier")]
     pub instance: Option<u32>,
-    /// When the stream begins.
+    /// Start of the stream, as time since the start of the run; zero by default.
     #[serde(default, with = "humantime_serde")]
     pub from: Duration,
-    /// Absent, until the scenario's end.
+    /// End of the stream, as time since the start of the run; by default, the end of the scenario.
     #[serde(default, with = "humantime_serde")]
     pub until: Option<Duration>,
 }
