--- a/crates/quillhub-simulator/src/scenario/clients.rs
+++ b/crates/quillhub-simulator/src/scenario/clients.rs
@@ -1,20 +1,21 @@
-//! What clients do with messages that did not get through.
+//! Retry behaviour of clients.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What clients do with a message that did not get through.
+/// Retry behaviour of clients for rejected messages, and the detection of dead instances by the load balancer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Times that a rejected message is submitted again.
+    /// Max number of times that a client submits a rejected message again; 3 by default.
     #[serde(rename = "tries")]
     pub retries: u32,
-    /// Longest wait before a retry, drawn from half of it on; the retry-after of a rejection is a floor.
+    /// Max delay before a message is submitted again, 1 s by default. The delay is drawn between half of it and all of it,
+    /// and is at least the retry-after of the rejection.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "wait")]
     pub backoff: Duration,
-    /// For so long the front goes on sending to an instance that died.
+    /// Time for which the load balancer keeps sending messages to an instance that died; 2 s by default.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "notices_dead")]
     pub failure_detection_delay: Duration,
