--- a/crates/quillhub-simulator/src/scenario/discovery.rs
+++ b/crates/quillhub-simulator/src/scenario/discovery.rs
@@ -1,30 +1,31 @@
-//! Service discovery: how it tells of changes, and which rates it lists.
+//! Service discovery: how it reports changes, and which rates it lists.
 
 use quillhub::ListedRateAccuracy;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// How service discovery tells of changes.
+/// Way in which service discovery reports changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "enum RegisterForm", rename_all = "lowercase")]
 pub enum DiscoveryForm {
-    /// Tells changes to every instance.
+    /// Changes are pushed to every instance.
     Push,
-    /// Answers only when an instance asks for changes.
+    /// Changes are reported only in response to a watch request of an instance.
     Watch,
 }
 
-/// Service discovery.
+/// Settings of service discovery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct Register", deny_unknown_fields, default)]
 pub struct DiscoverySpec {
-    /// How it tells of changes.
+    /// Way in which changes are reported; push by default.
     pub form: DiscoveryForm,
-    /// From a change to when instances hear of it; up to as much again by chance.
+    /// Min delay from a change until an instance receives it, 500 ms by default; a random part of up to the same length is
+    /// added.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "late")]
     pub delay: Duration,
-    /// Which rates it lists.
+    /// Rates in the endpoint list; none by default.
     pub rates: Rates,
 }
 
@@ -34,7 +35,7 @@
     }
 }
 
-/// What is listed of an endpoint's rate.
+/// Rate that is listed for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Rates {
@@ -42,11 +43,12 @@
     Absent,
     /// The true rate.
     Exact,
-    /// Up to half too high or too low.
+    /// A rate up to 50% too high or too low.
     Rough,
 }
 
 impl Rates {
+    /// Returns the accuracy of the listed rates, in the dispatcher's terms.
     pub(crate) fn accuracy(self) -> ListedRateAccuracy {
         match self {
             Self::Absent => ListedRateAccuracy::Absent,
