--- a/crates/quillhub-simulator/src/scenario/instances.rs
+++ b/crates/quillhub-simulator/src/scenario/instances.rs
@@ -1,40 +1,42 @@
-//! The gateway instances, and the front that deals messages out to them.
+//! Gateway instances, and the load balancer in front of them.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The instances, and the front that deals messages out to them.
+/// Settings of the gateway instances, and of the load balancer that distributes messages to them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct Couriers", deny_unknown_fields, default)]
 pub struct Instances {
-    /// How many there are.
+    /// Number of instances; 1 by default.
     pub count: u32,
-    /// Calls out at once.
+    /// Max number of attempts in flight per instance; 64 by default.
     pub slots: usize,
-    /// Messages pending at once.
+    /// Max number of pending messages per instance; 1000 by default.
     #[serde(rename = "room")]
     pub capacity: usize,
-    /// Attempts for one message at most.
+    /// Max number of attempts per message; 12 by default.
     #[serde(rename = "most_sends")]
     pub max_attempts: u32,
-    /// Longest retry-after of a rejection.
+    /// Max retry-after that an instance sends with a rejection; 4 s by default.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "longest_wait")]
     pub max_retry_after: Duration,
-    /// Instances and endpoints are dealt out to these in turn.
+    /// Names of the zones, to which instances and endpoints are assigned in turn; a single one by default.
     pub zones: Vec<String>,
-    /// The front sends the k-th instance 1/k^skew of what it sends the first; 0 spreads evenly.
+    /// Exponent of the load balancer's skew: the k-th instance receives 1/k^skew times as many messages as the first. 0,
+    /// the default, distributes evenly.
     pub skew: f64,
-    /// Whether pending messages outlast an instance's death.
+    /// `true`, the default, if instances have a state directory, from which they recover pending messages after a crash.
     #[serde(rename = "folder")]
     pub state_directory: bool,
-    /// Whether instances may tell each other of returns.
+    /// `true` if instances may send gossip about recovered destinations; `false` by default.
     #[serde(rename = "notes")]
     pub gossip: bool,
-    /// Share of gossip lost.
+    /// Share of gossip messages that are lost, from 0 to 1; 0 by default.
     #[serde(rename = "notes_lost")]
     pub gossip_loss: f64,
-    /// Whether a call is looked at once more before its first byte, as on sockets.
+    /// `true`, the default, if an attempt is checked once more before its first byte is sent, as the server does on
+    /// sockets.
     #[serde(rename = "last_look")]
     pub checks_before_first_byte: bool,
 }
