--- a/crates/quillhub-simulator/src/scenario/network.rs
+++ b/crates/quillhub-simulator/src/scenario/network.rs
@@ -1,27 +1,27 @@
-//! The network between instances and endpoints.
+//! Network between instances and endpoints.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Delays, and what connections cost.
+/// Delays of the network, and costs and timeouts of connections.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// One way inside a zone.
+    /// One-way delay within a zone, without jitter; 1 ms by default.
     #[serde(rename = "within", with = "humantime_serde")]
     pub intra_zone_delay: Duration,
-    /// One way between two zones.
+    /// One-way delay between two zones, without jitter; 4 ms by default.
     #[serde(rename = "between", with = "humantime_serde")]
     pub inter_zone_delay: Duration,
-    /// Up to such a share of the delay more, by even chance.
+    /// Max jitter as a share of the delay, 0.2 by default; the jitter is added and uniformly distributed.
     pub jitter: f64,
-    /// What a new connection costs besides a way there and back.
+    /// Time to establish a connection in addition to one round trip; 2 ms by default.
     #[serde(with = "humantime_serde")]
     pub handshake: Duration,
-    /// A connection not up by then counts as failed.
+    /// Time after which an attempt to connect fails; 2 s by default.
     #[serde(rename = "connecting", with = "humantime_serde")]
     pub connect_timeout: Duration,
-    /// Endpoints close connections idle for so long.
+    /// Time after which endpoints close an idle connection; 10 s by default.
     #[serde(rename = "idle_close", with = "humantime_serde")]
     pub idle_timeout: Duration,
 }
