--- a/crates/quillhub-simulator/src/scenario/rules.rs
+++ b/crates/quillhub-simulator/src/scenario/rules.rs
@@ -1,30 +1,32 @@
-//! The figures by which the six rules are judged.
+//! Settings of the six rules that the auditor checks.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The figures of the rules.
+/// Thresholds and times of the rules, and of the recovery of destinations.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct Returns", deny_unknown_fields, default)]
 pub struct RuleSettings {
-    /// Nothing new goes to an endpoint so long after its drain was known.
+    /// Time for which an instance may still start attempts at an endpoint that it knows to be draining; 250 ms by default.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "grace")]
     pub drain_grace: Duration,
-    /// A destination just back starts at this share of its capacity and is warm after `warm_up`.
+    /// Share of its capacity that a destination has at the end of an outage, from 0 to 1; 0.2 by default.
     #[serde(rename = "start")]
     pub initial_share: f64,
-    /// From a destination's return until it is warm; its capacity grows evenly until then.
+    /// Time from the end of an outage until full capacity, which grows linearly in between; 10 s by default.
     #[serde(with = "humantime_serde")]
     pub warm_up: Duration,
-    /// Sent more than this many times what it can do for `overload_tolerance`, it fails and stays down.
+    /// Multiple of its capacity above which a recovering destination is overloaded; 2 by default. If the overload lasts
+    /// for `overload_tolerance`, the destination fails and stays down.
     #[serde(rename = "factor")]
     pub overload_factor: f64,
-    /// How long it stands more than that.
+    /// Time for which a recovering destination withstands overload; 3 s by default.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "push")]
     pub overload_tolerance: Duration,
-    /// An ordering key pauses so long after a timeout, reset or cancellation.
+    /// Pause of an ordering key after an attempt that may still be executed, such as a timeout, reset or cancellation;
+    /// 700 ms by default.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "key_rest")]
     pub ordering_pause: Duration,
