--- a/crates/quillhub-simulator/src/scenario/destinations.rs
+++ b/crates/quillhub-simulator/src/scenario/destinations.rs
@@ -1,4 +1,4 @@
-//! Destinations by kind: their endpoints, the time that their calls take, and their rate limits.
+//! Kinds of destinations: their endpoints, service times and rate limits.
 
 use super::default_one;
 use rand::Rng;
@@ -6,117 +6,121 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Destinations of one kind.
+/// Kind of destinations, and the settings that all its destinations share.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Destinations {
-    /// Its name.
+    /// Name of the kind, unique in the scenario.
     pub kind: String,
-    /// How many destinations there are of this kind.
+    /// Number of destinations of this kind; 1 by default.
     #[serde(default = "default_count")]
     pub count: usize,
-    /// Of each destination.
+    /// Number of endpoints per destination; 1 by default.
     #[serde(default = "default_count")]
     pub endpoints: usize,
-    /// Calls that an endpoint works on at once, and that wait there; what comes beyond is rejected as full.
+    /// Max number of calls that an endpoint executes at a time; 8 by default.
     #[serde(default = "default_workers")]
     pub workers: usize,
-    /// Calls that wait at an endpoint for a worker.
+    /// Max number of calls that wait at an endpoint for a worker, 64 by default; further ones are rejected.
     #[serde(default = "default_queue")]
     pub queue: usize,
-    /// The time that a call takes.
+    /// Distribution of the time that a call takes.
     pub service: Service,
-    /// Some are slower than others: by even chance up to so many times, or a part as long.
+    /// Max factor by which a destination is slower or faster than usual, drawn log-uniformly for each; 1, the default, for
+    /// equal destinations.
     #[serde(default = "default_one")]
     pub spread: f64,
-    /// What instances may send, where that is limited.
+    /// Rate limit of each route, if any.
     #[serde(rename = "limit")]
     pub rate_limit: Option<RateLimitSpec>,
-    /// Whether each endpoint has a limit, and returns, by itself.
+    /// `true` if each endpoint is a route, with its own rate limit and recovery; by default, a destination is one route.
     #[serde(rename = "routes_apart", default)]
     pub separate_routes: bool,
-    /// Connections that an endpoint takes, idle ones counted.
+    /// Max number of connections per endpoint, including idle ones; unlimited by default.
     #[serde(rename = "connections")]
     pub max_connections: Option<usize>,
-    /// Share of the messages' traffic that goes to this kind, against the other kinds' shares.
+    /// Weight of this kind in the distribution of messages over the kinds; 1 by default.
     #[serde(default = "default_one")]
     pub weight: f64,
-    /// Within the kind the k-th busiest gets 1/k^skew of what the busiest gets; 0 spreads evenly.
+    /// Exponent of the skew within the kind: the k-th busiest destination receives 1/k^skew times as many messages as the
+    /// busiest. 0, the default, distributes evenly.
     #[serde(default)]
     pub skew: f64,
-    /// Whether answers hold a report on the limit, as it was up to `report_age` ago.
+    /// `true` if responses carry a load report; `false` by default.
     #[serde(rename = "reports", default)]
     pub sends_load_reports: bool,
-    /// How old what a report tells may be.
+    /// Max age of the state in a load report; zero by default.
     #[serde(rename = "report_age", default, with = "humantime_serde")]
     pub load_report_age: Duration,
 }
 
-/// A law of chance for the time that a call takes.
+/// Probability distribution of the time that a call takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Law {
-    /// Always the mean.
+    /// Always the mean time.
     Constant,
-    /// Exponential.
+    /// Exponential distribution; `cv` has no effect.
     Exponential,
-    /// Log-normal.
+    /// Log-normal distribution.
     LogNormal,
-    /// Gamma.
+    /// Gamma distribution.
     Gamma,
-    /// A heavy tail.
+    /// Pareto distribution, which has a heavy tail.
     Pareto,
 }
 
-/// The time that a call takes at an endpoint of usual pace.
+/// Time that a call takes at an endpoint of usual speed.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The mean time.
+    /// Mean time.
     #[serde(with = "humantime_serde")]
     pub mean: Duration,
-    /// The law.
+    /// Distribution of the time; log-normal by default.
     #[serde(default = "default_law")]
     pub law: Law,
-    /// Standard deviation over mean, for the laws that take one; over 0.
+    /// Coefficient of variation (standard deviation divided by mean) for log-normal, gamma and Pareto; greater than 0, and
+    /// 0.5 by default.
     #[serde(default = "default_cv")]
     pub cv: f64,
 }
 
 impl Service {
-    /// One time drawn.
+    /// Draws a service time, which is between 1 µs and 1 h unless the distribution is constant.
     pub fn draw(&self, rng: &mut impl Rng) -> Duration {
         let mean = self.mean.as_secs_f64().max(1e-6);
-        let (cv, law) = (self.cv, "the law's figures were checked");
-        let s = match self.law {
+        let (cv, checked) = (self.cv, "the parameters of the distribution were checked");
+        let secs = match self.law {
             Law::Constant => return self.mean,
-            Law::Exponential => Exp::new(1.0 / mean).expect(law).sample(rng),
-            Law::LogNormal => LogNormal::from_mean_cv(mean, cv).expect(law).sample(rng),
-            Law::Gamma => Gamma::new(1.0 / (cv * cv), mean * cv * cv).expect(law).sample(rng),
+            Law::Exponential => Exp::new(1.0 / mean).expect(checked).sample(rng),
+            Law::LogNormal => LogNormal::from_mean_cv(mean, cv).expect(checked).sample(rng),
+            Law::Gamma => Gamma::new(1.0 / (cv * cv), mean * cv * cv).expect(checked).sample(rng),
             Law::Pareto => {
-                // The shape that has this cv, and the scale that has this mean.
+                // The shape follows from the coefficient of variation, and the scale from the mean.
                 let shape = 1.0 + (1.0 + 1.0 / (cv * cv)).sqrt();
-                Pareto::new(mean * (shape - 1.0) / shape, shape).expect(law).sample(rng)
+                Pareto::new(mean * (shape - 1.0) / shape, shape).expect(checked).sample(rng)
             }
         };
-        Duration::from_secs_f64(s.clamp(1e-6, 3_600.0))
+        Duration::from_secs_f64(secs.clamp(1e-6, 3_600.0))
     }
 }
 
-/// What all instances together may send a route.
+/// Rate limit of a route, for the calls of all instances together.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct LimitOf", deny_unknown_fields)]
 pub struct RateLimitSpec {
-    /// Calls a second.
+    /// Limit in calls per second.
     pub per_s: f64,
-    /// Counted in spans that begin one after the other; absent, a plain rate with a burst of one second.
+    /// Length of the consecutive windows in which calls are counted; by default, the limit is a token bucket with a burst
+    /// of one second.
     #[serde(rename = "span", default, with = "humantime_serde")]
     pub window: Option<Duration>,
-    /// Share of the refusals that tell how long to wait.
+    /// Share of the rejections that carry a retry-after, from 0 to 1; 0 by default.
     #[serde(default)]
     #[serde(rename = "tells")]
     pub retry_after_share: f64,
-    /// Whether refused calls use it up too, down to as much below nothing as it holds.
+    /// `true` if rejected calls count against the limit too, up to a debt of one burst or window; `false` by default.
     #[serde(default)]
     #[serde(rename = "refused_count")]
     pub counts_rejected: bool,
