--- a/crates/quillhub-simulator/src/scenario/service_class.rs
+++ b/crates/quillhub-simulator/src/scenario/service_class.rs
@@ -1,69 +1,70 @@
-//! Service classes: until when a message is needed, what it is worth, and what a retry of it may do.
+//! Service classes of a scenario: deadlines, value, and whether a retry is safe.
 
 use super::default_one;
 use quillhub::{RetrySafety, ServiceClass, ValueDecay};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What a retry of a message may do at its destination.
+/// Conditions under which a message may be retried after an attempt that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "enum EffectOf", rename_all = "lowercase")]
 pub enum RetrySafetyKind {
-    /// A retry does no harm.
+    /// The message can be executed again without harm.
     #[serde(rename = "retriable")]
     Idempotent,
-    /// A retry is dropped for as long as its idempotency key is remembered.
+    /// The destination drops a retry within the deduplication window.
     #[serde(rename = "fingerprinted")]
     Deduplicated,
-    /// It must not run twice, and its destination cannot tell.
+    /// The message must never be executed twice, and its destination does not recognize a retry.
     #[serde(rename = "binding")]
     AtMostOnce,
 }
 
-/// A service class: what a message of it may do, until when it is needed, and what it is worth.
+/// Service class of messages: deadlines, value, and constraints on attempts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct GradeOf", deny_unknown_fields)]
 pub struct ServiceClassSpec {
-    /// Its name.
+    /// Name of the service class, unique in the scenario.
     pub name: String,
-    /// What a retry may do at its destination.
+    /// Conditions for a retry.
     #[serde(rename = "effect")]
     pub retry_safety: RetrySafetyKind,
-    /// How long a destination remembers an idempotency key, for deduplicated ones.
+    /// Time for which a destination remembers an idempotency key; zero, the default, unless the class is deduplicated.
     #[serde(default, with = "humantime_serde")]
     #[serde(rename = "memory")]
     pub deduplication_window: Duration,
-    /// Whether only endpoints of one zone share that memory.
+    /// `true` if only the endpoints in the zone that first received an idempotency key know it; `false` by default.
     #[serde(default)]
     #[serde(rename = "one_zone")]
     pub per_zone: bool,
-    /// Soft deadline: delivered within this time after it was first submitted, a message has its full value.
+    /// Age, counted from the first submission, up to which a delivered message has its full value.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "contract")]
     pub soft_deadline: Duration,
-    /// Deadline: a message has its final outcome within this time after it was first submitted.
+    /// Age, counted from the first submission, by which a message must have its final outcome.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "limit")]
     pub deadline: Duration,
-    /// Value of a message delivered within its soft deadline, in units of the experiment's own.
+    /// Value of a message delivered by its soft deadline, in a unit common to all service classes; 1 by default.
     #[serde(default = "default_one")]
     #[serde(rename = "earnings")]
     pub value: f64,
-    /// Share of the value that is left at the deadline.
+    /// Share of the value that is left at the deadline, from 0 to 1; 0 by default.
     #[serde(default)]
     #[serde(rename = "late_share")]
     pub late_value_share: f64,
-    /// Whether the value halves over each further span as long as `contract`; otherwise it falls evenly.
+    /// `true` if the value halves with each further period as long as the soft deadline; by default, it falls linearly.
     #[serde(default)]
     pub halving: bool,
-    /// Whether messages of one ordering key are delivered one at a time, in the order taken.
+    /// `true` if messages with the same ordering key are delivered one at a time, in order of acceptance; `false` by
+    /// default.
     #[serde(default)]
     #[serde(rename = "in_order")]
     pub ordered: bool,
 }
 
 impl ServiceClassSpec {
-    /// The class as instances know it.
+    /// Returns the service class as the dispatcher is configured with it.
     pub fn service_class(&self) -> ServiceClass {
         let retry_safety = match self.retry_safety {
             RetrySafetyKind::Idempotent => RetrySafety::Idempotent,
