--- a/crates/quillhub-simulator/src/scenario/mod.rs
+++ b/crates/quillhub-simulator/src/scenario/mod.rs
@@ -1,5 +1,6 @@
-//! What a scenario consists of, as written in an experiment file: sizes, laws of chance, rates, and the faults. Every
-//! span is written with its unit ("250 ms"); what is left out has the value named at its field.
+//! Scenarios as experiment files describe them: sizes, probability distributions, rates and faults.
+//!
+//! Durations are written with a unit ("250 ms"). A key that is left out has the default named at its field.
 
 mod arrivals;
 mod clients;
@@ -25,54 +26,54 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A scenario: everything that a run needs but its seed and its deciders.
+/// Input of a run, except for its seed and its deciders.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct Day", deny_unknown_fields)]
 pub struct Scenario {
-    /// From the first arrival to the last; messages pending then still get their final outcome.
+    /// Time during which messages arrive; messages that are pending at its end still get their final outcome.
     #[serde(with = "humantime_serde")]
     pub length: Duration,
-    /// The instances, and the front that deals messages out to them.
+    /// Gateway instances, and the load balancer in front of them.
     #[serde(rename = "couriers")]
     pub instances: Instances,
-    /// Delays, and what connections cost.
+    /// Network between instances and endpoints.
     #[serde(default)]
     pub network: Network,
-    /// Service discovery.
+    /// Settings of service discovery.
     #[serde(default)]
     #[serde(rename = "register")]
     pub discovery: DiscoverySpec,
-    /// How destinations that were out return, and the figures of the rules.
+    /// Recovery of destinations after an outage, and the thresholds of the rules.
     #[serde(default)]
     #[serde(rename = "returns")]
     pub rules: RuleSettings,
-    /// The service classes.
+    /// Service classes that messages may have; at least one.
     #[serde(rename = "grades")]
     pub service_classes: Vec<ServiceClassSpec>,
-    /// The destinations, by kind.
+    /// Destinations, by kind; at least one kind.
     pub destinations: Vec<Destinations>,
-    /// The streams of messages.
+    /// Streams of messages; at least one.
     pub arrivals: Vec<Arrivals>,
-    /// Tenants with a quota.
+    /// Tenants and their quotas; none by default.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// What clients do with what did not get through.
+    /// Retry behaviour of clients.
     #[serde(default)]
     pub clients: Clients,
-    /// What goes wrong, and when.
+    /// Faults and their times; none by default.
     #[serde(default)]
     pub faults: Vec<ScheduledFault>,
 }
 
-/// A tenant and what it bought, in messages a second for all instances; the quota is not enforced.
+/// Tenant with a quota. The simulator does not enforce quotas; the dispatcher values messages beyond them less.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant, by which streams refer to it.
     pub name: String,
-    /// Its quota.
+    /// Quota in messages per second, at all instances together.
     pub per_s: f64,
-    /// Share of their value that messages over the quota have.
+    /// Share of the value that messages beyond the quota keep, from 0 to 1; 1 by default.
     #[serde(rename = "over_share", default = "default_one")]
     pub excess_value_share: f64,
 }
