--- a/crates/quillhub-simulator/src/scenario/validation.rs
+++ b/crates/quillhub-simulator/src/scenario/validation.rs
@@ -1,22 +1,22 @@
-//! Checks a scenario before it is run. The places that errors name are the keys of the experiment file.
+//! Validation of scenarios before a run. Errors name the keys of the experiment file.
 
 use super::{Arrivals, Destinations, Pattern, RetrySafetyKind, Scenario, ServiceClassSpec};
 use crate::faults::ScheduledFault;
 use std::fmt::Display;
 
-/// Instances, endpoints or messages beyond which a scenario is taken for a mistake.
+/// Max number of instances, destinations, messages and the like; a scenario with more is taken for a mistake.
 const MAX_COUNT: f64 = 1e7;
 const COUNT_EXPECTED: &str = "one at least, and no more than ten million";
 
-/// What is wrong with a scenario.
+/// Error for a scenario that cannot be run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{place}: expected {expected}, found {found}")]
 pub struct InvalidScenario {
-    /// The key in the experiment file, from the scenario's table on.
+    /// Path of the key in the experiment file, relative to the scenario's table.
     pub place: String,
-    /// What is expected there.
+    /// Description of the values that are valid.
     pub expected: String,
-    /// What was found there.
+    /// Invalid value that was found.
     pub found: String,
 }
 
@@ -26,6 +26,7 @@
     }
 }
 
+/// Result of a check of one part of a scenario.
 type Checked = Result<(), InvalidScenario>;
 
 fn require(holds: bool, place: impl Into<String>, expected: &str, found: impl Display) -> Checked {
@@ -40,7 +41,7 @@
     require(count != 0 && count as f64 <= MAX_COUNT, place, COUNT_EXPECTED, count)
 }
 
-/// A name that is given must be one of those that `is_known` knows.
+/// Checks that `is_known` holds for a name, unless it is absent.
 fn require_known(
     name: Option<&String>,
     is_known: impl Fn(&str) -> bool,
@@ -54,7 +55,11 @@
 }
 
 impl Scenario {
-    /// Checks that the scenario can be run; the first thing that is wrong, if anything is.
+    /// Checks that the scenario can be run.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first invalid value, in the order of the fields.
     pub fn check(&self) -> Result<(), InvalidScenario> {
         require(!self.length.is_zero(), "length", "a span over zero", "0s")?;
         self.check_counts()?;
@@ -177,7 +182,7 @@
         require(start <= self.length, place("at"), "an instant within the day", format!("{start:?}"))
     }
 
-    /// The highest number that the target of a fault may name.
+    /// Returns the max number of an instance or destination that the target of a fault may name.
     fn max_target_id(&self, scheduled: &ScheduledFault) -> usize {
         if scheduled.fault.targets_instances() {
             return self.instances.count as usize;
