--- a/crates/quillhub-simulator/src/scenario/validation.rs
+++ b/crates/quillhub-simulator/src/scenario/validation.rs
@@ -64,19 +64,19 @@
         require(!self.length.is_zero(), "length", "a span over zero", "0s")?;
         self.check_counts()?;
         self.check_figures()?;
-        for nth in 0..self.service_classes.len() {
-            self.check_service_class(nth)?;
+        for index in 0..self.service_classes.len() {
+            self.check_service_class(index)?;
         }
-        for nth in 0..self.destinations.len() {
-            self.check_destinations(nth)?;
+        for index in 0..self.destinations.len() {
+            self.check_destinations(index)?;
         }
         let is_weighted = self.destinations.iter().any(|kind| kind.weight != 0.0);
         require(is_weighted, "destinations", "a kind with a weight over 0", "none")?;
-        for (nth, stream) in self.arrivals.iter().enumerate() {
-            self.check_stream(nth, stream)?;
+        for (index, stream) in self.arrivals.iter().enumerate() {
+            self.check_stream(index, stream)?;
         }
-        for (nth, fault) in self.faults.iter().enumerate() {
-            self.check_fault(nth, fault)?;
+        for (index, fault) in self.faults.iter().enumerate() {
+            self.check_fault(index, fault)?;
         }
         Ok(())
     }
@@ -101,12 +101,12 @@
         require(factor.is_nan() || factor >= 1.0, "returns.factor", "1 or more", factor)
     }
 
-    fn check_service_class(&self, nth: usize) -> Checked {
-        let place = |field: &str| format!("grades[{nth}].{field}");
-        let ServiceClassSpec { name, soft_deadline, deadline, .. } = &self.service_classes[nth];
-        let class = &self.service_classes[nth];
-        let is_new = self.service_classes[..nth].iter().all(|other| other.name != *name);
-        require(is_new, place("name"), "a name of its own", name)?;
+    fn check_service_class(&self, index: usize) -> Checked {
+        let place = |field: &str| format!("grades[{index}].{field}");
+        let ServiceClassSpec { name, soft_deadline, deadline, .. } = &self.service_classes[index];
+        let class = &self.service_classes[index];
+        let is_unique = self.service_classes[..index].iter().all(|other| other.name != *name);
+        require(is_unique, place("name"), "a name of its own", name)?;
         let found = format!("{soft_deadline:?} and a limit of {deadline:?}");
         let expected = "a contract time within the limit";
         require(soft_deadline <= deadline, place("contract"), expected, found)?;
@@ -117,11 +117,11 @@
         require_share(place("late_share"), class.late_value_share)
     }
 
-    fn check_destinations(&self, nth: usize) -> Checked {
-        let place = |field: &str| format!("destinations[{nth}].{field}");
-        let kind = &self.destinations[nth];
-        let is_new = self.destinations[..nth].iter().all(|other| other.kind != kind.kind);
-        require(is_new, place("kind"), "a name of its own", &kind.kind)?;
+    fn check_destinations(&self, index: usize) -> Checked {
+        let place = |field: &str| format!("destinations[{index}].{field}");
+        let kind = &self.destinations[index];
+        let is_unique = self.destinations[..index].iter().all(|other| other.kind != kind.kind);
+        require(is_unique, place("kind"), "a name of its own", &kind.kind)?;
         require_count(place("count"), kind.count)?;
         require_count(place("endpoints"), kind.endpoints)?;
         require_count(place("workers"), kind.workers)?;
@@ -137,8 +137,8 @@
         self.destinations.iter().any(|kind| kind.kind == name)
     }
 
-    fn check_stream(&self, nth: usize, stream: &Arrivals) -> Checked {
-        let place = |field: &str| format!("arrivals[{nth}].{field}");
+    fn check_stream(&self, index: usize, stream: &Arrivals) -> Checked {
+        let place = |field: &str| format!("arrivals[{index}].{field}");
         let per_s = stream.per_s;
         require(per_s.is_finite() && per_s > 0.0, place("per_s"), "a rate over 0", per_s)?;
         let until = stream.until.unwrap_or(self.length).min(self.length);
@@ -157,8 +157,8 @@
         check_pattern(&stream.pattern, place)
     }
 
-    fn check_fault(&self, nth: usize, scheduled: &ScheduledFault) -> Checked {
-        let place = |field: &str| format!("faults[{nth}].{field}");
+    fn check_fault(&self, index: usize, scheduled: &ScheduledFault) -> Checked {
+        let place = |field: &str| format!("faults[{index}].{field}");
         let (target, zones) = (&scheduled.target, &self.instances.zones);
         let is_zone = |name: &str| zones.iter().any(|zone| zone == name);
         let kind = target.kind.as_ref();
