--- a/crates/quillhub-experiments/src/experiment_tests.rs
+++ b/crates/quillhub-experiments/src/experiment_tests.rs
@@ -48,7 +48,7 @@
         ("\"single\"", "\"none\"", 4, "unknown variant `none`"),
         ("couriers.count", "couriers.cuont", 5, "unknown field `cuont`"),
         ("couriers.count", "postmen.count", 5, "found no 'postmen'"),
-        ("contract = \"1 s\"", "contract = \"6 s\"", 18, "a contract time within the limit"),
+        ("contract = \"1 s\"", "contract = \"6 s\"", 18, "a contract no longer than the limit"),
         ("limit = \"5 s\"", "limit = 5", 19, "invalid type"),
         ("format = 1", "format = 2", 1, "expected 1, found 2"),
         ("per_s = 5.0", "per_s = 5.0\nto = \"x\"", 25, "a kind of destination, found x"),
--- a/crates/quillhub-simulator/src/scenario/validation.rs
+++ b/crates/quillhub-simulator/src/scenario/validation.rs
@@ -6,7 +6,7 @@
 
 /// Max number of instances, destinations, messages and the like; a scenario with more is taken for a mistake.
 const MAX_COUNT: f64 = 1e7;
-const COUNT_EXPECTED: &str = "one at least, and no more than ten million";
+const COUNT_EXPECTED: &str = "a number from 1 to 10000000";
 
 /// Error for a scenario that cannot be run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -59,9 +59,9 @@
     ///
     /// # Errors
     ///
-    /// Returns the first invalid value, in the order of the fields.
+    /// Returns the first invalid value that is found.
     pub fn check(&self) -> Result<(), InvalidScenario> {
-        require(!self.length.is_zero(), "length", "a span over zero", "0s")?;
+        require(!self.length.is_zero(), "length", "a duration greater than 0", "0s")?;
         self.check_counts()?;
         self.check_figures()?;
         for index in 0..self.service_classes.len() {
@@ -95,7 +95,7 @@
     fn check_figures(&self) -> Checked {
         require_share("couriers.notes_lost", self.instances.gossip_loss)?;
         let skew = self.instances.skew;
-        require(skew.is_finite() && skew >= 0.0, "couriers.skew", "a number from 0", skew)?;
+        require(skew.is_finite() && skew >= 0.0, "couriers.skew", "a number of at least 0", skew)?;
         require_share("returns.start", self.rules.initial_share)?;
         let factor = self.rules.overload_factor;
         require(factor.is_nan() || factor >= 1.0, "returns.factor", "1 or more", factor)
@@ -106,13 +106,13 @@
         let ServiceClassSpec { name, soft_deadline, deadline, .. } = &self.service_classes[index];
         let class = &self.service_classes[index];
         let is_unique = self.service_classes[..index].iter().all(|other| other.name != *name);
-        require(is_unique, place("name"), "a name of its own", name)?;
+        require(is_unique, place("name"), "a unique name", name)?;
         let found = format!("{soft_deadline:?} and a limit of {deadline:?}");
-        let expected = "a contract time within the limit";
+        let expected = "a contract no longer than the limit";
         require(soft_deadline <= deadline, place("contract"), expected, found)?;
         let needs_window = class.retry_safety == RetrySafetyKind::Deduplicated;
         let window = class.deduplication_window;
-        let expected = "a memory for a fingerprinted grade, and none for others";
+        let expected = "a memory greater than 0 for a fingerprinted grade, and no memory for others";
         require(needs_window != window.is_zero(), place("memory"), expected, format!("{window:?}"))?;
         require_share(place("late_share"), class.late_value_share)
     }
@@ -121,7 +121,7 @@
         let place = |field: &str| format!("destinations[{index}].{field}");
         let kind = &self.destinations[index];
         let is_unique = self.destinations[..index].iter().all(|other| other.kind != kind.kind);
-        require(is_unique, place("kind"), "a name of its own", &kind.kind)?;
+        require(is_unique, place("kind"), "a unique name", &kind.kind)?;
         require_count(place("count"), kind.count)?;
         require_count(place("endpoints"), kind.endpoints)?;
         require_count(place("workers"), kind.workers)?;
@@ -129,7 +129,7 @@
             require(value.is_finite() && value > 0.0, place(field), "a number over 0", value)?;
         }
         let weight = kind.weight;
-        require(weight.is_finite() && weight >= 0.0, place("weight"), "a number from 0", weight)?;
+        require(weight.is_finite() && weight >= 0.0, place("weight"), "a number of at least 0", weight)?;
         check_rate_limit(kind, place)
     }
 
@@ -143,7 +143,12 @@
         require(per_s.is_finite() && per_s > 0.0, place("per_s"), "a rate over 0", per_s)?;
         let until = stream.until.unwrap_or(self.length).min(self.length);
         let messages = per_s * until.saturating_sub(stream.from).as_secs_f64();
-        require(messages <= MAX_COUNT, place("per_s"), "at most ten million notices in all", per_s)?;
+        require(
+            messages <= MAX_COUNT,
+            place("per_s"),
+            "a rate of at most 10000000 messages over the length of the stream",
+            per_s,
+        )?;
         let has_class = |name: &str| self.service_classes.iter().any(|class| class.name == name);
         require_known(stream.service_class.as_ref(), has_class, place("grade"), "the name of a grade")?;
         let kind = stream.destination_kind.as_ref();
@@ -179,7 +184,12 @@
             return Err(InvalidScenario::new(place(field), expected, found));
         }
         let start = scheduled.start;
-        require(start <= self.length, place("at"), "an instant within the day", format!("{start:?}"))
+        require(
+            start <= self.length,
+            place("at"),
+            "a time within the length of the day",
+            format!("{start:?}"),
+        )
     }
 
     /// Returns the max number of an instance or destination that the target of a fault may name.
@@ -199,7 +209,7 @@
     let Some(window) = limit.window else { return Ok(()) };
     let found = format!("{window:?} at {per_s} a second");
     let fits_one = window.as_secs_f64() * per_s >= 1.0;
-    require(fits_one, place("limit.span"), "a span in which one call fits", found)
+    require(fits_one, place("limit.span"), "a span of at least 1 / per_s", found)
 }
 
 fn check_pattern(pattern: &Pattern, place: impl Fn(&str) -> String) -> Checked {
