--- a/crates/quillhub-simulator/src/faults/mod.rs
+++ b/crates/quillhub-simulator/src/faults/mod.rs
@@ -1,5 +1,7 @@
-//! Faults of a scenario, as data: when, what, at which target, how much. They compose; each kind is one file here,
-//! which says how it begins and how it ends, and one line in [`Fault`].
+//! Faults of a scenario, as data: time, kind, target and parameters.
+//!
+//! Faults may overlap. Each kind has a module with its parameters and the [`Injection`] that it results in, and a
+//! variant of [`Fault`].
 
 mod crash;
 mod cut;
@@ -46,92 +48,94 @@
 pub(crate) use target::target_rng;
 pub use traffic_surge::TrafficSurge;
 
-/// A fault, when it begins and how long it lasts.
+/// Fault with its time and its target.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScheduledFault {
-    /// When it begins, since the start of the scenario.
+    /// Time at which the fault begins, since the start of the scenario.
     #[serde(rename = "at", with = "humantime_serde")]
     pub start: Duration,
-    /// How long it lasts.
+    /// Time from the begin of the fault to its end.
     #[serde(rename = "lasts", with = "humantime_serde")]
     pub duration: Duration,
-    /// What it does.
+    /// Kind and parameters of the fault.
     #[serde(rename = "what")]
     pub fault: Fault,
-    /// Who is struck.
+    /// Destinations, endpoints or instances affected; all by default.
     #[serde(default)]
     #[serde(rename = "whom")]
     pub target: Target,
 }
 
 impl ScheduledFault {
-    /// How many times as much of a stream comes by it.
-    pub(crate) fn surge_factor(&self, nth: usize) -> Option<f64> {
+    /// Returns the factor by which the fault multiplies the rate of the stream with index `index`, if it affects it.
+    pub(crate) fn surge_factor(&self, index: usize) -> Option<f64> {
         match self.fault.injection(self) {
-            Injection::TrafficSurge { stream, factor } if stream.is_none_or(|one| one == nth) => Some(factor),
+            Injection::TrafficSurge { stream, factor } if stream.is_none_or(|only| only == index) => {
+                Some(factor)
+            }
             _ => None,
         }
     }
 }
 
-/// The kinds of fault; those with nothing more to say are written as a word, others as a table of one row.
+/// Kind of a fault. In experiment files, a kind without parameters is a string, any other a table with one key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Endpoints refuse connections, and reset those that stood.
+    /// Endpoints refuse new connections and reset established ones.
     Refuse,
-    /// Endpoints take calls and answer none.
+    /// Endpoints accept connections but respond to no call.
     Hang,
-    /// Nothing at all comes back from endpoints, not even for a connection.
+    /// Endpoints answer no packet at all, so connection attempts time out as well.
     Silent,
-    /// Instances stand still.
+    /// Instances handle no events until the end of the fault.
     Stall,
-    /// Endpoints fail a share of the calls.
+    /// A share of the calls fails quickly with an error.
     Errors(Errors),
-    /// Destinations are shut.
+    /// Destinations reject all calls without executing them.
     Shut(Shut),
-    /// Calls take longer at endpoints.
+    /// Calls take longer to execute.
     Slow(Slow),
-    /// A share of the answers is lost.
+    /// A share of the responses is lost after the calls were executed.
     #[serde(rename = "mute")]
     LostResponses(LostResponses),
-    /// A share of the kept connections is dead.
+    /// A share of the idle connections turns out broken when reused.
     Stale(Stale),
-    /// Opening a connection takes longer.
+    /// Opening a connection to an endpoint takes longer.
     Handshake(Handshake),
-    /// Nothing gets from one zone to another.
+    /// All traffic from one zone to another is dropped.
     Cut(Cut),
-    /// A share of what goes from one zone to another is lost.
+    /// A share of the traffic from one zone to another is dropped.
     Loss(Loss),
-    /// The way from one zone to another takes longer.
+    /// Traffic from one zone to another takes longer.
     Delay(Delay),
-    /// Service discovery is out of reach, or late.
+    /// Service discovery is unreachable or delayed.
     #[serde(rename = "register")]
     DiscoveryOutage(DiscoveryOutage),
-    /// Service discovery tells a list that is not whole.
+    /// Service discovery sends a snapshot in which endpoints are missing.
     #[serde(rename = "partial")]
     PartialSnapshot(PartialSnapshot),
-    /// Endpoints drain.
+    /// Endpoints drain one after the other and are removed.
     Drain(Drain),
-    /// Instances die and start again.
+    /// Instances die, and restart at the end of the fault.
     Crash(Crash),
-    /// Gossip between instances is lost, or late.
+    /// Gossip between instances is lost or delayed.
     #[serde(rename = "notes")]
     Gossip(Gossip),
-    /// More messages come.
+    /// More messages arrive than usual.
     #[serde(rename = "crowd")]
     TrafficSurge(TrafficSurge),
-    /// Some destinations get more than their share of the messages.
+    /// Some destinations receive more than their usual share of the messages.
     #[serde(rename = "hot")]
     HotDestinations(HotDestinations),
 }
 
-/// The field that is wrong, what is expected there, and what was found.
+/// Result of checking a fault's parameters; the error is the invalid key, the expected values, and the value found.
 pub(crate) type CheckResult = Result<(), (&'static str, &'static str, String)>;
 
-fn invalid(field: &'static str, wanted: &'static str, found: impl ToString) -> CheckResult {
-    Err((field, wanted, found.to_string()))
+fn invalid(field: &'static str, expected: &'static str, found: impl ToString) -> CheckResult {
+    Err((field, expected, found.to_string()))
 }
 
 fn check_share(field: &'static str, value: f64) -> CheckResult {
@@ -142,42 +146,57 @@
     if value > 0.0 && value.is_finite() { Ok(()) } else { invalid(field, "a number over 0", value) }
 }
 
-/// What a fault does to the simulation, from its begin to its end.
+/// Effect of a fault on the simulation, from its begin to its end.
 pub(crate) enum Injection<'a> {
-    /// To the servers struck.
+    /// Adds a fault to the servers of the target.
     Servers(ServerFault),
-    /// To the paths from one zone to another; absent, any.
+    /// Adds a fault to the network paths from one zone to another.
     Paths {
+        /// Zone that the traffic comes from; any if absent.
         from: &'a Option<String>,
+        /// Zone that the traffic goes to; any if absent.
         to: &'a Option<String>,
+        /// Fault of the paths.
         kind: PathFault,
     },
-    /// Service discovery is so much later, or out of reach.
+    /// Delays service discovery by the given time, or makes it unreachable.
     Discovery(Option<Duration>),
-    /// A snapshot without such a share of the target endpoints is sent, and the true one at the end.
+    /// Sends a snapshot without the given share of the target's endpoints, and the complete one at the end.
     PartialSnapshot(f64),
+    /// Drains the endpoints of the target one after the other.
     Drain(&'a Drain),
+    /// Kills the instances of the target, and restarts them at the end.
     Crash {
+        /// `true` if the state directories are lost.
         state_directory_lost: bool,
     },
+    /// Stalls the instances of the target until the end.
     Stall,
-    /// Gossip between instances is lost, or so much later.
+    /// Drops or delays gossip between instances.
     Gossip {
+        /// Share of the gossip messages that are lost, from 0 to 1.
         lost: f64,
+        /// Additional delay of the others.
         delay: Duration,
     },
+    /// Multiplies the rate of arrivals.
     TrafficSurge {
+        /// Index of the only stream affected; all streams if absent.
         stream: Option<usize>,
+        /// Factor of the rate.
         factor: f64,
     },
+    /// Multiplies the weight of the target's destinations in the distribution of messages by the given factor.
     HotDestinations(f64),
 }
 
-/// A kind of fault.
+/// Behaviour of a kind of fault.
 pub(crate) trait FaultKind {
+    /// Checks the parameters; kinds without any need no check.
     fn check(&self) -> CheckResult {
         Ok(())
     }
+    /// Returns the effect of the fault on the simulation; `scheduled` has its time and target.
     fn injection(&self, scheduled: &ScheduledFault) -> Injection<'_>;
 }
 
@@ -207,16 +226,17 @@
         }
     }
 
-    /// Whether the numbers of its [`Target`] are those of instances.
+    /// Returns `true` if the numbers in its [`Target`] are those of instances rather than destinations.
     pub(crate) fn targets_instances(&self) -> bool {
         matches!(self, Self::Stall | Self::Crash(_))
     }
 
+    /// Checks the parameters of the fault.
     pub(crate) fn check(&self) -> CheckResult {
         self.kind().check()
     }
 
-    /// The zones that it names.
+    /// Returns the zones that the fault names, other than in its [`Target`].
     pub(crate) fn zones(&self) -> Vec<&String> {
         let (from, to) = match self {
             Self::Cut(Cut { from, to }) => (from, to),
@@ -226,6 +246,7 @@
         from.iter().chain(to).collect()
     }
 
+    /// Returns the effect of the fault on the simulation.
     pub(crate) fn injection(&self, scheduled: &ScheduledFault) -> Injection<'_> {
         self.kind().injection(scheduled)
     }
