--- a/crates/quillhub-simulator/src/faults/crash.rs
+++ b/crates/quillhub-simulator/src/faults/crash.rs
@@ -1,13 +1,13 @@
-//! Instances die at once and come back at the fault's end, with their state directory or without it.
+//! Crash fault: instances die when the fault begins and restart when it ends, with or without their state directories.
 
 use super::{FaultKind, Injection, ScheduledFault};
 use serde::{Deserialize, Serialize};
 
-/// Instances die at once, and start again at the fault's end.
+/// Parameters of a crash of instances, which restart when the fault ends.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Crash {
-    /// Whether the state directory is lost, where instances have one.
+    /// `true` if instances lose their state directory, if they have one; `false` by default.
     #[serde(default)]
     #[serde(rename = "folder_lost")]
     pub state_directory_lost: bool,
