--- a/crates/quillhub-simulator/src/faults/cut.rs
+++ b/crates/quillhub-simulator/src/faults/cut.rs
@@ -1,17 +1,17 @@
-//! The way from one zone to another is cut, in that direction only: nothing arrives, and nobody hears of it.
+//! Network partition in one direction: all traffic from one zone to another is dropped, without any error at either end.
 
 use super::{FaultKind, Injection, ScheduledFault};
 use crate::conditions::PathFault;
 use serde::{Deserialize, Serialize};
 
-/// Nothing gets from one zone to another.
+/// Parameters of a one-way partition between zones.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cut {
-    /// The zone that it goes from; absent, any.
+    /// Zone that the traffic comes from; any by default.
     #[serde(default)]
     pub from: Option<String>,
-    /// The zone that it goes to; absent, any.
+    /// Zone that the traffic goes to; any by default.
     #[serde(default)]
     pub to: Option<String>,
 }
