--- a/crates/quillhub-simulator/src/faults/delay.rs
+++ b/crates/quillhub-simulator/src/faults/delay.rs
@@ -1,21 +1,21 @@
-//! The way from one zone to another takes so much longer.
+//! Network delay: traffic from one zone to another takes longer.
 
 use super::{FaultKind, Injection, ScheduledFault};
 use crate::conditions::PathFault;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The way from one zone to another takes longer.
+/// Parameters of a one-way network delay between zones.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Delay {
-    /// How much longer one way takes.
+    /// Additional one-way delay.
     #[serde(rename = "more", with = "humantime_serde")]
     pub added_delay: Duration,
-    /// The zone that it goes from; absent, any.
+    /// Zone that the traffic comes from; any by default.
     #[serde(default)]
     pub from: Option<String>,
-    /// The zone that it goes to; absent, any.
+    /// Zone that the traffic goes to; any by default.
     #[serde(default)]
     pub to: Option<String>,
 }
