--- a/crates/quillhub-simulator/src/faults/loss.rs
+++ b/crates/quillhub-simulator/src/faults/loss.rs
@@ -1,19 +1,19 @@
-//! A share of what goes from one zone to another does not arrive.
+//! Network loss: a share of the traffic from one zone to another is dropped.
 
 use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_share};
 use crate::conditions::PathFault;
 use serde::{Deserialize, Serialize};
 
-/// A share of what goes from one zone to another is lost.
+/// Parameters of a one-way network loss between zones.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Loss {
-    /// Share of what is lost.
+    /// Share of the transmissions that is dropped, from 0 to 1.
     pub share: f64,
-    /// The zone that it goes from; absent, any.
+    /// Zone that the traffic comes from; any by default.
     #[serde(default)]
     pub from: Option<String>,
-    /// The zone that it goes to; absent, any.
+    /// Zone that the traffic goes to; any by default.
     #[serde(default)]
     pub to: Option<String>,
 }
