--- a/crates/quillhub-simulator/src/faults/discovery_outage.rs
+++ b/crates/quillhub-simulator/src/faults/discovery_outage.rs
@@ -1,14 +1,14 @@
-//! Service discovery is out of reach, or so much later than usual; changes meanwhile are sent when it is back.
+//! Discovery fault: service discovery is unreachable or delayed. Changes during an outage are sent at its end.
 
 use super::{FaultKind, Injection, ScheduledFault};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Service discovery is out of reach, or late.
+/// Parameters of an outage or a delay of service discovery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct Register", deny_unknown_fields)]
 pub struct DiscoveryOutage {
-    /// So much later; absent, it is out of reach.
+    /// Additional delay of changes; by default, service discovery is unreachable.
     #[serde(default, with = "humantime_serde")]
     #[serde(rename = "late")]
     pub delay: Option<Duration>,
