--- a/crates/quillhub-simulator/src/faults/errors.rs
+++ b/crates/quillhub-simulator/src/faults/errors.rs
@@ -1,14 +1,14 @@
-//! Endpoints fail a share of the calls, quickly.
+//! Errors fault: a share of the calls fails with an error, in less than the usual service time.
 
 use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_share};
 use crate::conditions::ServerFault;
 use serde::{Deserialize, Serialize};
 
-/// Endpoints fail a share of the calls.
+/// Parameters of failing calls.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Errors {
-    /// Share of the calls that fail.
+    /// Share of the calls that fail, from 0 to 1; above 0.5, the fault counts as an outage.
     pub share: f64,
 }
 
