--- a/crates/quillhub-simulator/src/faults/gossip.rs
+++ b/crates/quillhub-simulator/src/faults/gossip.rs
@@ -1,17 +1,17 @@
-//! Gossip between instances is lost, or come so much later.
+//! Gossip fault: gossip between instances is lost or delayed.
 
 use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_share};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Gossip between instances is lost, or late.
+/// Parameters of lost or delayed gossip.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct Notes", deny_unknown_fields)]
 pub struct Gossip {
-    /// Share of the gossip lost.
+    /// Share of the gossip messages that are lost, from 0 to 1; 0 by default.
     #[serde(default)]
     pub lost: f64,
-    /// How much later those come that are not lost.
+    /// Additional delay of gossip messages that are not lost; zero by default.
     #[serde(default, with = "humantime_serde")]
     #[serde(rename = "late")]
     pub delay: Duration,
