--- a/crates/quillhub-simulator/src/faults/handshake.rs
+++ b/crates/quillhub-simulator/src/faults/handshake.rs
@@ -1,15 +1,15 @@
-//! Opening a connection takes so much longer.
+//! Handshake fault: opening a connection to an endpoint takes longer.
 
 use super::{FaultKind, Injection, ScheduledFault};
 use crate::conditions::ServerFault;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Opening a connection takes longer.
+/// Parameters of slow connection handshakes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Handshake {
-    /// How much longer opening a connection takes.
+    /// Additional time to open a connection.
     #[serde(rename = "more", with = "humantime_serde")]
     pub added_delay: Duration,
 }
