--- a/crates/quillhub-simulator/src/faults/hang.rs
+++ b/crates/quillhub-simulator/src/faults/hang.rs
@@ -1,8 +1,9 @@
-//! Endpoints take calls and answer none; some of these run all the same.
+//! Hang fault: endpoints accept connections and calls but respond to none; a random part of the calls is executed.
 
 use super::{FaultKind, Injection, ScheduledFault};
 use crate::conditions::ServerFault;
 
+/// Hang fault, which has no parameters.
 pub(crate) struct Hang;
 
 impl FaultKind for Hang {
