--- a/crates/quillhub-simulator/src/faults/hot_destinations.rs
+++ b/crates/quillhub-simulator/src/faults/hot_destinations.rs
@@ -1,13 +1,14 @@
-//! The destinations struck get so many times their share of all messages; how many come stays as it was.
+//! Hot destinations: the target's destinations receive more than their usual share of the messages, at an unchanged
+//! total rate.
 
 use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_positive};
 use serde::{Deserialize, Serialize};
 
-/// Some destinations get more than their share of the messages.
+/// Parameters of a shift of messages towards some destinations.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct Hot", deny_unknown_fields)]
 pub struct HotDestinations {
-    /// How many times their share they get.
+    /// Factor by which the weight of each of the destinations is multiplied; greater than 0.
     pub factor: f64,
 }
 
