--- a/crates/quillhub-simulator/src/faults/lost_responses.rs
+++ b/crates/quillhub-simulator/src/faults/lost_responses.rs
@@ -1,14 +1,14 @@
-//! A share of the answers is lost once their calls have run.
+//! Lost responses: a share of the calls is executed, but the response does not reach the instance.
 
 use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_share};
 use crate::conditions::ServerFault;
 use serde::{Deserialize, Serialize};
 
-/// A share of the answers is lost.
+/// Parameters of lost responses.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct Mute", deny_unknown_fields)]
 pub struct LostResponses {
-    /// Share of the answers lost.
+    /// Share of the responses that is lost, from 0 to 1.
     pub share: f64,
 }
 
