--- a/crates/quillhub-simulator/src/faults/partial_snapshot.rs
+++ b/crates/quillhub-simulator/src/faults/partial_snapshot.rs
@@ -1,13 +1,14 @@
-//! Service discovery tells a whole list in which a share of the endpoints is missing, and the true one at its end.
+//! Partial snapshot: service discovery sends a snapshot in which a share of the target's endpoints is missing, and the
+//! complete one when the fault ends.
 
 use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_share};
 use serde::{Deserialize, Serialize};
 
-/// Service discovery tells a list that is not whole.
+/// Parameters of a partial snapshot of the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct Partial", deny_unknown_fields)]
 pub struct PartialSnapshot {
-    /// Share of the endpoints that the list leaves out.
+    /// Probability with which each endpoint of the target is left out, from 0 to 1.
     pub share: f64,
 }
 
