--- a/crates/quillhub-simulator/src/faults/refuse.rs
+++ b/crates/quillhub-simulator/src/faults/refuse.rs
@@ -1,8 +1,9 @@
-//! Endpoints refuse connections; those that stood are reset, and what ran there is cut off.
+//! Refuse fault: endpoints refuse new connections, reset established ones, and abort the calls in progress.
 
 use super::{FaultKind, Injection, ScheduledFault};
 use crate::conditions::ServerFault;
 
+/// Refuse fault, which has no parameters.
 pub(crate) struct Refuse;
 
 impl FaultKind for Refuse {
