--- a/crates/quillhub-simulator/src/faults/shut.rs
+++ b/crates/quillhub-simulator/src/faults/shut.rs
@@ -1,14 +1,14 @@
-//! Destinations are shut: every call is rejected unseen, with a retry-after or without.
+//! Shut fault: destinations reject every call without executing it, with or without a retry-after.
 
 use super::{FaultKind, Injection, ScheduledFault};
 use crate::conditions::ServerFault;
 use serde::{Deserialize, Serialize};
 
-/// Destinations are shut.
+/// Parameters of destinations that reject all calls.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Shut {
-    /// Whether answers tell when it opens.
+    /// `true` if rejections carry the time until the fault's end as their retry-after; `false` by default.
     #[serde(default)]
     #[serde(rename = "tells")]
     pub sends_retry_after: bool,
