--- a/crates/quillhub-simulator/src/faults/silent.rs
+++ b/crates/quillhub-simulator/src/faults/silent.rs
@@ -1,8 +1,9 @@
-//! Nothing comes back from endpoints, not even for a new connection: a black hole, not a refusal.
+//! Silent fault: endpoints answer no packet, so calls and connection attempts time out instead of being refused.
 
 use super::{FaultKind, Injection, ScheduledFault};
 use crate::conditions::ServerFault;
 
+/// Silent fault, which has no parameters.
 pub(crate) struct Silent;
 
 impl FaultKind for Silent {
