--- a/crates/quillhub-simulator/src/faults/slow.rs
+++ b/crates/quillhub-simulator/src/faults/slow.rs
@@ -1,14 +1,14 @@
-//! Calls take so many times as long at endpoints.
+//! Slow fault: calls take a multiple of their usual time at endpoints.
 
 use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_positive};
 use crate::conditions::ServerFault;
 use serde::{Deserialize, Serialize};
 
-/// Calls take longer at endpoints.
+/// Parameters of slow endpoints.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slow {
-    /// How many times as long calls take.
+    /// Factor by which the service time is multiplied; greater than 0.
     pub factor: f64,
 }
 
