--- a/crates/quillhub-simulator/src/faults/stale.rs
+++ b/crates/quillhub-simulator/src/faults/stale.rs
@@ -1,14 +1,14 @@
-//! A share of the kept connections is dead, which shows only when one is used.
+//! Stale connections: a share of the idle connections is broken, which an instance detects only when it reuses one.
 
 use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_share};
 use crate::conditions::ServerFault;
 use serde::{Deserialize, Serialize};
 
-/// A share of the kept connections is dead.
+/// Parameters of stale connections.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stale {
-    /// Share of the kept connections that are dead.
+    /// Share of the idle connections that are broken, from 0 to 1.
     pub share: f64,
 }
 
