--- a/crates/quillhub-simulator/src/faults/stall.rs
+++ b/crates/quillhub-simulator/src/faults/stall.rs
@@ -1,7 +1,8 @@
-//! Instances stand still: what happens meanwhile they learn at the fault's end, all at once.
+//! Stall fault: instances handle no events, and receive all events of that time at once when the fault ends.
 
 use super::{FaultKind, Injection, ScheduledFault};
 
+/// Stall fault, which has no parameters.
 pub(crate) struct Stall;
 
 impl FaultKind for Stall {
