--- a/crates/quillhub-simulator/src/faults/traffic_surge.rs
+++ b/crates/quillhub-simulator/src/faults/traffic_surge.rs
@@ -1,15 +1,15 @@
-//! So many times as many messages come: a flash crowd, or a hot caller where it names one stream.
+//! Traffic surge: more messages arrive in all streams, as in a flash crowd, or in a single one, as from a hot caller.
 
 use super::{CheckResult, FaultKind, Injection, ScheduledFault, check_positive};
 use serde::{Deserialize, Serialize};
 
-/// More messages come than usual.
+/// Parameters of a traffic surge.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct Crowd", deny_unknown_fields)]
 pub struct TrafficSurge {
-    /// How many times as many messages come.
+    /// Factor by which the rate is multiplied; greater than 0.
     pub factor: f64,
-    /// Only this one of the scenario's streams, from 0; absent, all.
+    /// Index, from 0, of the only stream affected; all streams by default.
     #[serde(default)]
     pub stream: Option<usize>,
 }
