--- a/crates/quillhub-simulator/tests/auditor.rs
+++ b/crates/quillhub-simulator/tests/auditor.rs
@@ -1,5 +1,7 @@
-//! The auditor against deliberately wrong deciders: each wraps the real dispatcher, goes wrong in one way, and must
-//! be caught under exactly the rule that it breaks; the dispatcher itself is clean on the same scenarios.
+//! Tests that the auditor detects deciders with a deliberate flaw.
+//!
+//! Each flawed decider wraps the real dispatcher and violates one rule. The auditor must report breaches of exactly
+//! that rule, and none for the unmodified dispatcher in the same scenario.
 
 use quillhub::{
     AttemptOutcome, AttemptResult, DestinationId, Driver, EndpointState, EndpointUpdate, LogEvent, MessageId,
@@ -8,6 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+/// Way in which a decider deviates from the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Flaw {
     LosesMessages,
@@ -22,10 +25,11 @@
     ForgetsAtRestart,
     ForgetsAttemptsAtRestart,
     SeesNoOutage,
-    /// The dispatcher itself, with the settings of a scenario that is not quite the true one.
+    /// The dispatcher itself, but configured with the settings of another scenario.
     OtherScenario,
 }
 
+/// Action requested by the wrapped dispatcher, recorded so that it can be changed, delayed or dropped.
 enum Action {
     StartAttempt(MessageId, String, Duration),
     Reject(MessageId, Option<Duration>),
@@ -36,6 +40,7 @@
     WatchEndpoints,
 }
 
+/// Driver that records actions.
 #[derive(Default)]
 struct Actions(Vec<Action>);
 
@@ -64,29 +69,35 @@
     fn log(&mut self, _: &LogEvent) {}
 }
 
+/// Decider that wraps the dispatcher and adds a flaw.
 struct FlawedDecider {
     inner: Box<dyn Decider>,
     flaw: Flaw,
+    /// Messages of the at-most-once service class.
     at_most_once: BTreeSet<MessageId>,
+    /// Deadlines of pending messages, without those forgotten at a restart.
     deadlines: BTreeMap<MessageId, Duration>,
-    /// The inner one's number of each attempt that the simulation knows; nothing for those it did not ask for.
-    numbers: BTreeMap<(MessageId, u32), Option<u32>>,
-    attempts: BTreeMap<MessageId, (u32, u32)>,
-    late: Vec<(Duration, Action)>,
-    /// Each message's destination, and a millisecond before the end of its retry-after.
-    to: BTreeMap<MessageId, DestinationId>,
-    waits: BTreeMap<DestinationId, Duration>,
+    /// Attempt numbers of the wrapped dispatcher, by the simulation's; `None` for attempts that it did not request.
+    inner_numbers: BTreeMap<(MessageId, u32), Option<u32>>,
+    /// Number of attempts in the simulation and at the wrapped dispatcher, by message.
+    attempt_counts: BTreeMap<MessageId, (u32, u32)>,
+    /// Delayed actions and the times at which they are due.
+    delayed: Vec<(Duration, Action)>,
+    destinations: BTreeMap<MessageId, DestinationId>,
+    /// Times one millisecond before the end of a retry-after, by destination.
+    shortened_waits: BTreeMap<DestinationId, Duration>,
     now: Duration,
 }
 
 impl FlawedDecider {
-    fn pass(&mut self, action: Action, driver: &mut dyn Driver) {
+    /// Carries out an action of the wrapped dispatcher, changed by the flaw.
+    fn forward(&mut self, action: Action, driver: &mut dyn Driver) {
         match action {
             Action::StartAttempt(id, endpoint, timeout) => {
                 let copies = if self.flaw == Flaw::StartsTwoAttempts { 2 } else { 1 };
                 for copy in 0..copies {
-                    let (simulation, inner) = self.attempts.entry(id).or_default();
-                    self.numbers.insert((id, *simulation), (copy == 0).then_some(*inner));
+                    let (simulation, inner) = self.attempt_counts.entry(id).or_default();
+                    self.inner_numbers.insert((id, *simulation), (copy == 0).then_some(*inner));
                     *simulation += 1;
                     *inner += u32::from(copy == 0);
                     driver.start_attempt(id, &endpoint, timeout);
@@ -110,29 +121,34 @@
         }
     }
 
+    /// Handles a message recovered after a restart, which some flaws forget in whole or in part.
     fn recovered(&mut self, id: MessageId, attempts: u32, input: Input) {
-        self.attempts.insert(id, (attempts, attempts));
+        self.attempt_counts.insert(id, (attempts, attempts));
         match self.flaw {
             Flaw::ForgetsAtRestart => {
                 self.deadlines.remove(&id);
             }
             Flaw::ForgetsAttemptsAtRestart => {
-                self.attempts.insert(id, (attempts, 0));
+                self.attempt_counts.insert(id, (attempts, 0));
             }
             _ => self.inner.handle(input),
         }
     }
 
-    /// The inner one's number of an attempt that ended. A copy that is delivered ends the message: then the one that
-    /// was asked for has its end too.
-    fn inner_number(&mut self, id: MessageId, attempt: u32, over: bool) -> Option<u32> {
-        let mine = self.numbers.remove(&(id, attempt)).flatten();
-        let of_copy =
-            || self.numbers.iter().find(|((of, _), n)| *of == id && n.is_some()).and_then(|(_, n)| *n);
-        mine.or_else(|| of_copy().filter(|_| over))
+    /// Returns the wrapped dispatcher's number of an attempt that ended, if it requested the attempt. If a copy
+    /// finishes the message, the number is that of the requested attempt.
+    fn inner_number(&mut self, id: MessageId, attempt: u32, finished: bool) -> Option<u32> {
+        let requested = self.inner_numbers.remove(&(id, attempt)).flatten();
+        let of_same_message = || {
+            self.inner_numbers
+                .iter()
+                .find(|((message, _), n)| *message == id && n.is_some())
+                .and_then(|(_, n)| *n)
+        };
+        requested.or_else(|| of_same_message().filter(|_| finished))
     }
 
-    /// The outcome that the inner decider gets.
+    /// Returns the outcome that the wrapped dispatcher receives instead of `outcome`.
     fn falsified(&mut self, id: MessageId, outcome: AttemptOutcome) -> AttemptOutcome {
         match (self.flaw, outcome) {
             (Flaw::RetriesAtMostOnce, AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset)
@@ -140,10 +156,11 @@
             {
                 AttemptOutcome::ConnectFailed
             }
-            // The attempts that it then starts at the dispatcher's own time wait until just before the wait's end.
+            // The dispatcher does not learn of the retry-after; `apply_rules` delays its attempts until 1 ms before the
+            // end.
             (Flaw::ShortensRetryAfter, AttemptOutcome::Rejected { retry_after: Some(wait) }) => {
                 let end = self.now + wait.saturating_sub(Duration::from_millis(1));
-                let until = self.waits.entry(self.to[&id]).or_default();
+                let until = self.shortened_waits.entry(self.destinations[&id]).or_default();
                 *until = end.max(*until);
                 AttemptOutcome::Rejected { retry_after: None }
             }
@@ -156,7 +173,7 @@
     }
 }
 
-/// The list as a decider sees it that takes every endpoint for open, and none for gone.
+/// Changes an endpoint list so that every endpoint appears available, and none appears removed.
 fn hide_drains(input: Input) -> Input {
     match input {
         Input::EndpointUpdated(update) => {
@@ -186,12 +203,12 @@
                     self.at_most_once.insert(message.id);
                 }
                 self.deadlines.insert(message.id, message.deadline);
-                self.to.insert(message.id, message.destination);
+                self.destinations.insert(message.id, message.destination);
                 self.inner.handle(input);
             }
             Input::Recovered { message, attempts } => self.recovered(message, attempts.count, input),
             Input::AttemptEnded(result) => {
-                // What nobody asked for has no outcome.
+                // The wrapped dispatcher receives no outcome of an attempt that it did not request.
                 if let Some(attempt) = self.inner_number(result.message, result.attempt, result.finished) {
                     let outcome = self.falsified(result.message, result.outcome);
                     self.inner.handle(Input::AttemptEnded(AttemptResult { attempt, outcome, ..result }));
@@ -201,49 +218,51 @@
         }
     }
     fn may_send_request(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
-        // What it did not ask for goes no further than that: its asking is the breach.
-        let inner = self.numbers.get(&(id, attempt)).copied().flatten();
-        inner.is_some_and(|inner| self.inner.may_send_request(id, inner, now))
+        // An attempt that the dispatcher did not request is not sent: its start already is the breach.
+        let inner_number = self.inner_numbers.get(&(id, attempt)).copied().flatten();
+        inner_number.is_some_and(|number| self.inner.may_send_request(id, number, now))
     }
     fn apply_rules(&mut self, driver: &mut dyn Driver) {
         let mut actions = Actions::default();
         self.inner.apply_rules(&mut actions);
-        let (due, late) = std::mem::take(&mut self.late).into_iter().partition(|(at, _)| *at <= self.now);
-        self.late = late;
+        let (due, delayed) =
+            std::mem::take(&mut self.delayed).into_iter().partition(|(due_at, _)| *due_at <= self.now);
+        self.delayed = delayed;
         let due: Vec<(Duration, Action)> = due;
-        due.into_iter().for_each(|(_, action)| self.pass(action, driver));
+        due.into_iter().for_each(|(_, action)| self.forward(action, driver));
         for action in actions.0 {
             if let Action::StartAttempt(id, endpoint, timeout) = &action
-                && let Some(end) = self.waits.get(&self.to[id]).filter(|end| **end > self.now)
+                && let Some(end) =
+                    self.shortened_waits.get(&self.destinations[id]).filter(|end| **end > self.now)
                 && *timeout > *end - self.now
             {
                 let action = Action::StartAttempt(*id, endpoint.clone(), *timeout - (*end - self.now));
                 driver.set_timer(*end - self.now);
-                self.late.push((*end, action));
+                self.delayed.push((*end, action));
                 continue;
             }
             let (Action::Reject(id, _) | Action::Abandon(id)) = action else {
-                self.pass(action, driver);
+                self.forward(action, driver);
                 continue;
             };
-            // What was forgotten at a restart is not known, so nobody answers for it.
+            // With `ForgetsAtRestart`, a message that was forgotten gets no final outcome.
             let forgotten = self.deadlines.remove(&id).is_none();
             match self.flaw {
                 Flaw::LosesMessages => {}
                 Flaw::ForgetsAtRestart if forgotten => {}
                 Flaw::FinishesLate => {
                     let wait = Duration::from_secs(20);
-                    self.late.push((self.now + wait, action));
+                    self.delayed.push((self.now + wait, action));
                     driver.set_timer(wait);
                 }
-                _ => self.pass(action, driver),
+                _ => self.forward(action, driver),
             }
         }
     }
 }
 
-/// Instances, service classes and destinations of all scenarios here.
-const SURROUNDINGS: &str = "[couriers]
+/// Instances, service classes and destinations that all scenarios of these tests have.
+const COMMON_SETTINGS: &str = "[couriers]
 count = 2
 slots = 40
 room = 400
@@ -294,27 +313,27 @@
 limit = { per_s = 4.0, span = '1 s', tells = 1.0 }
 ";
 
-/// A scenario with service classes, destinations and faults for all six rules; `service classes` and `faults` pick
-/// what is played.
-fn scenario(service_classes: &[&str], faults: &str, more: &str) -> Scenario {
+/// Returns a scenario of 40 s with 24 messages per second, divided evenly among `service_classes`, and with `faults`.
+/// `settings` are further tables of the experiment file.
+fn scenario(service_classes: &[&str], faults: &str, settings: &str) -> Scenario {
     let streams: String = service_classes
         .iter()
-        .map(|g| {
+        .map(|class| {
             format!(
-                "[[arrivals]]\nper_s = {}\ngrade = '{g}'\nkeys = 12\n",
+                "[[arrivals]]\nper_s = {}\ngrade = '{class}'\nkeys = 12\n",
                 24.0 / service_classes.len() as f64
             )
         })
         .collect();
     let text = format!(
         "length = '40 s'
-{more}
-{SURROUNDINGS}{streams}
+{settings}
+{COMMON_SETTINGS}{streams}
 {faults}
 "
     );
-    let scenario: Scenario = toml::from_str(&text).unwrap_or_else(|e| panic!("{e}"));
-    scenario.check().unwrap_or_else(|e| panic!("{e}"));
+    let scenario: Scenario = toml::from_str(&text).unwrap_or_else(|error| panic!("{error}"));
+    scenario.check().unwrap_or_else(|error| panic!("{error}"));
     scenario
 }
 
@@ -324,146 +343,185 @@
     "[[faults]]\nat = '8 s'\nlasts = '4 s'\nwhat = { drain = {} }\nwhom = { endpoints = 1 }\n";
 const CRASH: &str = "[[faults]]\nat = '12 s'\nlasts = '1 s'\nwhat = { crash = {} }\nwhom = { ids = [1] }\n";
 
-/// The breaches of a scenario played by the dispatcher with the settings of `configured`, gone wrong by `flaw`.
+/// Runs a scenario with a flawed dispatcher that has the settings of `configured`, and returns the breaches.
 fn breaches(scenario: &Scenario, configured: &Scenario, flaw: Flaw) -> Vec<Breach> {
     let make = |start: &Start| {
         let inner = dispatcher(&Start { seed: start.seed, zone: start.zone, scenario: configured });
         let (at_most_once, deadlines) = (BTreeSet::new(), BTreeMap::new());
-        let (numbers, attempts, late) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
-        let (to, waits, now) = (BTreeMap::new(), BTreeMap::new(), Duration::ZERO);
-        let decider =
-            FlawedDecider { inner, flaw, at_most_once, deadlines, numbers, attempts, late, to, waits, now };
+        let (inner_numbers, attempt_counts, delayed) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
+        let (destinations, shortened_waits, now) = (BTreeMap::new(), BTreeMap::new(), Duration::ZERO);
+        let decider = FlawedDecider {
+            inner,
+            flaw,
+            at_most_once,
+            deadlines,
+            inner_numbers,
+            attempt_counts,
+            delayed,
+            destinations,
+            shortened_waits,
+            now,
+        };
         Box::new(decider) as Box<dyn Decider>
     };
     Simulation::run(scenario, 7, &make, |_, _| {}).breaches
 }
 
-fn caught(scenario: &Scenario, configured: &Scenario, flaw: Flaw, rule: Rule) {
-    let honest = Simulation::run(scenario, 7, &dispatcher, |_, _| {}).breaches;
-    assert!(honest.is_empty(), "the dispatcher itself: {}", honest[0]);
+/// Asserts that the unmodified dispatcher breaks no rule, and that with the flaw there are breaches of `rule` and of no
+/// other.
+fn assert_caught(scenario: &Scenario, configured: &Scenario, flaw: Flaw, rule: Rule) {
+    let unmodified = Simulation::run(scenario, 7, &dispatcher, |_, _| {}).breaches;
+    assert!(unmodified.is_empty(), "breach by the unmodified dispatcher: {}", unmodified[0]);
     let found = breaches(scenario, configured, flaw);
-    assert!(!found.is_empty(), "{flaw:?} is not caught");
+    assert!(!found.is_empty(), "no breach found for {flaw:?}");
     let other = found.iter().find(|breach| breach.rule != rule);
-    assert!(other.is_none(), "{flaw:?}: {}", other.unwrap());
+    assert!(other.is_none(), "breach of another rule for {flaw:?}: {}", other.unwrap());
 }
 
-fn flaw(service_classes: &[&str], faults: &str, flaw: Flaw, rule: Rule) {
+/// Asserts that a flaw is caught under `rule` in a scenario with these service classes and faults.
+fn assert_flaw_caught(service_classes: &[&str], faults: &str, flaw: Flaw, rule: Rule) {
     let scenario = scenario(service_classes, faults, "");
-    caught(&scenario, &scenario, flaw, rule);
+    assert_caught(&scenario, &scenario, flaw, rule);
 }
 
 #[test]
 fn a_message_without_a_final_outcome_is_caught() {
-    flaw(&["order", "status"], HANG, Flaw::LosesMessages, Rule::OneAnswer);
+    // Guards against an auditor that misses lost messages: the decider drops every rejection and abandonment.
+    assert_flaw_caught(&["order", "status"], HANG, Flaw::LosesMessages, Rule::OneAnswer);
 }
 
 #[test]
 fn two_final_outcomes_of_a_message_are_caught() {
-    flaw(&["order", "status"], HANG, Flaw::FinishesTwice, Rule::OneAnswer);
+    // Guards against an auditor that accepts a second final outcome: the decider rejects each message twice.
+    assert_flaw_caught(&["order", "status"], HANG, Flaw::FinishesTwice, Rule::OneAnswer);
 }
 
 #[test]
 fn an_attempt_after_the_final_outcome_is_caught() {
-    flaw(&["order", "status"], HANG, Flaw::AttemptsAfterTheEnd, Rule::OneAnswer);
+    // Guards against an auditor that ignores finished messages: the decider starts an attempt after each rejection.
+    assert_flaw_caught(&["order", "status"], HANG, Flaw::AttemptsAfterTheEnd, Rule::OneAnswer);
 }
 
 #[test]
 fn a_final_outcome_after_the_deadline_is_caught() {
-    flaw(&["order", "status"], HANG, Flaw::FinishesLate, Rule::OneAnswer);
+    // Guards against an auditor that ignores deadlines: the decider delays final outcomes by 20 s.
+    assert_flaw_caught(&["order", "status"], HANG, Flaw::FinishesLate, Rule::OneAnswer);
 }
 
 #[test]
 fn messages_forgotten_at_a_restart_are_caught() {
-    flaw(&["order"], &format!("{CRASH}{HANG}"), Flaw::ForgetsAtRestart, Rule::OneAnswer);
+    // Guards against an auditor that excuses messages lost by a restart although the state directory is kept: the
+    // decider ignores recovered messages.
+    assert_flaw_caught(&["order"], &format!("{CRASH}{HANG}"), Flaw::ForgetsAtRestart, Rule::OneAnswer);
 }
 
 #[test]
 fn an_at_most_once_message_retried_after_a_timeout_is_caught() {
-    flaw(&["pay"], HANG, Flaw::RetriesAtMostOnce, Rule::OneEffect);
+    // Guards against an auditor that accepts unsafe retries: the decider takes a timeout for a failure to connect, so
+    // it retries a message that may have been executed.
+    assert_flaw_caught(&["pay"], HANG, Flaw::RetriesAtMostOnce, Rule::OneEffect);
 }
 
 #[test]
 fn an_at_most_once_message_rejected_though_it_may_have_run_is_caught() {
-    flaw(&["pay"], HANG, Flaw::RejectsAtMostOnce, Rule::OneEffect);
+    // Guards against an auditor that accepts the rejection of a message that may have been executed, although its
+    // client may submit it again: the decider rejects the messages that it should abandon.
+    assert_flaw_caught(&["pay"], HANG, Flaw::RejectsAtMostOnce, Rule::OneEffect);
 }
 
 #[test]
 fn an_at_most_once_message_retried_after_a_restart_is_caught() {
-    flaw(&["pay"], &format!("{CRASH}{HANG}"), Flaw::ForgetsAttemptsAtRestart, Rule::OneEffect);
+    // Guards against an auditor that forgets attempts made before a restart: the decider recovers messages without
+    // their attempts.
+    assert_flaw_caught(&["pay"], &format!("{CRASH}{HANG}"), Flaw::ForgetsAttemptsAtRestart, Rule::OneEffect);
 }
 
 #[test]
 fn two_attempts_in_flight_at_once_are_caught() {
+    // Guards against an auditor that accepts concurrent attempts at a message: the decider starts each attempt twice.
     let mut scenario = scenario(&["order", "status"], "", "");
+    // Long deadlines, so that no message finishes with a copy in flight.
     scenario
         .service_classes
         .iter_mut()
-        .for_each(|service_class| service_class.deadline = Duration::from_secs(60)); // none ends with a copy out
-    scenario.destinations.truncate(1); // and no copy meets a retry-after
-    caught(&scenario, &scenario, Flaw::StartsTwoAttempts, Rule::OneEffect);
+        .for_each(|service_class| service_class.deadline = Duration::from_secs(60));
+    // Only the kind without a rate limit, so that no copy violates a retry-after.
+    scenario.destinations.truncate(1);
+    assert_caught(&scenario, &scenario, Flaw::StartsTwoAttempts, Rule::OneEffect);
 }
 
 #[test]
 fn a_deduplicated_message_retried_after_its_window_is_caught() {
+    // Guards against an auditor that ignores the deduplication window: the decider assumes 60 s instead of 2 s.
     let scenario = scenario(&["order"], &format!("{HANG}{LOST_RESPONSES}"), "");
     let mut configured = scenario.clone();
     configured.service_classes[0].deduplication_window = Duration::from_secs(60);
-    caught(&scenario, &configured, Flaw::OtherScenario, Rule::OneEffect);
+    assert_caught(&scenario, &configured, Flaw::OtherScenario, Rule::OneEffect);
 }
 
 #[test]
 fn a_deduplicated_message_retried_in_another_zone_is_caught() {
+    // Guards against an auditor that ignores zones: the decider takes an idempotency key that only one zone knows for
+    // one that all zones know.
     let scenario = scenario(&["zoned"], LOST_RESPONSES, "");
     let mut configured = scenario.clone();
     configured.service_classes[1].per_zone = false;
-    caught(&scenario, &configured, Flaw::OtherScenario, Rule::OneEffect);
+    assert_caught(&scenario, &configured, Flaw::OtherScenario, Rule::OneEffect);
 }
 
 #[test]
 fn an_attempt_at_a_draining_endpoint_after_the_grace_is_caught() {
-    flaw(&["status"], DRAIN, Flaw::AttemptsAtDraining, Rule::Drains);
+    // Guards against an auditor that ignores drains: the decider takes draining and removed endpoints for available.
+    assert_flaw_caught(&["status"], DRAIN, Flaw::AttemptsAtDraining, Rule::Drains);
 }
 
 #[test]
 fn an_attempt_a_millisecond_before_the_end_of_a_retry_after_is_caught() {
+    // Guards against an auditor that is inexact about the end of a retry-after: the decider starts attempts 1 ms early.
     let mut scenario = scenario(&["status"], "", "");
-    // Where much waits at a wait's end, at a pace that lets some go at once.
+    // A high rate keeps messages waiting for the end of each retry-after, and the limit of 40 per second lets some
+    // start at once.
     scenario.destinations.remove(0);
     scenario.destinations[0].rate_limit.as_mut().unwrap().per_s = 40.0;
     scenario.arrivals[0].per_s = 100.0;
-    caught(&scenario, &scenario, Flaw::ShortensRetryAfter, Rule::Waits);
+    assert_caught(&scenario, &scenario, Flaw::ShortensRetryAfter, Rule::Waits);
 }
 
 #[test]
 fn the_overload_of_a_recovering_destination_is_caught() {
+    // Guards against an auditor that misses overloads after an outage: the decider takes failures for attempts that
+    // were never sent, and continues at the full rate when the destination recovers.
     let faults = HANG.replace("[1, 2]", "[1]");
     let mut scenario = scenario(&["status"], &faults, "[returns]\nstart = 0.1\npush = '1500 ms'");
     scenario.destinations.truncate(1);
-    let one = &mut scenario.destinations[0];
-    (one.count, one.endpoints, one.workers) = (1, 1, 1); // 12 a second when warm
+    let kind = &mut scenario.destinations[0];
+    (kind.count, kind.endpoints, kind.workers) = (1, 1, 1); // 12 calls per second at full capacity
     scenario.arrivals[0].per_s = 10.0;
-    caught(&scenario, &scenario, Flaw::SeesNoOutage, Rule::Returns);
+    assert_caught(&scenario, &scenario, Flaw::SeesNoOutage, Rule::Returns);
 }
 
 #[test]
 fn messages_of_one_ordering_key_out_of_order_are_caught() {
+    // Guards against an auditor that ignores ordering: the decider takes an ordered service class for an unordered one.
     let scenario = scenario(&["turns"], LOST_RESPONSES, "");
     let mut configured = scenario.clone();
     configured.service_classes[4].ordered = false;
-    caught(&scenario, &configured, Flaw::OtherScenario, Rule::Order);
+    assert_caught(&scenario, &configured, Flaw::OtherScenario, Rule::Order);
 }
 
 #[test]
 fn an_ordering_key_that_does_not_pause_is_caught() {
+    // Guards against an auditor that ignores the ordering pause: the decider assumes a pause of zero.
     let scenario = scenario(&["turns"], LOST_RESPONSES, "");
     let mut configured = scenario.clone();
     configured.rules.ordering_pause = Duration::ZERO;
-    caught(&scenario, &configured, Flaw::OtherScenario, Rule::Order);
+    assert_caught(&scenario, &configured, Flaw::OtherScenario, Rule::Order);
 }
 
-/// All faults at once, on several seeds: the dispatcher keeps all rules.
 #[test]
 fn the_dispatcher_breaks_no_rule_in_a_scenario_with_all_faults() {
+    // Guards against breaches by the dispatcher that only combined faults cause, and against false reports by the
+    // auditor: all service classes and faults at once, with 5 seeds.
     let all = ["order", "zoned", "pay", "status", "turns"];
     let faults = format!("{HANG}{LOST_RESPONSES}{DRAIN}{CRASH}");
     for seed in 0..5 {
