--- a/crates/quillhub-simulator/src/audit/mod.rs
+++ b/crates/quillhub-simulator/src/audit/mod.rs
@@ -213,8 +213,8 @@
     /// Checks an execution at the destination, which must be the only one of an at-most-once message.
     fn executed(&mut self, now: Duration, id: MessageId, deduplicated: bool) {
         let Some(message) = self.messages.get_mut(&id) else { return };
-        // Deduplication windows constrain the start of attempts and are checked there: an instance is not responsible for
-        // an attempt that starts in time and is executed late.
+        // Deduplication windows constrain the start of attempts and are checked there: an instance is not responsible
+        // for an attempt that starts in time and is executed late.
         let class = &self.service_classes[message.service_class];
         if deduplicated || class.retry_safety != RetrySafetyKind::AtMostOnce {
             return;
--- a/crates/quillhub-simulator/src/fact.rs
+++ b/crates/quillhub-simulator/src/fact.rs
@@ -207,7 +207,8 @@
             deadline.as_secs_f64()
         ),
         Fact::AttemptStarted { instance, message_id, attempt, endpoint, timeout } => format!(
-            "instance {instance} starts attempt {attempt} of message {message_id} at {endpoint}, with a timeout of {:.3} s",
+            "instance {instance} starts attempt {attempt} of message {message_id} at {endpoint}, with a timeout \
+             of {:.3} s",
             timeout.as_secs_f64()
         ),
         Fact::FirstByteSent { message_id, attempt, .. } => {
--- a/crates/quillhub-simulator/src/faults/cut.rs
+++ b/crates/quillhub-simulator/src/faults/cut.rs
@@ -1,4 +1,5 @@
-//! Network partition in one direction: all traffic from one zone to another is dropped, without any error at either end.
+//! Network partition in one direction: all traffic from one zone to another is dropped, without any error at either
+//! end.
 
 use super::{FaultKind, Injection, ScheduledFault};
 use crate::conditions::PathFault;
--- a/crates/quillhub-simulator/src/faults/target.rs
+++ b/crates/quillhub-simulator/src/faults/target.rs
@@ -13,8 +13,8 @@
     pub kind: Option<String>,
     /// Numbers of the destinations or instances, from 1; any by default.
     pub ids: Vec<u64>,
-    /// Share, from 0 to 1, of the matching destinations or instances that is selected at random, but at least one; all by
-    /// default.
+    /// Share, from 0 to 1, of the matching destinations or instances that is selected at random, but at least one; all
+    /// by default.
     pub share: Option<f64>,
     /// Max number of endpoints selected per destination; all by default.
     pub endpoints: Option<usize>,
--- a/crates/quillhub-simulator/src/scenario/arrivals.rs
+++ b/crates/quillhub-simulator/src/scenario/arrivals.rs
@@ -17,8 +17,8 @@
         #[serde(rename = "of")]
         mean_size: f64,
     },
-    /// Poisson process with a rate that follows a cosine wave between `1 - depth` and `1 + depth` times `per_s`, from the
-    /// lowest rate at the start of the run.
+    /// Poisson process with a rate that follows a cosine wave between `1 - depth` and `1 + depth` times `per_s`, from
+    /// the lowest rate at the start of the run.
     Daily {
         /// Period of the wave.
         #[serde(rename = "every", with = "humantime_serde")]
@@ -57,8 +57,8 @@
     /// Number of different ordering keys; 0, the default, for messages without one.
     #[serde(rename = "keys", default)]
     pub ordering_keys: u64,
-    /// Number, from 1, of the only instance that receives the stream, as that of a sidecar; by default, the load balancer
-    /// distributes the messages.
+    /// Number, from 1, of the only instance that receives the stream, as that of a sidecar; by default, the load
+    /// balancer distributes the messages.
     #[serde(rename = "courier")]
     pub instance: Option<u32>,
     /// Start of the stream, as time since the start of the run; zero by default.
--- a/crates/quillhub-simulator/src/scenario/clients.rs
+++ b/crates/quillhub-simulator/src/scenario/clients.rs
@@ -10,8 +10,8 @@
     /// Max number of times that a client submits a rejected message again; 3 by default.
     #[serde(rename = "tries")]
     pub retries: u32,
-    /// Max delay before a message is submitted again, 1 s by default. The delay is drawn between half of it and all of it,
-    /// and is at least the retry-after of the rejection.
+    /// Max delay before a message is submitted again, 1 s by default. The delay is drawn between half of it and all of
+    /// it, and is at least the retry-after of the rejection.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "wait")]
     pub backoff: Duration,
--- a/crates/quillhub-simulator/src/scenario/destinations.rs
+++ b/crates/quillhub-simulator/src/scenario/destinations.rs
@@ -26,14 +26,15 @@
     pub queue: usize,
     /// Distribution of the time that a call takes.
     pub service: Service,
-    /// Max factor by which a destination is slower or faster than usual, drawn log-uniformly for each; 1, the default, for
-    /// equal destinations.
+    /// Max factor by which a destination is slower or faster than usual, drawn log-uniformly for each; 1, the default,
+    /// for equal destinations.
     #[serde(default = "default_one")]
     pub spread: f64,
     /// Rate limit of each route, if any.
     #[serde(rename = "limit")]
     pub rate_limit: Option<RateLimitSpec>,
-    /// `true` if each endpoint is a route, with its own rate limit and recovery; by default, a destination is one route.
+    /// `true` if each endpoint is a route, with its own rate limit and recovery; by default, a destination is one
+    /// route.
     #[serde(rename = "routes_apart", default)]
     pub separate_routes: bool,
     /// Max number of connections per endpoint, including idle ones; unlimited by default.
@@ -42,8 +43,8 @@
     /// Weight of this kind in the distribution of messages over the kinds; 1 by default.
     #[serde(default = "default_one")]
     pub weight: f64,
-    /// Exponent of the skew within the kind: the k-th busiest destination receives 1/k^skew times as many messages as the
-    /// busiest. 0, the default, distributes evenly.
+    /// Exponent of the skew within the kind: the k-th busiest destination receives 1/k^skew times as many messages as
+    /// the busiest. 0, the default, distributes evenly.
     #[serde(default)]
     pub skew: f64,
     /// `true` if responses carry a load report; `false` by default.
@@ -80,8 +81,8 @@
     /// Distribution of the time; log-normal by default.
     #[serde(default = "default_law")]
     pub law: Law,
-    /// Coefficient of variation (standard deviation divided by mean) for log-normal, gamma and Pareto; greater than 0, and
-    /// 0.5 by default.
+    /// Coefficient of variation (standard deviation divided by mean) for log-normal, gamma and Pareto; greater than 0,
+    /// and 0.5 by default.
     #[serde(default = "default_cv")]
     pub cv: f64,
 }
@@ -112,8 +113,8 @@
 pub struct RateLimitSpec {
     /// Limit in calls per second.
     pub per_s: f64,
-    /// Length of the consecutive windows in which calls are counted; by default, the limit is a token bucket with a burst
-    /// of one second.
+    /// Length of the consecutive windows in which calls are counted; by default, the limit is a token bucket with a
+    /// burst of one second.
     #[serde(rename = "span", default, with = "humantime_serde")]
     pub window: Option<Duration>,
     /// Share of the rejections that carry a retry-after, from 0 to 1; 0 by default.
--- a/crates/quillhub-simulator/src/scenario/discovery.rs
+++ b/crates/quillhub-simulator/src/scenario/discovery.rs
@@ -20,8 +20,8 @@
 pub struct DiscoverySpec {
     /// Way in which changes are reported; push by default.
     pub form: DiscoveryForm,
-    /// Min delay from a change until an instance receives it, 500 ms by default; a random part of up to the same length is
-    /// added.
+    /// Min delay from a change until an instance receives it, 500 ms by default; a random part of up to the same length
+    /// is added.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "late")]
     pub delay: Duration,
--- a/crates/quillhub-simulator/src/scenario/instances.rs
+++ b/crates/quillhub-simulator/src/scenario/instances.rs
@@ -23,10 +23,11 @@
     pub max_retry_after: Duration,
     /// Names of the zones, to which instances and endpoints are assigned in turn; a single one by default.
     pub zones: Vec<String>,
-    /// Exponent of the load balancer's skew: the k-th instance receives 1/k^skew times as many messages as the first. 0,
-    /// the default, distributes evenly.
+    /// Exponent of the load balancer's skew: the k-th instance receives 1/k^skew times as many messages as the first.
+    /// 0, the default, distributes evenly.
     pub skew: f64,
-    /// `true`, the default, if instances have a state directory, from which they recover pending messages after a crash.
+    /// `true`, the default, if instances have a state directory, from which they recover pending messages after a
+    /// crash.
     #[serde(rename = "folder")]
     pub state_directory: bool,
     /// `true` if instances may send gossip about recovered destinations; `false` by default.
--- a/crates/quillhub-simulator/src/scenario/rules.rs
+++ b/crates/quillhub-simulator/src/scenario/rules.rs
@@ -7,7 +7,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct Returns", deny_unknown_fields, default)]
 pub struct RuleSettings {
-    /// Time for which an instance may still start attempts at an endpoint that it knows to be draining; 250 ms by default.
+    /// Time for which an instance may still start attempts at an endpoint that it knows to be draining; 250 ms by
+    /// default.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "grace")]
     pub drain_grace: Duration,
