--- a/crates/quillhub-simulator/src/faults/mod.rs
+++ b/crates/quillhub-simulator/src/faults/mod.rs
@@ -1,6 +1,6 @@
 //! Faults of a scenario, as data: time, kind, target and parameters.
 //!
-//! Faults may overlap. Each kind has a module with its parameters and the [`Injection`] that it results in, and a
+//! Faults may overlap. Each kind has a module with its parameters and its effect on the simulation, and a
 //! variant of [`Fault`].
 
 mod crash;
--- a/crates/quillhub-simulator/tests/auditor.rs
+++ b/crates/quillhub-simulator/tests/auditor.rs
@@ -261,7 +261,7 @@
     }
 }
 
-/// Instances, service classes and destinations that all scenarios of these tests have.
+/// Instances, service classes and destinations of all scenarios in this file, which together involve all six rules.
 const COMMON_SETTINGS: &str = "[couriers]
 count = 2
 slots = 40
