--- a/crates/quillhub-simulator/src/faults/mod.rs
+++ b/crates/quillhub-simulator/src/faults/mod.rs
@@ -1,7 +1,7 @@
 //! Faults of a scenario, as data: time, kind, target and parameters.
 //!
-//! Faults may overlap. Each kind has a module with its parameters and its effect on the simulation, and a
-//! variant of [`Fault`].
+//! Faults may overlap. Each kind has a module with its parameters and its effect on the simulation, and a variant of
+//! [`Fault`].
 
 mod crash;
 mod cut;
