--- a/crates/quillhub-simulator/src/audit/records.rs
+++ b/crates/quillhub-simulator/src/audit/records.rs
@@ -114,7 +114,8 @@
     pub(super) is_down: bool,
     /// Instances with a failed or rejected call during the latest outage.
     pub(super) informed: BTreeSet<usize>,
-    /// Latest recovery, kept until the first call after the end of the warm-up; absent before any outage and during one.
+    /// Latest recovery, kept until the first call after the end of the warm-up; absent before any outage and during
+    /// one.
     pub(super) recovery: Option<Recovery>,
     /// Arrival times and instances of the calls within the overload tolerance, recorded during a recovery.
     pub(super) calls: VecDeque<(Duration, usize)>,
