--- a/crates/quillhub-fakes/src/endpoints.rs
+++ b/crates/quillhub-fakes/src/endpoints.rs
@@ -78,7 +78,7 @@
 pub fn check_supported(scenario: &Scenario) -> Result<(), String> {
     let site = Site::new(scenario, 0);
     for (at, scheduled) in scenario.faults.iter().enumerate() {
-        if matches!(site.socket_fault(at), SocketFault::Not) {
+        if matches!(site.socket_fault(at), SocketFault::Unsupported) {
             let found = &scheduled.fault;
             return Err(format!(
                 "faults[{at}].what: expected a trouble that sockets can show, found {found:?}"
@@ -98,11 +98,11 @@
 ) -> std::io::Result<Vec<Listed>> {
     let site = Site::new(scenario, seed);
     let rng = Pcg64Mcg::seed_from_u64(seed);
-    let open = vec![0; site.servers()];
+    let open = vec![0; site.server_count()];
     let state = State { site, rng, started, queued: BTreeMap::new(), open, calls: 0, events };
     let state = Rc::new(RefCell::new(state));
     let mut listed = Vec::new();
-    let servers = state.borrow().site.servers();
+    let servers = state.borrow().site.server_count();
     for server in 0..servers {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let at = listener.local_addr()?;
@@ -126,7 +126,7 @@
             sleep_until(end).await;
             let mut state = state.borrow_mut();
             let now = state.started.elapsed();
-            state.site.ends_fault(number, now);
+            state.site.end_fault(number, now);
         });
     }
     Ok(listed)
@@ -135,10 +135,10 @@
 impl State<'_> {
     fn begin_fault(&mut self, number: usize) {
         let now = self.started.elapsed();
-        self.site.begins_fault(number, now);
+        self.site.begin_fault(number, now);
         // Whoever waits at one that refuses from now on is cut off when its sender is dropped.
         let waiting: Vec<_> = self.queued.keys().copied().collect();
-        let still = self.site.queued();
+        let still = self.site.queued_calls();
         waiting.iter().filter(|call| !still.contains(call)).for_each(|call| {
             self.queued.remove(call);
         });
@@ -151,7 +151,7 @@
     let full = {
         let mut state = state.borrow_mut();
         state.open[server] += 1;
-        state.site.connections(server).is_some_and(|most| state.open[server] > most)
+        state.site.connection_limit(server).is_some_and(|most| state.open[server] > most)
     };
     if refuses || full {
         link.reset();
@@ -172,7 +172,7 @@
 
 /// Answers the calls of one connection, one after the other.
 async fn calls(state: &Shared, server: usize, mut link: Served) -> std::io::Result<()> {
-    let idle = state.borrow().site.idle_close();
+    let idle = state.borrow().site.idle_timeout();
     loop {
         let next = tokio::time::timeout(idle, link.next()).await;
         let Ok(Some(request)) = next.unwrap_or(Ok(None)) else { return Ok(()) };
@@ -184,11 +184,11 @@
         let call = Call::arrive(state, server, request);
         let admission = call.admission;
         let is_open = match admission {
-            Admission::Breaks => false,
-            Admission::Hangs => std::future::pending().await,
+            Admission::Reset => false,
+            Admission::Unanswered => std::future::pending().await,
             Admission::Rejected(retry_after) => call.reject(&mut link, retry_after).await?,
-            Admission::Fails(time) => call.fail(&mut link, time).await?,
-            Admission::Begins | Admission::Queues => call.execute(&mut link).await?,
+            Admission::Failed(time) => call.fail(&mut link, time).await?,
+            Admission::Started | Admission::Queued => call.execute(&mut link).await?,
         };
         if !is_open {
             link.reset();
@@ -246,17 +246,17 @@
     }
 
     async fn execute(&self, link: &mut Served) -> std::io::Result<bool> {
-        if self.admission == Admission::Queues && !self.worker_is_free().await {
+        if self.admission == Admission::Queued && !self.worker_is_free().await {
             return Ok(false);
         }
         let (time, starts) = {
             let state = &mut *self.state.borrow_mut();
             let now = state.started.elapsed();
-            let time = state.site.begins(self.server, now, &mut state.rng);
-            (time, state.site.starts(self.server))
+            let time = state.site.begin_call(self.server, now, &mut state.rng);
+            (time, state.site.reset_count(self.server))
         };
         sleep(time).await;
-        if self.state.borrow().site.starts(self.server) != starts {
+        if self.state.borrow().site.reset_count(self.server) != starts {
             return Ok(false);
         }
         let is_lost = self.free_worker();
@@ -275,7 +275,7 @@
         let (free, freed) = oneshot::channel();
         {
             let mut state = self.state.borrow_mut();
-            state.site.queues(self.server, self.number);
+            state.site.enqueue(self.server, self.number);
             state.queued.insert(self.number, free);
         }
         freed.await.is_ok()
@@ -284,7 +284,7 @@
     /// The worker of this call takes up the next; whether the response is lost.
     fn free_worker(&self) -> bool {
         let state = &mut *self.state.borrow_mut();
-        if let Some(next) = state.site.ends(self.server)
+        if let Some(next) = state.site.end_call(self.server)
             && let Some(free) = state.queued.remove(&next)
         {
             let _ = free.send(());
--- a/crates/quillhub-fakes/src/platform.rs
+++ b/crates/quillhub-fakes/src/platform.rs
@@ -129,7 +129,7 @@
         let discovery = discovery.clone();
         let (begin, end) = (started + scheduled.at, started + scheduled.at + scheduled.lasts);
         match site.socket_fault(number) {
-            SocketFault::ByRegister => {
+            SocketFault::Discovery => {
                 spawn_local(async move {
                     sleep_until(begin).await;
                     discovery.borrow_mut().is_unreachable = true;
@@ -137,8 +137,8 @@
                     discovery.borrow_mut().is_unreachable = false;
                 });
             }
-            SocketFault::ByDrain(by) => {
-                let targets = site.struck(number, &scheduled.target, |_| true);
+            SocketFault::Drain(by) => {
+                let targets = site.affected_servers(number, &scheduled.target, |_| true);
                 let each = scheduled.lasts / targets.len().max(1) as u32;
                 for (nth, server) in targets.into_iter().enumerate() {
                     let (discovery, id) = (discovery.clone(), format!("e{}", server + 1));
@@ -153,7 +153,7 @@
                     });
                 }
             }
-            SocketFault::ByEndpoints | SocketFault::ByArrivals | SocketFault::Not => {}
+            SocketFault::Endpoints | SocketFault::Arrivals | SocketFault::Unsupported => {}
         }
     }
 }
--- a/crates/quillhub-simulator/src/lib.rs
+++ b/crates/quillhub-simulator/src/lib.rs
@@ -65,5 +65,5 @@
     Tenant,
 };
 pub use simulation::{Report, Simulation};
-pub use site::{Admission, Arrived, ConnectionFaults, Owner, ResponseFaults, Site, SocketFault};
+pub use site::{Admission, AdmissionResult, ConnectionFaults, Owner, ResponseFaults, Site, SocketFault};
 pub use tally::{Second, Tally};
--- a/crates/quillhub-simulator/src/server.rs
+++ b/crates/quillhub-simulator/src/server.rs
@@ -22,9 +22,9 @@
 }
 
 /// The share of its capacity that a route has `age` after its return.
-pub(crate) fn warmth(rules: &RuleSettings, age: Duration) -> f64 {
-    let part = (age.as_secs_f64() / rules.warm_up.as_secs_f64().max(1e-9)).min(1.0);
-    rules.initial_share + (1.0 - rules.initial_share) * part
+pub(crate) fn warm_share(rules: &RuleSettings, age: Duration) -> f64 {
+    let progress = (age.as_secs_f64() / rules.warm_up.as_secs_f64().max(1e-9)).min(1.0);
+    rules.initial_share + (1.0 - rules.initial_share) * progress
 }
 
 impl Route {
@@ -42,18 +42,18 @@
     }
 
     /// The share of its capacity that it has now.
-    pub(crate) fn capacity(&mut self, now: Duration, rules: &RuleSettings) -> f64 {
+    pub(crate) fn capacity_share(&mut self, now: Duration, rules: &RuleSettings) -> f64 {
         let Some(back) = self.recovered_at else { return 1.0 };
         if now >= back + rules.warm_up {
             self.recovered_at = None;
             self.calls.clear();
             return 1.0;
         }
-        warmth(rules, now - back)
+        warm_share(rules, now - back)
     }
 
     /// A call came. True if, with it, the route was sent too much for too long while it is cold.
-    pub(crate) fn is_overloaded_by_call(&mut self, now: Duration, rules: &RuleSettings) -> bool {
+    pub(crate) fn record_call(&mut self, now: Duration, rules: &RuleSettings) -> bool {
         let Some(back) = self.recovered_at else { return false };
         self.calls.push_back(now);
         while self.calls.front().is_some_and(|at| *at + rules.overload_span < now) {
@@ -63,10 +63,10 @@
             return false; // it has not been back for so long
         }
         // What it could do in the span: capacity grows evenly, so its middle tells its mean.
-        let could = self.per_s
+        let capacity = self.per_s
             * rules.overload_span.as_secs_f64()
-            * warmth(rules, now - rules.overload_span / 2 - back);
-        self.calls.len() as f64 > rules.overload_factor * could
+            * warm_share(rules, now - rules.overload_span / 2 - back);
+        self.calls.len() as f64 > rules.overload_factor * capacity
     }
 }
 
@@ -77,10 +77,10 @@
     pub(crate) zone: usize,
     pub(crate) route: usize,
     /// How many times as long as usual calls take here.
-    pub(crate) pace: f64,
+    pub(crate) time_factor: f64,
     pub(crate) busy: usize,
     /// How often it began anew.
-    pub(crate) starts: u32,
+    pub(crate) reset_count: u32,
     /// Calls that wait for a worker, by number.
     pub(crate) queue: VecDeque<u64>,
     /// Connections with a call, or being opened.
@@ -91,9 +91,21 @@
 }
 
 impl Server {
-    pub(crate) fn new(destination: usize, kind: usize, zone: usize, route: usize, pace: f64) -> Self {
+    pub(crate) fn new(destination: usize, kind: usize, zone: usize, route: usize, time_factor: f64) -> Self {
         let (idle, faults, queue) = (BTreeMap::new(), Vec::new(), VecDeque::new());
-        Self { destination, kind, zone, route, pace, busy: 0, starts: 0, queue, open: 0, idle, faults }
+        Self {
+            destination,
+            kind,
+            zone,
+            route,
+            time_factor,
+            busy: 0,
+            reset_count: 0,
+            queue,
+            open: 0,
+            idle,
+            faults,
+        }
     }
 
     pub(crate) fn is_out(&self) -> bool {
@@ -101,52 +113,59 @@
     }
 
     pub(crate) fn refuses(&self) -> bool {
-        self.faults.iter().any(|(_, t)| *t == ServerFault::Refuses)
+        self.faults.iter().any(|(_, fault)| *fault == ServerFault::Refuses)
     }
 
-    pub(crate) fn silent(&self) -> bool {
-        self.faults.iter().any(|(_, t)| *t == ServerFault::Silent)
+    pub(crate) fn is_silent(&self) -> bool {
+        self.faults.iter().any(|(_, fault)| *fault == ServerFault::Silent)
     }
 
     pub(crate) fn hangs(&self) -> bool {
-        self.faults.iter().any(|(_, t)| matches!(t, ServerFault::Hangs | ServerFault::Silent))
+        self.faults.iter().any(|(_, fault)| matches!(fault, ServerFault::Hangs | ServerFault::Silent))
     }
 
     /// When it opens, if it is shut, if that is known.
-    pub(crate) fn shut(&self) -> Option<Option<Duration>> {
-        let shut = |t: &ServerFault| if let ServerFault::Shut { until } = t { Some(*until) } else { None };
-        self.faults.iter().filter_map(|(_, t)| shut(t)).max()
+    pub(crate) fn shut_until(&self) -> Option<Option<Duration>> {
+        let shut =
+            |fault: &ServerFault| if let ServerFault::Shut { until } = fault { Some(*until) } else { None };
+        self.faults.iter().filter_map(|(_, fault)| shut(fault)).max()
     }
 
     /// The share that all faults together leave over, of those shares that `of` picks.
-    fn spared(&self, of: impl Fn(&ServerFault) -> Option<f64>) -> f64 {
-        self.faults.iter().filter_map(|(_, t)| of(t)).map(|share| 1.0 - share).product()
+    fn unaffected_share(&self, share_of: impl Fn(&ServerFault) -> Option<f64>) -> f64 {
+        self.faults.iter().filter_map(|(_, fault)| share_of(fault)).map(|share| 1.0 - share).product()
     }
 
-    pub(crate) fn errs(&self) -> f64 {
-        1.0 - self.spared(|t| if let ServerFault::Errs(share) = t { Some(*share) } else { None })
+    pub(crate) fn error_share(&self) -> f64 {
+        1.0 - self
+            .unaffected_share(|fault| if let ServerFault::Errs(share) = fault { Some(*share) } else { None })
     }
 
     pub(crate) fn response_loss(&self) -> f64 {
-        1.0 - self.spared(|t| if let ServerFault::LosesResponses(share) = t { Some(*share) } else { None })
+        1.0 - self.unaffected_share(|fault| {
+            if let ServerFault::LosesResponses(share) = fault { Some(*share) } else { None }
+        })
     }
 
-    pub(crate) fn stale(&self) -> f64 {
-        1.0 - self.spared(|t| if let ServerFault::Stale(share) = t { Some(*share) } else { None })
+    pub(crate) fn stale_share(&self) -> f64 {
+        1.0 - self
+            .unaffected_share(|fault| if let ServerFault::Stale(share) = fault { Some(*share) } else { None })
     }
 
-    pub(crate) fn slow(&self) -> f64 {
-        let factor = |t: &ServerFault| if let ServerFault::Slow(factor) = t { Some(*factor) } else { None };
-        self.faults.iter().filter_map(|(_, t)| factor(t)).product()
+    pub(crate) fn slowdown(&self) -> f64 {
+        let factor =
+            |fault: &ServerFault| if let ServerFault::Slow(factor) = fault { Some(*factor) } else { None };
+        self.faults.iter().filter_map(|(_, fault)| factor(fault)).product()
     }
 
-    pub(crate) fn handshake(&self) -> Duration {
-        let more = |t: &ServerFault| if let ServerFault::Handshake(more) = t { Some(*more) } else { None };
-        self.faults.iter().filter_map(|(_, t)| more(t)).sum()
+    pub(crate) fn extra_handshake(&self) -> Duration {
+        let extra =
+            |fault: &ServerFault| if let ServerFault::Handshake(extra) = fault { Some(*extra) } else { None };
+        self.faults.iter().filter_map(|(_, fault)| extra(fault)).sum()
     }
 
     /// Closes what idled for too long.
-    pub(crate) fn sweep(&mut self, now: Duration, idle_close: Duration) {
+    pub(crate) fn close_expired_connections(&mut self, now: Duration, idle_close: Duration) {
         self.idle.retain(|_, since| {
             since.retain(|at| *at + idle_close > now);
             !since.is_empty()
@@ -154,13 +173,13 @@
     }
 
     /// Whether one more connection fits.
-    pub(crate) fn has_place(&self, kind: &Destinations) -> bool {
+    pub(crate) fn accepts_connection(&self, kind: &Destinations) -> bool {
         let idle: usize = self.idle.values().map(Vec::len).sum();
-        kind.connections.is_none_or(|most| self.open + idle < most)
+        kind.connections.is_none_or(|max| self.open + idle < max)
     }
 
     /// Takes the connection of that instance that idled the shortest.
-    pub(crate) fn reuse(&mut self, instance: usize) -> bool {
+    pub(crate) fn take_idle_connection(&mut self, instance: usize) -> bool {
         let Some(since) = self.idle.get_mut(&instance) else { return false };
         let found = since.pop().is_some();
         if since.is_empty() {
--- a/crates/quillhub-simulator/src/server_tests.rs
+++ b/crates/quillhub-simulator/src/server_tests.rs
@@ -13,7 +13,7 @@
     let mut route = route(&rules, 10.0);
     let from = route.recovered_at.unwrap();
     let calls = (0..per_s * 10).map(|n| from + Duration::from_millis(1_000 * n / per_s));
-    calls.into_iter().any(|at| route.is_overloaded_by_call(at, &rules))
+    calls.into_iter().any(|at| route.record_call(at, &rules))
 }
 
 #[test]
@@ -27,9 +27,9 @@
     let mut server = Server::new(0, 0, 0, 0, 1.0);
     server.faults =
         vec![(0, ServerFault::Slow(2.0)), (1, ServerFault::Slow(3.0)), (2, ServerFault::Errs(0.5))];
-    assert_eq!((server.slow(), server.errs(), server.is_out()), (6.0, 0.5, false));
+    assert_eq!((server.slowdown(), server.error_share(), server.is_out()), (6.0, 0.5, false));
     server.faults.push((3, ServerFault::Errs(0.5)));
-    assert_eq!(server.errs(), 0.75);
+    assert_eq!(server.error_share(), 0.75);
     server.faults.retain(|(fault, _)| *fault != 0);
-    assert_eq!(server.slow(), 3.0);
+    assert_eq!(server.slowdown(), 3.0);
 }
--- a/crates/quillhub-simulator/src/simulation/calls.rs
+++ b/crates/quillhub-simulator/src/simulation/calls.rs
@@ -45,9 +45,10 @@
         let server = self.calls[&number].server;
         let destination = self.site.servers[server].destination;
         self.record.tally.attempt_started(self.clock.now(), destination, attempt > 0);
-        self.site.servers[server].sweep(self.clock.now(), self.scenario.network.idle_close);
+        self.site.servers[server]
+            .close_expired_connections(self.clock.now(), self.scenario.network.idle_close);
         let gone = self.discovery.entries[entry].removed;
-        if !gone && self.site.servers[server].reuse(instance) {
+        if !gone && self.site.servers[server].take_idle_connection(instance) {
             self.call_on_kept_connection(number, timeout);
         } else {
             self.call_on_new_connection(number, timeout, gone);
@@ -107,7 +108,7 @@
         self.take_connection(number);
         self.end_after(timeout, number, AttemptOutcome::TimedOut);
         let Call { instance, message_id, attempt, server, .. } = self.calls[&number];
-        if self.rng.random::<f64>() >= self.site.servers[server].stale() {
+        if self.rng.random::<f64>() >= self.site.servers[server].stale_share() {
             return self.first_byte(number);
         }
         self.fact(&Fact::FirstByteSent { instance, message_id, attempt });
@@ -125,16 +126,16 @@
         // Not up in time: nothing left, so nothing ran.
         self.end_after(timeout.min(network.connecting), number, AttemptOutcome::ConnectFailed);
         let server = &self.site.servers[self.calls[&number].server];
-        let Some(round_trip) = round_trip.filter(|_| !server.silent()) else { return };
+        let Some(round_trip) = round_trip.filter(|_| !server.is_silent()) else { return };
         let kind = &self.scenario.destinations[server.kind];
-        let has_place = server.has_place(kind);
-        if gone || server.refuses() || !has_place && !kind.reports {
+        let accepts_connection = server.accepts_connection(kind);
+        if gone || server.refuses() || !accepts_connection && !kind.reports {
             self.end_after(round_trip, number, AttemptOutcome::ConnectFailed);
-        } else if !has_place {
+        } else if !accepts_connection {
             // The connection comes up, and its first call is rejected without a report.
             self.end_after(round_trip * 2 + network.handshake, number, AttemptOutcome::ConnectionLimit);
         } else {
-            let up = round_trip + network.handshake + server.handshake();
+            let up = round_trip + network.handshake + server.extra_handshake();
             self.take_connection(number);
             self.after(up, Event::Connected { call: number });
             // The rest of its attempt timeout runs from its first byte's connection on, as for a kept one.
--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -85,11 +85,11 @@
     /// What is listed of a server's rate.
     fn listed_rate(&self, server: usize) -> Option<f64> {
         let of = &self.site.servers[server];
-        let per_s = self.site.rate(of.route);
+        let per_s = self.site.route_rate(of.route);
         match self.scenario.discovery.rates {
             Rates::Absent => None,
             Rates::Exact => Some(per_s),
-            Rates::Rough => Some(per_s * self.site.rough[of.destination]),
+            Rates::Rough => Some(per_s * self.site.rough_rate_factors[of.destination]),
         }
     }
 
@@ -311,7 +311,7 @@
     fn replace(&mut self, entry: usize, same_address: bool) {
         let old = &self.discovery.entries[entry];
         let (old_server, rate) = (old.server, old.rate);
-        let server = if same_address { old_server } else { self.site.replace(old_server) };
+        let server = if same_address { old_server } else { self.site.replace_server(old_server) };
         let new = self.list_server(server);
         self.discovery.entries[new].rate = rate;
         self.change_listing(new, EndpointState::Available);
--- a/crates/quillhub-simulator/src/simulation/faults.rs
+++ b/crates/quillhub-simulator/src/simulation/faults.rs
@@ -67,7 +67,7 @@
     pub(super) fn servers_struck(&self, fault: usize, target: &Target) -> Vec<usize> {
         let listening = self.discovery.open().filter(|(_, entry)| !entry.removed);
         let open: BTreeSet<_> = listening.map(|(_, entry)| entry.server).collect();
-        self.site.struck(fault, target, |server| open.contains(&server))
+        self.site.affected_servers(fault, target, |server| open.contains(&server))
     }
 
     fn instances_struck(&self, fault: usize, target: &Target) -> Vec<usize> {
@@ -79,7 +79,7 @@
     }
 
     fn relieve_servers(&mut self, fault: usize) {
-        for server in self.site.relieve(fault) {
+        for server in self.site.remove_fault(fault) {
             self.route_changes(self.site.servers[server].route);
         }
     }
--- a/crates/quillhub-simulator/src/simulation/mod.rs
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -117,7 +117,7 @@
 
     /// Lists the servers, starts the instances, and schedules the first arrivals and all faults.
     fn set_up(&mut self) {
-        for server in 0..self.site.servers() {
+        for server in 0..self.site.server_count() {
             self.list_server(server);
         }
         for instance in 0..self.scenario.instances.count as usize {
--- a/crates/quillhub-simulator/src/simulation/servers.rs
+++ b/crates/quillhub-simulator/src/simulation/servers.rs
@@ -25,15 +25,15 @@
             self.route_overloaded(server);
         }
         match arrived.admission {
-            Admission::Breaks => self.answer_call(number, AttemptOutcome::ConnectionReset, false),
-            Admission::Hangs => self.call_hangs(number),
+            Admission::Reset => self.answer_call(number, AttemptOutcome::ConnectionReset, false),
+            Admission::Unanswered => self.call_hangs(number),
             Admission::Rejected(wait) => {
                 self.record.tally.rejected_calls += 1;
                 self.answer_call(number, AttemptOutcome::Rejected { retry_after: wait }, true);
             }
-            Admission::Fails(time) => self.call_fails(number, time),
-            Admission::Begins => self.begin(number, server),
-            Admission::Queues => self.site.queues(server, number),
+            Admission::Failed(time) => self.call_fails(number, time),
+            Admission::Started => self.begin(number, server),
+            Admission::Queued => self.site.enqueue(server, number),
         }
     }
 
@@ -41,7 +41,7 @@
     fn route_overloaded(&mut self, server: usize) {
         self.fact(&Fact::RouteOverloaded { route: self.site.servers[server].route });
         for server in self.site.route_servers(server) {
-            self.strike_server(server, Site::OVERLOAD, ServerFault::Refuses);
+            self.strike_server(server, Site::OVERLOAD_FAULT, ServerFault::Refuses);
         }
     }
 
@@ -65,7 +65,7 @@
 
     /// A worker takes a call up.
     fn begin(&mut self, number: u64, server: usize) {
-        let time = self.site.begins(server, self.clock.now(), &mut self.rng);
+        let time = self.site.begin_call(server, self.clock.now(), &mut self.rng);
         if let Some(call) = self.calls.get(&number) {
             self.record.tally.queued(self.clock.now() - call.started);
         }
@@ -97,7 +97,7 @@
         if !self.calls.get(&number).is_some_and(|call| call.at_endpoint) {
             return; // cut off in the midst of it; its worker was freed then
         }
-        if let Some(next) = self.site.ends(server) {
+        if let Some(next) = self.site.end_call(server) {
             self.begin(next, server);
         }
         let lost = self.site.response_faults(server).lost;
@@ -137,7 +137,7 @@
 
     /// A fault begins at a server.
     pub(super) fn strike_server(&mut self, server: usize, number: usize, fault: ServerFault) {
-        self.site.strike(server, number, fault);
+        self.site.apply_fault(server, number, fault);
         if fault == ServerFault::Refuses {
             self.cut_off_calls(server);
         }
--- a/crates/quillhub-simulator/src/site.rs
+++ b/crates/quillhub-simulator/src/site.rs
@@ -5,7 +5,7 @@
 use crate::faults::{Drain, Injection, Target, chance_of_fault};
 use crate::rate_limit::RateLimit;
 use crate::scenario::Scenario;
-use crate::server::{Route, Server, warmth};
+use crate::server::{Route, Server, warm_share};
 use quillhub::LoadReport;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -13,9 +13,9 @@
 use std::time::Duration;
 
 /// Part of its usual time after which a call fails that is to fail.
-const ERROR_PART: f64 = 0.1;
+const FAILED_CALL_TIME_SHARE: f64 = 0.1;
 /// A fault that is not of the scenario's: the failure of an overloaded route.
-const OVERLOAD: usize = usize::MAX;
+const OVERLOAD_FAULT: usize = usize::MAX;
 
 /// A seed of its own for each use of chance, so that one use more does not shift the others.
 pub(crate) fn chance(seed: u64, use_of: u64) -> Pcg64Mcg {
@@ -24,7 +24,7 @@
 
 /// What became of a call that came to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Arrived {
+pub struct AdmissionResult {
     /// What the server does with it.
     pub admission: Admission,
     /// Whether it overloaded the route, which fails from now on.
@@ -64,32 +64,32 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
     /// Its connection breaks.
-    Breaks,
+    Reset,
     /// Nothing comes back.
-    Hangs,
+    Unanswered,
     /// Rejected unseen, with the retry-after, if there is one.
     Rejected(Option<Duration>),
     /// It fails, after so long.
-    Fails(Duration),
-    /// A worker takes it up at once; [`Site::begins`] tells for how long.
-    Begins,
+    Failed(Duration),
+    /// A worker takes it up at once; [`Site::begin_call`] tells for how long.
+    Started,
     /// It waits for a worker.
-    Queues,
+    Queued,
 }
 
 /// What fakes on sockets have to do for a fault of a scenario.
 #[derive(Clone, Copy, Debug)]
 pub enum SocketFault<'a> {
-    /// Nothing but [`Site::begins_fault`].
-    ByEndpoints,
+    /// Nothing but [`Site::begin_fault`].
+    Endpoints,
     /// Service discovery is out of reach.
-    ByRegister,
+    Discovery,
     /// These servers drain, one after the other.
-    ByDrain(&'a Drain),
+    Drain(&'a Drain),
     /// It is in [`crate::arrivals`] already.
-    ByArrivals,
+    Arrivals,
     /// It cannot be shown there.
-    Not,
+    Unsupported,
 }
 
 /// What changed for a route by a fault's begin or end.
@@ -106,23 +106,24 @@
     pub(crate) servers: Vec<Server>,
     pub(crate) routes: Vec<Route>,
     /// By destination, from 0: its servers, in order of their making.
-    pub(crate) of_destination: Vec<Vec<usize>>,
+    pub(crate) servers_by_destination: Vec<Vec<usize>>,
     /// Of each destination, how far a rough listed rate is off.
-    pub(crate) rough: Vec<f64>,
+    pub(crate) rough_rate_factors: Vec<f64>,
 }
 
 impl<'a> Site<'a> {
     /// The destinations of the scenario's kinds, in their order; numbers of servers and destinations begin at 0.
     pub fn new(scenario: &'a Scenario, seed: u64) -> Self {
-        let (servers, routes, of_destination, rough) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        let mut site = Self { scenario, seed, servers, routes, of_destination, rough };
+        let (servers, routes, servers_by_destination, rough_rate_factors) =
+            (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+        let mut site = Self { scenario, seed, servers, routes, servers_by_destination, rough_rate_factors };
         let mut rng = chance(seed, 2);
         for (kind, of) in scenario.destinations.iter().enumerate() {
             for _ in 0..of.count {
-                let destination = site.of_destination.len();
-                site.of_destination.push(Vec::new());
-                let pace = of.spread.powf(rng.random_range(-1.0..=1.0));
-                site.rough.push(rng.random_range(0.5..1.5));
+                let destination = site.servers_by_destination.len();
+                site.servers_by_destination.push(Vec::new());
+                let time_factor = of.spread.powf(rng.random_range(-1.0..=1.0));
+                site.rough_rate_factors.push(rng.random_range(0.5..1.5));
                 for nth in 0..of.endpoints {
                     if nth == 0 || of.routes_apart {
                         let rate_limit = of.rate_limit.map(RateLimit::new);
@@ -131,10 +132,11 @@
                     let route = site.routes.len() - 1;
                     let server = site.servers.len();
                     let zone = server % scenario.instances.zones.len();
-                    site.servers.push(Server::new(destination, kind, zone, route, pace));
-                    site.of_destination[destination].push(server);
+                    site.servers.push(Server::new(destination, kind, zone, route, time_factor));
+                    site.servers_by_destination[destination].push(server);
                     site.routes[route].servers.push(server);
-                    site.routes[route].per_s += of.workers as f64 / (of.service.mean.as_secs_f64() * pace);
+                    site.routes[route].per_s +=
+                        of.workers as f64 / (of.service.mean.as_secs_f64() * time_factor);
                 }
             }
         }
@@ -142,7 +144,7 @@
     }
 
     /// How many servers there are, with those that were replaced.
-    pub fn servers(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
@@ -155,18 +157,18 @@
     }
 
     /// Calls a second that a route's limit lets in, or that its servers work off when warm.
-    pub(crate) fn rate(&self, route: usize) -> f64 {
+    pub(crate) fn route_rate(&self, route: usize) -> f64 {
         self.routes[route].rate_limit.as_ref().map_or(self.routes[route].per_s, RateLimit::per_s)
     }
 
     /// A new server that does an old one's work; what the old one still has ends there.
-    pub(crate) fn replace(&mut self, old: usize) -> usize {
+    pub(crate) fn replace_server(&mut self, old: usize) -> usize {
         let at = &self.servers[old];
         let (destination, route) = (at.destination, at.route);
-        self.servers.push(Server::new(destination, at.kind, at.zone, route, at.pace));
+        self.servers.push(Server::new(destination, at.kind, at.zone, route, at.time_factor));
         let new = self.servers.len() - 1;
-        self.of_destination[destination].retain(|other| *other != old);
-        self.of_destination[destination].push(new);
+        self.servers_by_destination[destination].retain(|other| *other != old);
+        self.servers_by_destination[destination].push(new);
         let route = &mut self.routes[route];
         route.servers.retain(|other| *other != old);
         route.servers.push(new);
@@ -174,20 +176,19 @@
     }
 
     /// What a server does with a call that came; it is counted.
-    pub fn admit(&mut self, at: usize, now: Duration, rng: &mut Pcg64Mcg) -> Arrived {
+    pub fn admit(&mut self, at: usize, now: Duration, rng: &mut Pcg64Mcg) -> AdmissionResult {
         let rules = &self.scenario.rules;
         let route = self.servers[at].route;
-        let overloads_route =
-            !self.routes[route].is_overloaded && self.routes[route].is_overloaded_by_call(now, rules);
+        let overloads_route = !self.routes[route].is_overloaded && self.routes[route].record_call(now, rules);
         if overloads_route {
             self.routes[route].is_overloaded = true;
             for server in self.routes[route].servers.clone() {
-                self.servers[server].faults.push((OVERLOAD, ServerFault::Refuses));
+                self.servers[server].faults.push((OVERLOAD_FAULT, ServerFault::Refuses));
             }
         }
         let (server, route) = (&mut self.servers[at], &mut self.routes[route]);
         let kind = &self.scenario.destinations[server.kind];
-        let rejection = match server.shut() {
+        let rejection = match server.shut_until() {
             Some(until) => Some(until.map(|until| until.saturating_sub(now))),
             None => match route.rate_limit.as_mut().map(|limit| (limit.take(now), limit.retry_after_share()))
             {
@@ -198,39 +199,39 @@
             },
         };
         let admission = if server.refuses() {
-            Admission::Breaks
+            Admission::Reset
         } else if server.hangs() {
-            Admission::Hangs
+            Admission::Unanswered
         } else if let Some(wait) = rejection {
             Admission::Rejected(wait)
-        } else if rng.random::<f64>() < server.errs() {
-            Admission::Fails(kind.service.draw(rng).mul_f64(server.pace * ERROR_PART))
+        } else if rng.random::<f64>() < server.error_share() {
+            Admission::Failed(kind.service.draw(rng).mul_f64(server.time_factor * FAILED_CALL_TIME_SHARE))
         } else if server.busy < kind.workers {
             server.busy += 1;
-            Admission::Begins
+            Admission::Started
         } else if server.queue.len() < kind.queue {
-            Admission::Queues
+            Admission::Queued
         } else {
             Admission::Rejected(None)
         };
-        Arrived { admission, overloads_route }
+        AdmissionResult { admission, overloads_route }
     }
 
     /// A worker takes up a call: for so long.
-    pub fn begins(&mut self, at: usize, now: Duration, rng: &mut Pcg64Mcg) -> Duration {
+    pub fn begin_call(&mut self, at: usize, now: Duration, rng: &mut Pcg64Mcg) -> Duration {
         let server = &self.servers[at];
-        let warm = self.routes[server.route].capacity(now, &self.scenario.rules).max(0.01);
+        let warm = self.routes[server.route].capacity_share(now, &self.scenario.rules).max(0.01);
         let kind = &self.scenario.destinations[server.kind];
-        kind.service.draw(rng).mul_f64(server.pace * server.slow() / warm)
+        kind.service.draw(rng).mul_f64(server.time_factor * server.slowdown() / warm)
     }
 
     /// Puts a call in the queue of a server.
-    pub fn queues(&mut self, at: usize, call: u64) {
+    pub fn enqueue(&mut self, at: usize, call: u64) {
         self.servers[at].queue.push_back(call);
     }
 
     /// A worker is free; the call that it takes up next, if one waits.
-    pub fn ends(&mut self, at: usize) -> Option<u64> {
+    pub fn end_call(&mut self, at: usize) -> Option<u64> {
         let server = &mut self.servers[at];
         server.busy -= 1;
         let next = server.queue.pop_front();
@@ -240,31 +241,31 @@
 
     /// What is wrong with new connections to a server.
     pub fn connection_faults(&self, at: usize) -> ConnectionFaults {
-        ConnectionFaults { refuses: self.servers[at].refuses(), silent: self.servers[at].silent() }
+        ConnectionFaults { refuses: self.servers[at].refuses(), silent: self.servers[at].is_silent() }
     }
 
     /// What is wrong with responses and kept connections of a server.
     pub fn response_faults(&self, at: usize) -> ResponseFaults {
-        ResponseFaults { lost: self.servers[at].response_loss(), stale: self.servers[at].stale() }
+        ResponseFaults { lost: self.servers[at].response_loss(), stale: self.servers[at].stale_share() }
     }
 
     /// Connections that a server takes, idle ones counted, where it has a bound.
-    pub fn connections(&self, at: usize) -> Option<usize> {
+    pub fn connection_limit(&self, at: usize) -> Option<usize> {
         self.scenario.destinations[self.servers[at].kind].connections
     }
 
     /// How long endpoints let a connection idle.
-    pub fn idle_close(&self) -> Duration {
+    pub fn idle_timeout(&self) -> Duration {
         self.scenario.network.idle_close
     }
 
     /// How often a server began anew: what it worked on before an outage is gone.
-    pub fn starts(&self, at: usize) -> u32 {
-        self.servers[at].starts
+    pub fn reset_count(&self, at: usize) -> u32 {
+        self.servers[at].reset_count
     }
 
     /// All calls that wait for a worker.
-    pub fn queued(&self) -> BTreeSet<u64> {
+    pub fn queued_calls(&self) -> BTreeSet<u64> {
         self.servers.iter().flat_map(|server| &server.queue).copied().collect()
     }
 
@@ -288,7 +289,7 @@
         let workers = self.scenario.destinations[server.kind].workers;
         let free = workers.saturating_sub(server.busy + server.queue.len());
         let cold = route.recovered_at.map_or(free, |back| {
-            let warm = warmth(&self.scenario.rules, now - back);
+            let warm = warm_share(&self.scenario.rules, now - back);
             let may = (self.scenario.rules.overload_factor * route.per_s * warm * 0.9) as usize;
             may.saturating_sub(route.calls.iter().filter(|at| **at + Duration::from_secs(1) > now).count())
         });
@@ -298,17 +299,26 @@
 
     /// The servers that a fault strikes; `open` says which may be struck. The choice is the same whatever was
     /// decided before.
-    pub fn struck(&self, number: usize, target: &Target, open: impl Fn(usize) -> bool) -> Vec<usize> {
+    pub fn affected_servers(
+        &self,
+        number: usize,
+        target: &Target,
+        open: impl Fn(usize) -> bool,
+    ) -> Vec<usize> {
         let kind = |at: usize| &self.scenario.destinations[self.servers[at].kind].kind;
         let zone = |at: usize| &self.scenario.instances.zones[self.servers[at].zone];
         let of_kind = |id: usize| {
-            let first = self.of_destination[id].first();
+            let first = self.servers_by_destination[id].first();
             first.is_some_and(|at| target.kind.as_ref().is_none_or(|wanted| wanted == kind(*at)))
         };
-        let ids = target.choose(self.of_destination.len(), of_kind, &mut chance_of_fault(self.seed, number));
+        let ids = target.choose(
+            self.servers_by_destination.len(),
+            of_kind,
+            &mut chance_of_fault(self.seed, number),
+        );
         let mut struck = Vec::new();
         for id in ids {
-            let open = self.of_destination[id].iter().copied().filter(|at| open(*at));
+            let open = self.servers_by_destination[id].iter().copied().filter(|at| open(*at));
             let in_zone = open.filter(|at| target.zone.as_ref().is_none_or(|wanted| wanted == zone(*at)));
             struck.extend(in_zone.take(target.endpoints.unwrap_or(usize::MAX)));
         }
@@ -319,48 +329,48 @@
     pub fn socket_fault(&self, number: usize) -> SocketFault<'a> {
         let scheduled = &self.scenario.faults[number];
         match scheduled.fault.injection(scheduled) {
-            Injection::Servers(_) => SocketFault::ByEndpoints,
-            Injection::Discovery(None) => SocketFault::ByRegister,
-            Injection::Drain(by) if by.same_address || !by.replaced => SocketFault::ByDrain(by),
-            Injection::TrafficSurge { .. } => SocketFault::ByArrivals,
-            _ => SocketFault::Not,
+            Injection::Servers(_) => SocketFault::Endpoints,
+            Injection::Discovery(None) => SocketFault::Discovery,
+            Injection::Drain(by) if by.same_address || !by.replaced => SocketFault::Drain(by),
+            Injection::TrafficSurge { .. } => SocketFault::Arrivals,
+            _ => SocketFault::Unsupported,
         }
     }
 
     /// A fault of the scenario begins, as far as it strikes endpoints.
-    pub fn begins_fault(&mut self, number: usize, now: Duration) {
+    pub fn begin_fault(&mut self, number: usize, now: Duration) {
         let scheduled = &self.scenario.faults[number];
         let Injection::Servers(fault) = scheduled.fault.injection(scheduled) else { return };
-        for at in self.struck(number, &scheduled.target, |_| true) {
-            self.strike(at, number, fault);
+        for at in self.affected_servers(number, &scheduled.target, |_| true) {
+            self.apply_fault(at, number, fault);
             self.update_route(self.servers[at].route, now);
         }
     }
 
     /// A fault of the scenario ends, as far as it struck endpoints.
-    pub fn ends_fault(&mut self, number: usize, now: Duration) {
-        for at in self.relieve(number) {
+    pub fn end_fault(&mut self, number: usize, now: Duration) {
+        for at in self.remove_fault(number) {
             self.update_route(self.servers[at].route, now);
         }
     }
 
     /// A fault begins at a server. What stood there is cut off if it refuses connections from now on: its queue is
     /// empty then, and its workers are free.
-    pub(crate) fn strike(&mut self, at: usize, number: usize, fault: ServerFault) {
+    pub(crate) fn apply_fault(&mut self, at: usize, number: usize, fault: ServerFault) {
         let server = &mut self.servers[at];
-        if number != OVERLOAD {
+        if number != OVERLOAD_FAULT {
             server.faults.push((number, fault));
         }
         if fault == ServerFault::Refuses {
             server.idle.clear();
             server.queue.clear();
             server.busy = 0;
-            server.starts += 1;
+            server.reset_count += 1;
         }
     }
 
     /// The end of a fault; the servers that it struck.
-    pub(crate) fn relieve(&mut self, number: usize) -> Vec<usize> {
+    pub(crate) fn remove_fault(&mut self, number: usize) -> Vec<usize> {
         let mut struck = Vec::new();
         for (at, server) in self.servers.iter_mut().enumerate() {
             let before = server.faults.len();
@@ -390,5 +400,5 @@
         self.routes[self.servers[at].route].servers.clone()
     }
 
-    pub(crate) const OVERLOAD: usize = OVERLOAD;
+    pub(crate) const OVERLOAD_FAULT: usize = OVERLOAD_FAULT;
 }
