--- a/crates/quillhub-simulator/src/clients.rs
+++ b/crates/quillhub-simulator/src/clients.rs
@@ -2,7 +2,7 @@
 //! comes at its instant, whatever became of those before it.
 
 use crate::scenario::{Arrivals, Pattern, Scenario};
-use crate::site::chance;
+use crate::site::seeded_rng;
 use quillhub::DestinationId;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, Poisson};
@@ -107,7 +107,7 @@
 
 /// The chance of a stream: its own, so that nothing else shifts it.
 pub(crate) fn stream_chance(seed: u64, nth: usize) -> Pcg64Mcg {
-    chance(seed, 1_000 + nth as u64)
+    seeded_rng(seed, 1_000 + nth as u64)
 }
 
 /// One stream's clock.
--- a/crates/quillhub-simulator/src/faults/target.rs
+++ b/crates/quillhub-simulator/src/faults/target.rs
@@ -1,6 +1,6 @@
 //! Who is struck by a fault: destinations or instances, picked by the same rules.
 
-use crate::site::chance;
+use crate::site::seeded_rng;
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -43,5 +43,5 @@
 
 /// The chance by which a fault picks: its own, so that the choice is the same whatever was decided before.
 pub(crate) fn chance_of_fault(seed: u64, fault: usize) -> Pcg64Mcg {
-    chance(seed, 1 << 48 | fault as u64)
+    seeded_rng(seed, 1 << 48 | fault as u64)
 }
--- a/crates/quillhub-simulator/src/server.rs
+++ b/crates/quillhub-simulator/src/server.rs
@@ -1,5 +1,7 @@
-//! Destinations as they are: routes with their limits, outages and returns, and the servers behind endpoints with
-//! workers, queues, connections and whatever faults strike them. Nothing here knows of events or instances.
+//! True state of the destinations: routes with their rate limits, outages and recoveries, and the servers behind
+//! endpoints with their workers, queues, connections and active faults.
+//!
+//! The module knows neither events nor gateway instances.
 
 use crate::conditions::ServerFault;
 use crate::rate_limit::RateLimit;
@@ -7,28 +9,28 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// What shares one limit and returns as one.
+/// Servers that share one rate limit and that fail and recover as one.
 pub(crate) struct Route {
     pub(crate) rate_limit: Option<RateLimit>,
     pub(crate) servers: Vec<usize>,
     pub(crate) is_down: bool,
     pub(crate) is_overloaded: bool,
-    /// Since when it is back, while it is cold.
+    /// Time of the recovery, while the route is warming up; `None` if it is warm or has never been down.
     pub(crate) recovered_at: Option<Duration>,
-    /// Calls a second that it works off when warm.
+    /// Capacity in calls per second when the route is warm.
     pub(crate) per_s: f64,
-    /// When calls came while it is cold; emptied with the overload span.
+    /// Arrival times of calls while the route is warming up; those older than the overload span are removed.
     pub(crate) calls: VecDeque<Duration>,
 }
 
-/// The share of its capacity that a route has `age` after its return.
+/// Returns the share of its warm capacity that a route has at `age` after its recovery.
 pub(crate) fn warm_share(rules: &RuleSettings, age: Duration) -> f64 {
     let progress = (age.as_secs_f64() / rules.warm_up.as_secs_f64().max(1e-9)).min(1.0);
     rules.initial_share + (1.0 - rules.initial_share) * progress
 }
 
 impl Route {
-    /// A route without servers, warm.
+    /// Creates a warm route without servers.
     pub(crate) fn new(rate_limit: Option<RateLimit>) -> Self {
         Self {
             rate_limit,
@@ -41,51 +43,53 @@
         }
     }
 
-    /// The share of its capacity that it has now.
+    /// Returns the share of its warm capacity that the route has now, and ends the warm-up if it is over.
     pub(crate) fn capacity_share(&mut self, now: Duration, rules: &RuleSettings) -> f64 {
-        let Some(back) = self.recovered_at else { return 1.0 };
-        if now >= back + rules.warm_up {
+        let Some(recovered_at) = self.recovered_at else { return 1.0 };
+        if now >= recovered_at + rules.warm_up {
             self.recovered_at = None;
             self.calls.clear();
             return 1.0;
         }
-        warm_share(rules, now - back)
+        warm_share(rules, now - recovered_at)
     }
 
-    /// A call came. True if, with it, the route was sent too much for too long while it is cold.
+    /// Records the arrival of a call. Returns `true` if the calls of the last overload span exceed what the recovering
+    /// route withstands.
     pub(crate) fn record_call(&mut self, now: Duration, rules: &RuleSettings) -> bool {
-        let Some(back) = self.recovered_at else { return false };
+        let Some(recovered_at) = self.recovered_at else { return false };
         self.calls.push_back(now);
         while self.calls.front().is_some_and(|at| *at + rules.overload_span < now) {
             self.calls.pop_front();
         }
-        if now < back + rules.overload_span {
-            return false; // it has not been back for so long
+        if now < recovered_at + rules.overload_span {
+            return false; // the route recovered less than one overload span ago
         }
-        // What it could do in the span: capacity grows evenly, so its middle tells its mean.
+        // The capacity grows linearly, so its mean over the span is its value at the middle of the span.
         let capacity = self.per_s
             * rules.overload_span.as_secs_f64()
-            * warm_share(rules, now - rules.overload_span / 2 - back);
+            * warm_share(rules, now - rules.overload_span / 2 - recovered_at);
         self.calls.len() as f64 > rules.overload_factor * capacity
     }
 }
 
-/// The machine behind an endpoint, at one address.
+/// Server behind an endpoint, at one address.
 pub(crate) struct Server {
     pub(crate) destination: usize,
     pub(crate) kind: usize,
     pub(crate) zone: usize,
     pub(crate) route: usize,
-    /// How many times as long as usual calls take here.
+    /// Factor on the service times of the destination's kind.
     pub(crate) time_factor: f64,
     pub(crate) busy: usize,
-    /// How often it began anew.
+    /// Number of times that the server began to refuse connections, which drops its calls.
     pub(crate) reset_count: u32,
-    /// Calls that wait for a worker, by number.
+    /// Numbers of the calls that wait for a worker, in order of arrival.
     pub(crate) queue: VecDeque<u64>,
-    /// Connections with a call, or being opened.
+    /// Number of connections that are being opened or carry a call.
     pub(crate) open: usize,
-    /// Idle connections by instance, and since when; gone when used, closed by its instance or closed for idleness.
+    /// For each instance, the times since which its connections are idle. A connection is removed when it is reused,
+    /// closed by its instance, or closed by the server after the idle timeout.
     pub(crate) idle: BTreeMap<usize, Vec<Duration>>,
     pub(crate) faults: Vec<(usize, ServerFault)>,
 }
@@ -124,14 +128,15 @@
         self.faults.iter().any(|(_, fault)| matches!(fault, ServerFault::Hangs | ServerFault::Silent))
     }
 
-    /// When it opens, if it is shut, if that is known.
+    /// Returns `None` if the server is not shut, and otherwise the time at which it reopens, if that is known.
     pub(crate) fn shut_until(&self) -> Option<Option<Duration>> {
         let shut =
             |fault: &ServerFault| if let ServerFault::Shut { until } = fault { Some(*until) } else { None };
         self.faults.iter().filter_map(|(_, fault)| shut(fault)).max()
     }
 
-    /// The share that all faults together leave over, of those shares that `of` picks.
+    /// Returns the share that all active faults together leave unaffected. `share_of` returns the share that one fault
+    /// affects, or `None` if the fault is of another kind.
     fn unaffected_share(&self, share_of: impl Fn(&ServerFault) -> Option<f64>) -> f64 {
         self.faults.iter().filter_map(|(_, fault)| share_of(fault)).map(|share| 1.0 - share).product()
     }
@@ -164,7 +169,7 @@
         self.faults.iter().filter_map(|(_, fault)| extra(fault)).sum()
     }
 
-    /// Closes what idled for too long.
+    /// Closes the connections that have been idle for `idle_close` or longer.
     pub(crate) fn close_expired_connections(&mut self, now: Duration, idle_close: Duration) {
         self.idle.retain(|_, since| {
             since.retain(|at| *at + idle_close > now);
@@ -172,13 +177,13 @@
         });
     }
 
-    /// Whether one more connection fits.
+    /// Returns `true` if one more connection is within the connection limit.
     pub(crate) fn accepts_connection(&self, kind: &Destinations) -> bool {
         let idle: usize = self.idle.values().map(Vec::len).sum();
         kind.connections.is_none_or(|max| self.open + idle < max)
     }
 
-    /// Takes the connection of that instance that idled the shortest.
+    /// Takes the instance's most recently used idle connection. Returns `false` if it has none.
     pub(crate) fn take_idle_connection(&mut self, instance: usize) -> bool {
         let Some(since) = self.idle.get_mut(&instance) else { return false };
         let found = since.pop().is_some();
--- a/crates/quillhub-simulator/src/server_tests.rs
+++ b/crates/quillhub-simulator/src/server_tests.rs
@@ -1,4 +1,4 @@
-//! Routes that warm up, and faults of a server that compose.
+//! Overload of recovering routes, and combined faults of a server.
 
 use super::*;
 
@@ -7,7 +7,8 @@
     Route { servers: vec![0], recovered_at, per_s, ..Route::new(None) }
 }
 
-/// Whether a cold route that takes 10 calls a second when warm is overloaded by `per_s` for the warm-up.
+/// Returns `true` if `per_s` calls per second overload a recovering route at some time in the 10 s after its recovery.
+/// The route serves 10 calls per second when warm.
 fn is_overloaded_by(per_s: u64) -> bool {
     let rules = RuleSettings::default();
     let mut route = route(&rules, 10.0);
@@ -17,13 +18,15 @@
 }
 
 #[test]
-fn a_cold_route_is_overloaded_by_more_than_its_multiple_for_the_span() {
-    // After 3 s it could do 20% to 44% of 10 a second: 9.6 in the span, and twice that may come.
+fn a_recovering_route_is_overloaded_by_more_than_its_overload_factor_allows_in_the_span() {
+    // Guards against a threshold that ignores the warm-up. In the first 3 s the capacity grows from 20% to 44% of 10
+    // calls per second: 9.6 calls in the overload span, of which twice as many may arrive.
     assert!(!is_overloaded_by(6) && is_overloaded_by(7));
 }
 
 #[test]
-fn faults_compose() {
+fn faults_at_one_server_are_combined_and_end_separately() {
+    // Guards against one fault masking another, and against the end of one fault ending others of its kind.
     let mut server = Server::new(0, 0, 0, 0, 1.0);
     server.faults =
         vec![(0, ServerFault::Slow(2.0)), (1, ServerFault::Slow(3.0)), (2, ServerFault::Errs(0.5))];
--- a/crates/quillhub-simulator/src/simulation/instances.rs
+++ b/crates/quillhub-simulator/src/simulation/instances.rs
@@ -5,7 +5,7 @@
 use super::event::Event;
 use crate::decider::{Decider, Input, Start};
 use crate::fact::Fact;
-use crate::site::chance;
+use crate::site::seeded_rng;
 use quillhub::{DestinationId, Driver, EndpointState, MessageId};
 use rand::RngExt;
 use std::collections::BTreeMap;
@@ -86,7 +86,7 @@
     /// What the decider of an instance's incarnation is started with.
     pub(super) fn start(&self, instance: usize, incarnation: u32) -> Start<'a> {
         let zone = &self.scenario.instances.zones[self.zone_of_instance(instance)];
-        let seed = chance(self.seed, (instance as u64 + 1) << 32 | u64::from(incarnation)).random();
+        let seed = seeded_rng(self.seed, (instance as u64 + 1) << 32 | u64::from(incarnation)).random();
         Start { seed, zone, scenario: self.scenario }
     }
 
--- a/crates/quillhub-simulator/src/simulation/mod.rs
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -20,7 +20,7 @@
 use crate::fact::Fact;
 use crate::network::Paths;
 use crate::scenario::Scenario;
-use crate::site::{Site, chance};
+use crate::site::{Site, seeded_rng};
 use calls::Call;
 use clients::HotSpot;
 use clock::Clock;
@@ -98,8 +98,8 @@
             seed,
             clock: Clock::new(),
             record: Record::new(scenario, observer),
-            rng: chance(seed, 1),
-            front: chance(seed, 3),
+            rng: seeded_rng(seed, 1),
+            front: seeded_rng(seed, 3),
             paths: Paths::new(scenario.network.clone()),
             site: Site::new(scenario, seed),
             discovery: Discovery::default(),
--- a/crates/quillhub-simulator/src/site.rs
+++ b/crates/quillhub-simulator/src/site.rs
@@ -1,5 +1,7 @@
-//! All destinations of a scenario as one thing: what is where, who is struck, and what an endpoint does with a call
-//! that came. No events and no instances: the simulation drives it in virtual time, fakes drive it on sockets.
+//! State of all destinations of a scenario: their servers and routes, the active faults, and the treatment of calls.
+//!
+//! The module knows neither events nor gateway instances, so that it serves two hosts: the simulation drives it in
+//! virtual time, and the fakes drive it on sockets.
 
 use crate::conditions::ServerFault;
 use crate::faults::{Drain, Injection, Target, chance_of_fault};
@@ -12,121 +14,122 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Part of its usual time after which a call fails that is to fail.
+/// Share of its service time after which a failing call returns its error.
 const FAILED_CALL_TIME_SHARE: f64 = 0.1;
-/// A fault that is not of the scenario's: the failure of an overloaded route.
+/// Fault number of the failure of an overloaded route, which is not among the faults of the scenario.
 const OVERLOAD_FAULT: usize = usize::MAX;
 
-/// A seed of its own for each use of chance, so that one use more does not shift the others.
-pub(crate) fn chance(seed: u64, use_of: u64) -> Pcg64Mcg {
-    Pcg64Mcg::seed_from_u64(seed ^ use_of.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+/// Creates a random number generator for one purpose. Each purpose has its own sequence, so that a new one does not
+/// change the draws of the others.
+pub(crate) fn seeded_rng(seed: u64, purpose: u64) -> Pcg64Mcg {
+    Pcg64Mcg::seed_from_u64(seed ^ purpose.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// What became of a call that came to a server.
+/// Result of [`Site::admit`]: the treatment of a call, and its effect on the route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionResult {
-    /// What the server does with it.
+    /// Treatment of the call by the server.
     pub admission: Admission,
-    /// Whether it overloaded the route, which fails from now on.
+    /// `true` if the call overloaded the recovering route, which refuses all connections from now on.
     pub overloads_route: bool,
 }
 
-/// The destination that a server belongs to.
+/// Destination that a server belongs to, with the server's zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Owner<'s> {
-    /// The destination's number, from 0.
+    /// Number of the destination, counted from 0.
     pub destination: usize,
-    /// Its kind.
+    /// Kind of the destination, as named in the scenario.
     pub kind: &'s str,
-    /// The zone that the server stands in.
+    /// Zone that the server runs in.
     pub zone: &'s str,
 }
 
-/// What is wrong with new connections to a server.
+/// Active faults that affect new connections to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionFaults {
-    /// None is let in.
+    /// `true` if the server refuses every connection.
     pub refuses: bool,
-    /// Nothing at all comes back.
+    /// `true` if the server does not respond at all, not even to a connection attempt.
     pub silent: bool,
 }
 
-/// What is wrong with responses and kept connections of a server, as shares.
+/// Active faults that affect responses and idle connections of a server, as shares from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResponseFaults {
-    /// Share of the responses that are lost.
+    /// Share of the responses that are lost after their calls were executed.
     pub lost: f64,
-    /// Share of the kept connections that are dead.
+    /// Share of the idle connections that turn out to be broken when reused.
     pub stale: f64,
 }
 
-/// What an endpoint does with a call that came.
+/// Treatment of a call by the server that it arrived at.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// Its connection breaks.
+    /// The connection is reset.
     Reset,
-    /// Nothing comes back.
+    /// The call is accepted but never answered.
     Unanswered,
-    /// Rejected unseen, with the retry-after, if there is one.
+    /// The call is rejected without being executed, with the retry-after if the server sends one.
     Rejected(Option<Duration>),
-    /// It fails, after so long.
+    /// The call returns an error after this time.
     Failed(Duration),
-    /// A worker takes it up at once; [`Site::begin_call`] tells for how long.
+    /// A worker starts the call at once; [`Site::begin_call`] returns its service time.
     Started,
-    /// It waits for a worker.
+    /// All workers are busy; the host is to add the call to the queue with [`Site::enqueue`].
     Queued,
 }
 
-/// What fakes on sockets have to do for a fault of a scenario.
+/// Component of the fakes on sockets that applies a fault of the scenario.
 #[derive(Clone, Copy, Debug)]
 pub enum SocketFault<'a> {
-    /// Nothing but [`Site::begin_fault`].
+    /// The fake endpoints, by calling [`Site::begin_fault`].
     Endpoints,
-    /// Service discovery is out of reach.
+    /// The fake discovery, which becomes unreachable.
     Discovery,
-    /// These servers drain, one after the other.
+    /// The fake discovery, which drains the target servers one after the other.
     Drain(&'a Drain),
-    /// It is in [`crate::arrivals`] already.
+    /// None: the fault is already part of [`crate::arrivals`].
     Arrivals,
-    /// It cannot be shown there.
+    /// None: the fakes cannot apply this fault.
     Unsupported,
 }
 
-/// What changed for a route by a fault's begin or end.
+/// Change of a route's availability when a fault begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RouteChange {
     Down,
     Recovered,
 }
 
-/// The destinations of a scenario with their servers.
+/// Destinations of a scenario with their servers, routes and active faults.
 pub struct Site<'a> {
     pub(crate) scenario: &'a Scenario,
     seed: u64,
     pub(crate) servers: Vec<Server>,
     pub(crate) routes: Vec<Route>,
-    /// By destination, from 0: its servers, in order of their making.
+    /// Servers of each destination, in order of their creation.
     pub(crate) servers_by_destination: Vec<Vec<usize>>,
-    /// Of each destination, how far a rough listed rate is off.
+    /// For each destination, the factor by which a roughly listed rate differs from the true one.
     pub(crate) rough_rate_factors: Vec<f64>,
 }
 
 impl<'a> Site<'a> {
-    /// The destinations of the scenario's kinds, in their order; numbers of servers and destinations begin at 0.
+    /// Creates the destinations of the scenario's kinds, in their order. Servers and destinations are numbered from 0.
     pub fn new(scenario: &'a Scenario, seed: u64) -> Self {
         let (servers, routes, servers_by_destination, rough_rate_factors) =
             (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let mut site = Self { scenario, seed, servers, routes, servers_by_destination, rough_rate_factors };
-        let mut rng = chance(seed, 2);
-        for (kind, of) in scenario.destinations.iter().enumerate() {
-            for _ in 0..of.count {
+        let mut rng = seeded_rng(seed, 2);
+        for (kind, spec) in scenario.destinations.iter().enumerate() {
+            for _ in 0..spec.count {
                 let destination = site.servers_by_destination.len();
                 site.servers_by_destination.push(Vec::new());
-                let time_factor = of.spread.powf(rng.random_range(-1.0..=1.0));
+                let time_factor = spec.spread.powf(rng.random_range(-1.0..=1.0));
                 site.rough_rate_factors.push(rng.random_range(0.5..1.5));
-                for nth in 0..of.endpoints {
-                    if nth == 0 || of.routes_apart {
-                        let rate_limit = of.rate_limit.map(RateLimit::new);
+                for nth in 0..spec.endpoints {
+                    if nth == 0 || spec.routes_apart {
+                        let rate_limit = spec.rate_limit.map(RateLimit::new);
                         site.routes.push(Route::new(rate_limit));
                     }
                     let route = site.routes.len() - 1;
@@ -136,36 +139,42 @@
                     site.servers_by_destination[destination].push(server);
                     site.routes[route].servers.push(server);
                     site.routes[route].per_s +=
-                        of.workers as f64 / (of.service.mean.as_secs_f64() * time_factor);
+                        spec.workers as f64 / (spec.service.mean.as_secs_f64() * time_factor);
                 }
             }
         }
         site
     }
 
-    /// How many servers there are, with those that were replaced.
+    /// Returns the number of servers, including those that were replaced.
     pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
-    /// The destination that a server belongs to.
-    pub fn owner(&self, server: usize) -> Owner<'_> {
-        let of = &self.servers[server];
-        let kind = &self.scenario.destinations[of.kind];
-        let zone = &self.scenario.instances.zones[of.zone];
-        Owner { destination: of.destination, kind: &kind.kind, zone }
+    /// Returns the destination that a server belongs to.
+    pub fn owner(&self, server_id: usize) -> Owner<'_> {
+        let server = &self.servers[server_id];
+        let kind = &self.scenario.destinations[server.kind];
+        let zone = &self.scenario.instances.zones[server.zone];
+        Owner { destination: server.destination, kind: &kind.kind, zone }
     }
 
-    /// Calls a second that a route's limit lets in, or that its servers work off when warm.
+    /// Returns the rate limit of a route in calls per second, or without one the rate that its servers serve when warm.
     pub(crate) fn route_rate(&self, route: usize) -> f64 {
         self.routes[route].rate_limit.as_ref().map_or(self.routes[route].per_s, RateLimit::per_s)
     }
 
-    /// A new server that does an old one's work; what the old one still has ends there.
+    /// Adds a server that replaces `old`, and returns its number. Calls already at the old server finish there.
     pub(crate) fn replace_server(&mut self, old: usize) -> usize {
-        let at = &self.servers[old];
-        let (destination, route) = (at.destination, at.route);
-        self.servers.push(Server::new(destination, at.kind, at.zone, route, at.time_factor));
+        let replaced = &self.servers[old];
+        let (destination, route) = (replaced.destination, replaced.route);
+        self.servers.push(Server::new(
+            destination,
+            replaced.kind,
+            replaced.zone,
+            route,
+            replaced.time_factor,
+        ));
         let new = self.servers.len() - 1;
         self.servers_by_destination[destination].retain(|other| *other != old);
         self.servers_by_destination[destination].push(new);
@@ -175,10 +184,10 @@
         new
     }
 
-    /// What a server does with a call that came; it is counted.
-    pub fn admit(&mut self, at: usize, now: Duration, rng: &mut Pcg64Mcg) -> AdmissionResult {
+    /// Decides what a server does with an arriving call, and counts it against the route's limits.
+    pub fn admit(&mut self, server_id: usize, now: Duration, rng: &mut Pcg64Mcg) -> AdmissionResult {
         let rules = &self.scenario.rules;
-        let route = self.servers[at].route;
+        let route = self.servers[server_id].route;
         let overloads_route = !self.routes[route].is_overloaded && self.routes[route].record_call(now, rules);
         if overloads_route {
             self.routes[route].is_overloaded = true;
@@ -186,7 +195,7 @@
                 self.servers[server].faults.push((OVERLOAD_FAULT, ServerFault::Refuses));
             }
         }
-        let (server, route) = (&mut self.servers[at], &mut self.routes[route]);
+        let (server, route) = (&mut self.servers[server_id], &mut self.routes[route]);
         let kind = &self.scenario.destinations[server.kind];
         let rejection = match server.shut_until() {
             Some(until) => Some(until.map(|until| until.saturating_sub(now))),
@@ -217,61 +226,67 @@
         AdmissionResult { admission, overloads_route }
     }
 
-    /// A worker takes up a call: for so long.
-    pub fn begin_call(&mut self, at: usize, now: Duration, rng: &mut Pcg64Mcg) -> Duration {
-        let server = &self.servers[at];
-        let warm = self.routes[server.route].capacity_share(now, &self.scenario.rules).max(0.01);
+    /// Draws the service time of a call that a worker starts now.
+    pub fn begin_call(&mut self, server_id: usize, now: Duration, rng: &mut Pcg64Mcg) -> Duration {
+        let server = &self.servers[server_id];
+        let capacity_share = self.routes[server.route].capacity_share(now, &self.scenario.rules).max(0.01);
         let kind = &self.scenario.destinations[server.kind];
-        kind.service.draw(rng).mul_f64(server.time_factor * server.slowdown() / warm)
+        kind.service.draw(rng).mul_f64(server.time_factor * server.slowdown() / capacity_share)
     }
 
-    /// Puts a call in the queue of a server.
-    pub fn enqueue(&mut self, at: usize, call: u64) {
-        self.servers[at].queue.push_back(call);
+    /// Adds a call to the queue of a server.
+    pub fn enqueue(&mut self, server_id: usize, call: u64) {
+        self.servers[server_id].queue.push_back(call);
     }
 
-    /// A worker is free; the call that it takes up next, if one waits.
-    pub fn end_call(&mut self, at: usize) -> Option<u64> {
-        let server = &mut self.servers[at];
+    /// Frees the worker of a completed call, and returns the queued call that the worker starts next, if any.
+    pub fn end_call(&mut self, server_id: usize) -> Option<u64> {
+        let server = &mut self.servers[server_id];
         server.busy -= 1;
         let next = server.queue.pop_front();
         server.busy += usize::from(next.is_some());
         next
     }
 
-    /// What is wrong with new connections to a server.
-    pub fn connection_faults(&self, at: usize) -> ConnectionFaults {
-        ConnectionFaults { refuses: self.servers[at].refuses(), silent: self.servers[at].is_silent() }
+    /// Returns the active faults that affect new connections to a server.
+    pub fn connection_faults(&self, server_id: usize) -> ConnectionFaults {
+        ConnectionFaults {
+            refuses: self.servers[server_id].refuses(),
+            silent: self.servers[server_id].is_silent(),
+        }
     }
 
-    /// What is wrong with responses and kept connections of a server.
-    pub fn response_faults(&self, at: usize) -> ResponseFaults {
-        ResponseFaults { lost: self.servers[at].response_loss(), stale: self.servers[at].stale_share() }
+    /// Returns the active faults that affect responses and idle connections of a server.
+    pub fn response_faults(&self, server_id: usize) -> ResponseFaults {
+        ResponseFaults {
+            lost: self.servers[server_id].response_loss(),
+            stale: self.servers[server_id].stale_share(),
+        }
     }
 
-    /// Connections that a server takes, idle ones counted, where it has a bound.
-    pub fn connection_limit(&self, at: usize) -> Option<usize> {
-        self.scenario.destinations[self.servers[at].kind].connections
+    /// Returns the maximum number of connections to a server, idle ones included; `None` if it is unlimited.
+    pub fn connection_limit(&self, server_id: usize) -> Option<usize> {
+        self.scenario.destinations[self.servers[server_id].kind].connections
     }
 
-    /// How long endpoints let a connection idle.
+    /// Returns the time after which endpoints close an idle connection.
     pub fn idle_timeout(&self) -> Duration {
         self.scenario.network.idle_close
     }
 
-    /// How often a server began anew: what it worked on before an outage is gone.
-    pub fn reset_count(&self, at: usize) -> u32 {
-        self.servers[at].reset_count
+    /// Returns the number of times that a server began to refuse connections, which drops all calls that it holds.
+    pub fn reset_count(&self, server_id: usize) -> u32 {
+        self.servers[server_id].reset_count
     }
 
-    /// All calls that wait for a worker.
+    /// Returns the calls that wait for a worker at any server.
     pub fn queued_calls(&self) -> BTreeSet<u64> {
         self.servers.iter().flat_map(|server| &server.queue).copied().collect()
     }
 
-    /// The report in an answer, where there are reports.
-    pub fn load_report(&mut self, at: usize, now: Duration) -> Option<LoadReport> {
-        let server = &self.servers[at];
+    /// Returns the load report to include in a response, or `None` if the destination's kind sends no reports.
+    pub fn load_report(&mut self, server_id: usize, now: Duration) -> Option<LoadReport> {
+        let server = &self.servers[server_id];
         let kind = &self.scenario.destinations[server.kind];
         kind.reports.then(|| match &mut self.routes[server.route].rate_limit {
             Some(limit) => limit.load_report(now, kind.report_age),
@@ -279,85 +294,92 @@
         })
     }
 
-    /// Calls that a server could begin at once, and its route would let in.
-    pub(crate) fn free_capacity(&self, at: usize, now: Duration) -> usize {
-        let server = &self.servers[at];
+    /// Returns the number of calls that a server could start at once within the limits of its route.
+    pub(crate) fn free_capacity(&self, server_id: usize, now: Duration) -> usize {
+        let server = &self.servers[server_id];
         let route = &self.routes[server.route];
         if server.is_out() || route.is_overloaded {
             return 0;
         }
         let workers = self.scenario.destinations[server.kind].workers;
         let free = workers.saturating_sub(server.busy + server.queue.len());
-        let cold = route.recovered_at.map_or(free, |back| {
-            let warm = warm_share(&self.scenario.rules, now - back);
-            let may = (self.scenario.rules.overload_factor * route.per_s * warm * 0.9) as usize;
-            may.saturating_sub(route.calls.iter().filter(|at| **at + Duration::from_secs(1) > now).count())
+        let slow_start = route.recovered_at.map_or(free, |recovered_at| {
+            let warm = warm_share(&self.scenario.rules, now - recovered_at);
+            let allowed = (self.scenario.rules.overload_factor * route.per_s * warm * 0.9) as usize;
+            allowed
+                .saturating_sub(route.calls.iter().filter(|at| **at + Duration::from_secs(1) > now).count())
         });
         let limit = route.rate_limit.clone().map_or(free, |mut limit| limit.free_capacity(now));
-        free.min(limit).min(cold)
+        free.min(limit).min(slow_start)
     }
 
-    /// The servers that a fault strikes; `open` says which may be struck. The choice is the same whatever was
-    /// decided before.
+    /// Chooses the servers that a fault affects, among those for which `is_eligible` returns `true`.
+    ///
+    /// The random choice depends only on the seed and the fault's number, so deciders with different histories face
+    /// the same faults.
     pub fn affected_servers(
         &self,
         number: usize,
         target: &Target,
-        open: impl Fn(usize) -> bool,
+        is_eligible: impl Fn(usize) -> bool,
     ) -> Vec<usize> {
-        let kind = |at: usize| &self.scenario.destinations[self.servers[at].kind].kind;
-        let zone = |at: usize| &self.scenario.instances.zones[self.servers[at].zone];
-        let of_kind = |id: usize| {
+        let kind = |server_id: usize| &self.scenario.destinations[self.servers[server_id].kind].kind;
+        let zone = |server_id: usize| &self.scenario.instances.zones[self.servers[server_id].zone];
+        let is_of_kind = |id: usize| {
             let first = self.servers_by_destination[id].first();
-            first.is_some_and(|at| target.kind.as_ref().is_none_or(|wanted| wanted == kind(*at)))
+            first
+                .is_some_and(|server_id| target.kind.as_ref().is_none_or(|wanted| wanted == kind(*server_id)))
         };
         let ids = target.choose(
             self.servers_by_destination.len(),
-            of_kind,
+            is_of_kind,
             &mut chance_of_fault(self.seed, number),
         );
-        let mut struck = Vec::new();
+        let mut affected = Vec::new();
         for id in ids {
-            let open = self.servers_by_destination[id].iter().copied().filter(|at| open(*at));
-            let in_zone = open.filter(|at| target.zone.as_ref().is_none_or(|wanted| wanted == zone(*at)));
-            struck.extend(in_zone.take(target.endpoints.unwrap_or(usize::MAX)));
+            let eligible =
+                self.servers_by_destination[id].iter().copied().filter(|server_id| is_eligible(*server_id));
+            let in_zone = eligible
+                .filter(|server_id| target.zone.as_ref().is_none_or(|wanted| wanted == zone(*server_id)));
+            affected.extend(in_zone.take(target.endpoints.unwrap_or(usize::MAX)));
         }
-        struck
+        affected
     }
 
-    /// What a fault of the scenario is on sockets. A new endpoint at a new address is more than fakes do.
+    /// Returns the component of the fakes that applies a fault of the scenario. Fakes cannot replace an endpoint by one
+    /// at a new address.
     pub fn socket_fault(&self, number: usize) -> SocketFault<'a> {
         let scheduled = &self.scenario.faults[number];
         match scheduled.fault.injection(scheduled) {
             Injection::Servers(_) => SocketFault::Endpoints,
             Injection::Discovery(None) => SocketFault::Discovery,
-            Injection::Drain(by) if by.same_address || !by.replaced => SocketFault::Drain(by),
+            Injection::Drain(drain) if drain.same_address || !drain.replaced => SocketFault::Drain(drain),
             Injection::TrafficSurge { .. } => SocketFault::Arrivals,
             _ => SocketFault::Unsupported,
         }
     }
 
-    /// A fault of the scenario begins, as far as it strikes endpoints.
+    /// Applies a fault of the scenario to the servers that it affects; faults of other components have no effect here.
     pub fn begin_fault(&mut self, number: usize, now: Duration) {
         let scheduled = &self.scenario.faults[number];
         let Injection::Servers(fault) = scheduled.fault.injection(scheduled) else { return };
-        for at in self.affected_servers(number, &scheduled.target, |_| true) {
-            self.apply_fault(at, number, fault);
-            self.update_route(self.servers[at].route, now);
+        for server_id in self.affected_servers(number, &scheduled.target, |_| true) {
+            self.apply_fault(server_id, number, fault);
+            self.update_route(self.servers[server_id].route, now);
         }
     }
 
-    /// A fault of the scenario ends, as far as it struck endpoints.
+    /// Removes a fault of the scenario from the servers that it affects.
     pub fn end_fault(&mut self, number: usize, now: Duration) {
-        for at in self.remove_fault(number) {
-            self.update_route(self.servers[at].route, now);
+        for server_id in self.remove_fault(number) {
+            self.update_route(self.servers[server_id].route, now);
         }
     }
 
-    /// A fault begins at a server. What stood there is cut off if it refuses connections from now on: its queue is
-    /// empty then, and its workers are free.
-    pub(crate) fn apply_fault(&mut self, at: usize, number: usize, fault: ServerFault) {
-        let server = &mut self.servers[at];
+    /// Applies a fault to a server. A server that refuses connections from now on also drops its connections and calls,
+    /// which empties its queue and frees its workers.
+    pub(crate) fn apply_fault(&mut self, server_id: usize, number: usize, fault: ServerFault) {
+        let server = &mut self.servers[server_id];
         if number != OVERLOAD_FAULT {
             server.faults.push((number, fault));
         }
@@ -369,20 +391,21 @@
         }
     }
 
-    /// The end of a fault; the servers that it struck.
+    /// Removes a fault, and returns the servers that it affected.
     pub(crate) fn remove_fault(&mut self, number: usize) -> Vec<usize> {
-        let mut struck = Vec::new();
-        for (at, server) in self.servers.iter_mut().enumerate() {
+        let mut affected = Vec::new();
+        for (server_id, server) in self.servers.iter_mut().enumerate() {
             let before = server.faults.len();
             server.faults.retain(|(fault, _)| *fault != number);
             if server.faults.len() != before {
-                struck.push(at);
+                affected.push(server_id);
             }
         }
-        struck
+        affected
     }
 
-    /// A route is out once all its endpoints are, and back once one is not; whether that is new.
+    /// Updates the availability of a route, and returns the change, if any. A route is down while all its servers are
+    /// out.
     pub(crate) fn update_route(&mut self, route: usize, now: Duration) -> Option<RouteChange> {
         let is_down = self.routes[route].servers.iter().all(|server| self.servers[*server].is_out());
         let route = &mut self.routes[route];
@@ -395,9 +418,9 @@
         Some(if is_down { RouteChange::Down } else { RouteChange::Recovered })
     }
 
-    /// The servers of the route of a server.
-    pub(crate) fn route_servers(&self, at: usize) -> Vec<usize> {
-        self.routes[self.servers[at].route].servers.clone()
+    /// Returns the servers of the route that a server belongs to.
+    pub(crate) fn route_servers(&self, server_id: usize) -> Vec<usize> {
+        self.routes[self.servers[server_id].route].servers.clone()
     }
 
     pub(crate) const OVERLOAD_FAULT: usize = OVERLOAD_FAULT;
