--- a/crates/quillhub-simulator/src/rate_limit.rs
+++ b/crates/quillhub-simulator/src/rate_limit.rs
@@ -1,88 +1,92 @@
-//! What a route takes from all instances together, as the receiver counts it.
+//! Rate limit of a route, which counts the calls of all gateway instances together.
 
 use crate::scenario::RateLimitSpec;
 use quillhub::LoadReport;
 use std::time::Duration;
 
-/// The count of one route; holds no more than its last span.
+/// Rate limit of one route: a fixed window if the scenario sets a span, and otherwise a token bucket with a burst of one
+/// second.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimit {
-    of: RateLimitSpec,
-    /// Calls that may still come: in this span, or saved up by the rate.
-    left: f64,
-    since: Duration,
-    /// The share left when it was last read, for reports that lag.
+    spec: RateLimitSpec,
+    /// Calls still allowed: in the current span, or by the tokens in the bucket. Below zero while rejected calls that
+    /// count against the limit are to be made up for.
+    remaining: f64,
+    updated_at: Duration,
+    /// Time and remaining share of the last report, which is repeated until it exceeds the report age.
     reported: (Duration, f64),
 }
 
 impl RateLimit {
-    pub(crate) fn new(of: RateLimitSpec) -> Self {
-        let mut limit = Self { of, left: 0.0, since: Duration::ZERO, reported: (Duration::ZERO, 1.0) };
-        limit.left = limit.most();
+    pub(crate) fn new(spec: RateLimitSpec) -> Self {
+        let mut limit =
+            Self { spec, remaining: 0.0, updated_at: Duration::ZERO, reported: (Duration::ZERO, 1.0) };
+        limit.remaining = limit.max_remaining();
         limit
     }
 
-    fn most(&self) -> f64 {
-        match self.of.span {
-            Some(span) => (self.of.per_s * span.as_secs_f64()).floor(),
-            None => self.of.per_s.max(1.0), // a burst of one second
+    fn max_remaining(&self) -> f64 {
+        match self.spec.span {
+            Some(span) => (self.spec.per_s * span.as_secs_f64()).floor(),
+            None => self.spec.per_s.max(1.0), // burst of one second, at least one call
         }
     }
 
-    fn fill(&mut self, now: Duration) {
-        match self.of.span {
+    fn refill(&mut self, now: Duration) {
+        match self.spec.span {
             Some(span) => {
-                let begun = span * (now.as_nanos() / span.as_nanos()) as u32;
-                if begun > self.since {
-                    let debt = self.left.min(0.0); // what was refused and counts is made up for by the next span
-                    (self.left, self.since) = (self.most() + debt, begun);
+                let span_start = span * (now.as_nanos() / span.as_nanos()) as u32;
+                if span_start > self.updated_at {
+                    let debt = self.remaining.min(0.0); // rejected calls that count reduce the next span
+                    (self.remaining, self.updated_at) = (self.max_remaining() + debt, span_start);
                 }
             }
             None => {
-                let more = self.of.per_s * (now - self.since).as_secs_f64();
-                (self.left, self.since) = ((self.left + more).min(self.most()), now);
+                let refill = self.spec.per_s * (now - self.updated_at).as_secs_f64();
+                (self.remaining, self.updated_at) =
+                    ((self.remaining + refill).min(self.max_remaining()), now);
             }
         }
     }
 
-    /// Counts one call, or says after which wait the next one fits.
-    pub(crate) fn take(&mut self, now: Duration) -> Result<(), Duration> {
-        self.fill(now);
-        // A hair under one counts as one: shares of a second do not add up to the last bit.
-        if self.left >= 1.0 - 1e-9 {
-            self.left -= 1.0;
+    /// Counts one call. If it exceeds the limit, returns the time until another call is allowed.
+    pub(crate) fn acquire(&mut self, now: Duration) -> Result<(), Duration> {
+        self.refill(now);
+        // The tolerance absorbs rounding errors of the fractional refills.
+        if self.remaining >= 1.0 - 1e-9 {
+            self.remaining -= 1.0;
             return Ok(());
         }
-        if self.of.counts_rejected {
-            self.left = (self.left - 1.0).max(-self.most());
+        if self.spec.counts_rejected {
+            self.remaining = (self.remaining - 1.0).max(-self.max_remaining());
         }
-        Err(match self.of.span {
-            Some(span) => self.since + span - now,
-            None => Duration::from_secs_f64((1.0 - self.left) / self.of.per_s),
+        Err(match self.spec.span {
+            Some(span) => self.updated_at + span - now,
+            None => Duration::from_secs_f64((1.0 - self.remaining) / self.spec.per_s),
         })
     }
 
     pub(crate) fn per_s(&self) -> f64 {
-        self.of.per_s
+        self.spec.per_s
     }
 
     pub(crate) fn retry_after_share(&self) -> f64 {
-        self.of.retry_after_share
+        self.spec.retry_after_share
     }
 
-    /// Whether a call would be let in.
+    /// Returns the number of calls that the limit allows at once.
     pub(crate) fn free_capacity(&mut self, now: Duration) -> usize {
-        self.fill(now);
-        (self.left.max(0.0) + 1e-9) as usize
+        self.refill(now);
+        (self.remaining.max(0.0) + 1e-9) as usize
     }
 
-    /// The share left and the limit, as they were up to `age` ago.
+    /// Returns the remaining share and the limit, from a reading that is at most `age` old.
     pub(crate) fn load_report(&mut self, now: Duration, age: Duration) -> LoadReport {
         if now >= self.reported.0 + age {
-            self.fill(now);
-            self.reported = (now, (self.left / self.most()).clamp(0.0, 1.0));
+            self.refill(now);
+            self.reported = (now, (self.remaining / self.max_remaining()).clamp(0.0, 1.0));
         }
-        LoadReport { remaining_share: self.reported.1, rate_limit: self.of.per_s }
+        LoadReport { remaining_share: self.reported.1, rate_limit: self.spec.per_s }
     }
 }
 
--- a/crates/quillhub-simulator/src/site.rs
+++ b/crates/quillhub-simulator/src/site.rs
@@ -199,13 +199,14 @@
         let kind = &self.scenario.destinations[server.kind];
         let rejection = match server.shut_until() {
             Some(until) => Some(until.map(|until| until.saturating_sub(now))),
-            None => match route.rate_limit.as_mut().map(|limit| (limit.take(now), limit.retry_after_share()))
-            {
-                Some((Err(wait), retry_after_share)) => {
-                    Some((rng.random::<f64>() < retry_after_share).then_some(wait))
+            None => {
+                match route.rate_limit.as_mut().map(|limit| (limit.acquire(now), limit.retry_after_share())) {
+                    Some((Err(wait), retry_after_share)) => {
+                        Some((rng.random::<f64>() < retry_after_share).then_some(wait))
+                    }
+                    _ => None,
                 }
-                _ => None,
-            },
+            }
         };
         let admission = if server.refuses() {
             Admission::Reset
