--- a/crates/quillhub-simulator/src/clients.rs
+++ b/crates/quillhub-simulator/src/clients.rs
@@ -1,5 +1,6 @@
-//! Clients: when messages come, for whom, and what becomes of those that did not get through. Open loop: a message
-//! comes at its instant, whatever became of those before it.
+//! Clients: arrival times, destinations and service classes of the messages that they submit.
+//!
+//! The load is open loop: a message arrives at its scheduled time whether or not earlier ones are finished.
 
 use crate::scenario::{Arrivals, Pattern, Scenario};
 use crate::site::seeded_rng;
@@ -10,93 +11,95 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A message as its client sees it, from its first submission until its client knows its end or gives up.
+/// Message from its client's point of view, from its first submission until the client has its outcome or gives up.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
     pub(crate) stream: usize,
     pub(crate) service_class: usize,
     pub(crate) destination: DestinationId,
     pub(crate) key: Option<u64>,
-    pub(crate) born: Duration,
+    pub(crate) created_at: Duration,
     pub(crate) rejections: u32,
 }
 
-/// Who gets how much of a stream, as running sums; the last is the whole.
+/// Weights of a random choice, as running sums; the last sum is the total.
 #[derive(Default)]
 pub(crate) struct Weights {
     sums: Vec<f64>,
 }
 
 impl Weights {
-    pub(crate) fn of(parts: impl Iterator<Item = f64>) -> Self {
+    pub(crate) fn new(weights: impl Iterator<Item = f64>) -> Self {
         let mut sum = 0.0;
-        let sums = parts.map(|part| {
-            sum += part;
+        let sums = weights.map(|weight| {
+            sum += weight;
             sum
         });
         Self { sums: sums.collect() }
     }
 
-    /// One by chance, in proportion; the first if there is nothing to choose by.
+    /// Draws an index with a probability proportional to its weight; returns 0 if there are no weights.
     pub(crate) fn pick(&self, rng: &mut Pcg64Mcg) -> usize {
-        let at = rng.random::<f64>() * self.sums.last().copied().unwrap_or_default();
-        self.sums.partition_point(|sum| *sum <= at).min(self.sums.len().saturating_sub(1))
+        let draw = rng.random::<f64>() * self.sums.last().copied().unwrap_or_default();
+        self.sums.partition_point(|sum| *sum <= draw).min(self.sums.len().saturating_sub(1))
     }
 }
 
-/// What each destination gets of all messages, or of those to its kind; destinations count from 0.
+/// Distribution of messages over destinations: of each kind, and of all destinations under `None`. Destinations are
+/// numbered from 0.
 pub(crate) struct Shares(BTreeMap<Option<String>, (Vec<usize>, Weights)>);
 
 impl Shares {
-    /// By the scenario's weights, times what `hot` says of each destination.
-    pub(crate) fn of(scenario: &Scenario, hot: impl Fn(usize) -> f64) -> Self {
+    /// Computes the distribution from the scenario's weights, each multiplied by the `factor` of its destination.
+    pub(crate) fn new(scenario: &Scenario, factor: impl Fn(usize) -> f64) -> Self {
         let mut all = Vec::new();
         let mut shares = BTreeMap::new();
         let mut first = 0;
         for kind in &scenario.destinations {
-            let parts: Vec<_> = (1..=kind.count).map(|k| (k as f64).powf(-kind.skew)).collect();
-            let sum: f64 = parts.iter().sum();
+            let weights: Vec<_> = (1..=kind.count).map(|k| (k as f64).powf(-kind.skew)).collect();
+            let sum: f64 = weights.iter().sum();
             let own: Vec<_> =
-                parts.iter().zip(first..).map(|(part, id)| (id, part / sum * hot(id))).collect();
-            all.extend(own.iter().map(|(id, part)| (*id, kind.weight * part)));
+                weights.iter().zip(first..).map(|(weight, id)| (id, weight / sum * factor(id))).collect();
+            all.extend(own.iter().map(|(id, share)| (*id, kind.weight * share)));
             let ids = own.iter().map(|(id, _)| *id).collect();
-            shares.insert(Some(kind.kind.clone()), (ids, Weights::of(own.iter().map(|(_, part)| *part))));
+            shares.insert(Some(kind.kind.clone()), (ids, Weights::new(own.iter().map(|(_, share)| *share))));
             first += kind.count;
         }
         let ids = all.iter().map(|(id, _)| *id).collect();
-        shares.insert(None, (ids, Weights::of(all.iter().map(|(_, part)| *part))));
+        shares.insert(None, (ids, Weights::new(all.iter().map(|(_, share)| *share))));
         Self(shares)
     }
 }
 
-/// One arrival of a scenario; `destination` as instances know it.
+/// Arrival of one message in a scenario.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When it comes, since the start of the scenario.
+    /// Time of the arrival, since the start of the scenario.
     pub at: Duration,
-    /// Its service class, by its place in the scenario's list.
+    /// Index of the message's service class in the scenario's list.
     pub service_class: usize,
-    /// The destination that it is for.
+    /// Destination of the message, by the number that gateway instances use, which counts from 1.
     pub destination: DestinationId,
 }
 
-/// All arrivals of a scenario, in order, as the simulation has them too; crowds among its faults are in them, hot
-/// destinations are not.
+/// Returns all arrivals of a scenario in order, the same as in the simulation.
+///
+/// Traffic surges among the faults are included; faults that make destinations hot are not.
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
-    let shares = Shares::of(scenario, |_| 1.0);
+    let shares = Shares::new(scenario, |_| 1.0);
     let mut all = Vec::new();
-    for (nth, of) in scenario.arrivals.iter().enumerate() {
-        let mut stream = Stream::new(stream_chance(seed, nth));
+    for (nth, arrivals) in scenario.arrivals.iter().enumerate() {
+        let mut stream = Stream::new(stream_rng(seed, nth));
         let mut now = Duration::ZERO;
         loop {
-            let on =
+            let active =
                 scenario.faults.iter().enumerate().filter(|(_, f)| (f.at..f.at + f.lasts).contains(&now));
-            stream.factors = on.filter_map(|(number, f)| Some((number, f.surge_factor(nth)?))).collect();
-            let Some((at, many)) = stream.next(of, now, scenario) else { break };
+            stream.factors = active.filter_map(|(fault, f)| Some((fault, f.surge_factor(nth)?))).collect();
+            let Some((at, messages)) = stream.next_arrival(arrivals, now, scenario) else { break };
             now = at;
-            let destination = stream.destination(of, &shares);
-            for _ in 0..many {
-                let (service_class, _) = stream.draw(nth, of, scenario);
+            let destination = stream.draw_destination(arrivals, &shares);
+            for _ in 0..messages {
+                let (service_class, _) = stream.draw_message(nth, arrivals, scenario);
                 all.push(Arrival { at, service_class, destination });
             }
         }
@@ -105,90 +108,100 @@
     all
 }
 
-/// The chance of a stream: its own, so that nothing else shifts it.
-pub(crate) fn stream_chance(seed: u64, nth: usize) -> Pcg64Mcg {
+/// Creates the random number generator of a stream. Each stream has its own, so that its arrivals do not depend on
+/// anything else in the run.
+pub(crate) fn stream_rng(seed: u64, nth: usize) -> Pcg64Mcg {
     seeded_rng(seed, 1_000 + nth as u64)
 }
 
-/// One stream's clock.
+/// Generator of the arrivals of one stream.
 pub(crate) struct Stream {
     rng: Pcg64Mcg,
-    /// By faults: the rate is multiplied by each.
+    /// Factors on the rate, with the faults that cause them.
     pub(crate) factors: Vec<(usize, f64)>,
-    count: u64,
+    /// Number of arrivals generated so far.
+    generated: u64,
 }
 
 impl Stream {
     pub(crate) fn new(rng: Pcg64Mcg) -> Self {
-        Self { rng, factors: Vec::new(), count: 0 }
+        Self { rng, factors: Vec::new(), generated: 0 }
     }
 
-    /// The destination of what comes at once.
-    pub(crate) fn destination(&mut self, of: &Arrivals, shares: &Shares) -> DestinationId {
-        let (ids, weights) = &shares.0[&of.destination_kind];
+    /// Draws the destination that all messages of one arrival share.
+    pub(crate) fn draw_destination(&mut self, arrivals: &Arrivals, shares: &Shares) -> DestinationId {
+        let (ids, weights) = &shares.0[&arrivals.destination_kind];
         ids[weights.pick(&mut self.rng)] as u64 + 1
     }
 
-    /// Service class and key of one that comes.
-    pub(crate) fn draw(&mut self, nth: usize, of: &Arrivals, scenario: &Scenario) -> (usize, Option<u64>) {
-        let service_class = match &of.service_class {
-            Some(name) => scenario.service_classes.iter().position(|g| g.name == *name).expect("checked"),
+    /// Draws the service class and the ordering key of one message.
+    pub(crate) fn draw_message(
+        &mut self,
+        nth: usize,
+        arrivals: &Arrivals,
+        scenario: &Scenario,
+    ) -> (usize, Option<u64>) {
+        let service_class = match &arrivals.service_class {
+            Some(name) => {
+                scenario.service_classes.iter().position(|class| class.name == *name).expect("checked")
+            }
             None => self.rng.random_range(0..scenario.service_classes.len()),
         };
-        let key = (of.keys > 0).then(|| (nth as u64) << 32 | self.rng.random_range(0..of.keys));
+        let key = (arrivals.keys > 0).then(|| (nth as u64) << 32 | self.rng.random_range(0..arrivals.keys));
         (service_class, key)
     }
 
-    /// The instant of the next arrival after `now`, and how many come then; nothing after the stream's end.
-    pub(crate) fn next(
+    /// Returns the time of the next arrival after `now` and its number of messages; `None` after the end of the stream.
+    pub(crate) fn next_arrival(
         &mut self,
-        of: &Arrivals,
+        arrivals: &Arrivals,
         now: Duration,
         scenario: &Scenario,
     ) -> Option<(Duration, u64)> {
-        let end = of.until.unwrap_or(scenario.length).min(scenario.length);
-        let now = now.max(of.from);
-        let rate = of.per_s * self.factors.iter().map(|f| f.1).product::<f64>();
+        let end = arrivals.until.unwrap_or(scenario.length).min(scenario.length);
+        let now = now.max(arrivals.from);
+        let rate = arrivals.per_s * self.factors.iter().map(|f| f.1).product::<f64>();
         let exp = |rng: &mut Pcg64Mcg, rate: f64| {
             Duration::from_secs_f64(Exp::new(rate).expect("rates over 0 were checked").sample(rng))
         };
-        self.count += 1;
-        let (at, many) = match &of.pattern {
+        self.generated += 1;
+        let (at, messages) = match &arrivals.pattern {
             Pattern::Poisson => (now + exp(&mut self.rng, rate), 1),
-            // The k-th at its own multiple, so that no error adds up; the first at the stream's start.
+            // Each time is computed from the start of the stream, so that rounding errors do not accumulate. The first
+            // arrival is at the start.
             Pattern::Even if self.factors.is_empty() => {
-                let at = of.from + Duration::from_secs_f64((self.count - 1) as f64 / rate);
+                let at = arrivals.from + Duration::from_secs_f64((self.generated - 1) as f64 / rate);
                 (at.max(now), 1)
             }
             Pattern::Even => (now + Duration::from_secs_f64(1.0 / rate), 1),
             Pattern::Bursts { of } => {
-                let more = if *of > 1.0 {
+                let additional = if *of > 1.0 {
                     Poisson::new(of - 1.0).expect("checked").sample(&mut self.rng)
                 } else {
                     0.0
                 };
-                (now + exp(&mut self.rng, rate / of), 1 + more as u64)
+                (now + exp(&mut self.rng, rate / of), 1 + additional as u64)
             }
             Pattern::Daily { every, depth } => {
-                // Thinned from the highest rate: exact, whatever the wave.
+                // Thinning of a Poisson process at the maximum rate, which is exact for any rate curve.
                 let mut at = now;
                 loop {
                     at += exp(&mut self.rng, rate * (1.0 + depth));
-                    let part = at.as_secs_f64() / every.as_secs_f64() * std::f64::consts::TAU;
-                    if self.rng.random::<f64>() * (1.0 + depth) <= 1.0 - depth * part.cos() {
+                    let phase = at.as_secs_f64() / every.as_secs_f64() * std::f64::consts::TAU;
+                    if self.rng.random::<f64>() * (1.0 + depth) <= 1.0 - depth * phase.cos() {
                         break (at, 1);
                     }
                 }
             }
             Pattern::Part { every, from } => {
-                let part = (*every - *from).as_secs_f64();
-                let each = rate * every.as_secs_f64(); // all of a span's messages come in its part
-                let nth = (self.count - 1) as f64 / each;
-                let at = every.as_secs_f64() * nth.floor() + from.as_secs_f64() + part * nth.fract();
-                (of.from + Duration::from_secs_f64(at), 1)
+                let window = (*every - *from).as_secs_f64();
+                let per_period = rate * every.as_secs_f64(); // all messages of a period arrive in its window
+                let nth = (self.generated - 1) as f64 / per_period;
+                let at = every.as_secs_f64() * nth.floor() + from.as_secs_f64() + window * nth.fract();
+                (arrivals.from + Duration::from_secs_f64(at), 1)
             }
         };
-        (at <= end).then_some((at, many))
+        (at <= end).then_some((at, messages))
     }
 }
 
--- a/crates/quillhub-simulator/src/clients_tests.rs
+++ b/crates/quillhub-simulator/src/clients_tests.rs
@@ -1,8 +1,9 @@
-//! Arrivals keep the rate and the form of their pattern, and are those of the simulation.
+//! Rates and distribution of arrivals over time, and their agreement with the simulation.
 
 use super::*;
 use rand::SeedableRng;
 
+/// Counts the messages of a stream with 20 per second that arrive from `from_s` to before `to_s`.
 fn count(pattern: &str, from_s: f64, to_s: f64) -> usize {
     let text = format!(
         "length = '100 s'\ndestinations = []\ngrades = []\ncouriers = {{}}\n\
@@ -10,17 +11,18 @@
     );
     let scenario: Scenario = toml::from_str(&text).unwrap();
     let mut stream = Stream::new(Pcg64Mcg::seed_from_u64(7));
-    let (mut now, mut found) = (Duration::ZERO, 0);
-    while let Some((at, many)) = stream.next(&scenario.arrivals[0], now, &scenario) {
+    let (mut now, mut counted) = (Duration::ZERO, 0);
+    while let Some((at, messages)) = stream.next_arrival(&scenario.arrivals[0], now, &scenario) {
         assert!(at >= now);
         now = at;
-        found += if (from_s..to_s).contains(&at.as_secs_f64()) { many as usize } else { 0 };
+        counted += if (from_s..to_s).contains(&at.as_secs_f64()) { messages as usize } else { 0 };
     }
-    found
+    counted
 }
 
 #[test]
-fn each_pattern_keeps_its_rate_and_its_form() {
+fn each_pattern_keeps_its_mean_rate_and_its_distribution_over_time() {
+    // Guards against a pattern that changes the load of a scenario, or that spreads it differently over time.
     for pattern in ["{ law = 'poisson' }", "{ law = 'bursts', of = 10.0 }"] {
         assert!((1_700..2_300).contains(&count(pattern, 0.0, 100.0)), "{pattern}");
     }
@@ -33,7 +35,8 @@
 }
 
 #[test]
-fn arrivals_are_those_of_the_simulation() {
+fn arrivals_are_the_same_as_in_the_simulation() {
+    // Guards against runs on sockets and simulated runs of one scenario getting different messages.
     let text = "length = '20 s'
         couriers = {}
         grades = [{ name = 'g', effect = 'retriable', contract = '1 s', limit = '5 s' },
@@ -43,15 +46,15 @@
         faults = [{ at = '5 s', lasts = '5 s', what = { crowd = { factor = 4.0 } } }]";
     let scenario: Scenario = toml::from_str(text).unwrap();
     scenario.check().unwrap();
-    let (mut requests, mut seen) = (std::collections::BTreeSet::new(), Vec::new());
+    let (mut requests, mut simulated) = (std::collections::BTreeSet::new(), Vec::new());
     crate::Simulation::run(&scenario, 3, &crate::dispatcher, |at, fact| {
         if let crate::Fact::Accepted { request, service_class, destination, .. } = fact
             && requests.insert(*request)
         {
-            seen.push((at, *destination, service_class.to_string()));
+            simulated.push((at, *destination, service_class.to_string()));
         }
     });
     let name = |a: &Arrival| (a.at, a.destination, scenario.service_classes[a.service_class].name.clone());
     let expected: Vec<_> = arrivals(&scenario, 3).iter().map(name).collect();
-    assert!(expected.len() > 400 && expected == seen, "{} and {}", expected.len(), seen.len());
+    assert!(expected.len() > 400 && expected == simulated, "{} and {}", expected.len(), simulated.len());
 }
--- a/crates/quillhub-simulator/src/network.rs
+++ b/crates/quillhub-simulator/src/network.rs
@@ -1,4 +1,4 @@
-//! The network between instances and endpoints: delays, and what goes wrong on the path between two zones.
+//! Network between gateway instances and endpoints: delays, and faults on the paths between zones.
 
 use crate::conditions::PathFault;
 use crate::scenario::Network;
@@ -6,10 +6,10 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Share lost from which an oracle takes a path for bad.
-const BAD: f64 = 0.1;
+/// Share of lost transmissions above which the oracle decider treats a path as unusable.
+const MAX_USABLE_LOSS: f64 = 0.1;
 
-/// What is wrong with the path from one zone to another; absent means any zone.
+/// Fault on the paths from one zone to another; `None` stands for every zone.
 #[derive(Clone, Debug)]
 pub(crate) struct ImpairedPath {
     pub(crate) fault: usize,
@@ -24,10 +24,10 @@
     }
 }
 
-/// The paths between zones.
+/// Paths between all zones, with their active faults.
 pub(crate) struct Paths {
     network: Network,
-    /// What is wrong now; each goes with the end of its fault.
+    /// Active faults; each is removed when its fault of the scenario ends.
     pub(crate) impaired: Vec<ImpairedPath>,
 }
 
@@ -36,16 +36,17 @@
         Self { network, impaired: Vec::new() }
     }
 
-    /// Whether a good part of what goes from zone to zone is lost.
-    pub(crate) fn is_bad(&self, from: usize, to: usize) -> bool {
-        let bad = |kind: PathFault| {
-            matches!(kind, PathFault::Cut) || matches!(kind, PathFault::Loses(share) if share > BAD)
+    /// Returns `true` if nothing, or too little for the oracle, gets from one zone to the other.
+    pub(crate) fn is_unusable(&self, from: usize, to: usize) -> bool {
+        let makes_unusable = |kind: PathFault| {
+            matches!(kind, PathFault::Cut)
+                || matches!(kind, PathFault::Loses(share) if share > MAX_USABLE_LOSS)
         };
-        self.impaired.iter().any(|impaired| impaired.is_between(from, to) && bad(impaired.kind))
+        self.impaired.iter().any(|impaired| impaired.is_between(from, to) && makes_unusable(impaired.kind))
     }
 
-    /// The time that one thing takes from zone to zone; nothing if it does not arrive.
-    pub(crate) fn pass(&self, rng: &mut Pcg64Mcg, from: usize, to: usize) -> Option<Duration> {
+    /// Draws the one-way delay of a transmission between two zones; `None` if it is lost.
+    pub(crate) fn transit_time(&self, rng: &mut Pcg64Mcg, from: usize, to: usize) -> Option<Duration> {
         let base = if from == to { self.network.within } else { self.network.between };
         let mut time = base.mul_f64(1.0 + self.network.jitter.max(0.0) * rng.random::<f64>());
         for impaired in self.impaired.iter().filter(|impaired| impaired.is_between(from, to)) {
@@ -56,7 +57,7 @@
                         return None;
                     }
                 }
-                PathFault::Slower(more) => time += more,
+                PathFault::Slower(extra) => time += extra,
             }
         }
         Some(time)
--- a/crates/quillhub-simulator/src/simulation/calls.rs
+++ b/crates/quillhub-simulator/src/simulation/calls.rs
@@ -145,8 +145,8 @@
 
     /// The time to a zone and back; nothing if either way is lost.
     fn round_trip(&mut self, here: usize, there: usize) -> Option<Duration> {
-        let to = self.paths.pass(&mut self.rng, here, there);
-        let back = self.paths.pass(&mut self.rng, there, here);
+        let to = self.paths.transit_time(&mut self.rng, here, there);
+        let back = self.paths.transit_time(&mut self.rng, there, here);
         Some(to? + back?)
     }
 
@@ -176,7 +176,7 @@
         let Call { instance, message_id, attempt, .. } = *call;
         self.fact(&Fact::FirstByteSent { instance, message_id, attempt });
         let (from, to) = self.zones_of_call(number);
-        if let Some(delay) = self.paths.pass(&mut self.rng, from, to) {
+        if let Some(delay) = self.paths.transit_time(&mut self.rng, from, to) {
             self.call_mut(number).at_endpoint = true;
             self.after(delay, Event::CallArrives { call: number });
         }
@@ -270,7 +270,7 @@
         let Some(entry) = self.discovery.find(endpoint) else { return 0 };
         let entry = &self.discovery.entries[entry];
         let (here, there) = (self.instances[instance].zone, self.site.servers[entry.server].zone);
-        let cut = self.paths.is_bad(here, there) || self.paths.is_bad(there, here);
+        let cut = self.paths.is_unusable(here, there) || self.paths.is_unusable(there, here);
         if cut || entry.removed || entry.listing != EndpointState::Available {
             return 0;
         }
--- a/crates/quillhub-simulator/src/simulation/clients.rs
+++ b/crates/quillhub-simulator/src/simulation/clients.rs
@@ -27,7 +27,7 @@
     /// Schedules the next arrival of a stream, if there is one.
     pub(super) fn schedule_arrival(&mut self, stream: usize) {
         let of = &self.scenario.arrivals[stream];
-        let next = self.streams[stream].next(of, self.clock.now(), self.scenario);
+        let next = self.streams[stream].next_arrival(of, self.clock.now(), self.scenario);
         if let Some((at, count)) = next {
             self.clock.at(at, Event::Arrival { stream, count });
         }
@@ -35,16 +35,16 @@
 
     pub(super) fn arrival(&mut self, stream: usize, count: u64) {
         let of = &self.scenario.arrivals[stream];
-        let destination = self.streams[stream].destination(of, &self.shares);
-        let born = self.clock.now();
+        let destination = self.streams[stream].draw_destination(of, &self.shares);
+        let created_at = self.clock.now();
         for _ in 0..count {
-            let (service_class, key) = self.streams[stream].draw(stream, of, self.scenario);
+            let (service_class, key) = self.streams[stream].draw_message(stream, of, self.scenario);
             let number = self.next_number();
             self.requests.insert(
                 number,
-                ClientRequest { stream, service_class, destination, key, born, rejections: 0 },
+                ClientRequest { stream, service_class, destination, key, created_at, rejections: 0 },
             );
-            self.record.tally.submitted(born, service_class);
+            self.record.tally.submitted(created_at, service_class);
             self.submit(number);
         }
         self.schedule_arrival(stream);
@@ -53,7 +53,7 @@
     /// A client hands its message to an instance.
     pub(super) fn submit(&mut self, number: u64) {
         let Some(request) = self.requests.get(&number).cloned() else { return };
-        let deadline = request.born + self.scenario.service_classes[request.service_class].deadline;
+        let deadline = request.created_at + self.scenario.service_classes[request.service_class].deadline;
         if deadline <= self.clock.now() {
             return self.unserved(number);
         }
@@ -86,7 +86,7 @@
         let skew = self.scenario.instances.skew;
         let nth = if skew > 0.0 {
             let part = |at: &usize| (*at as f64 + 1.0).powf(-skew);
-            Weights::of(reached.iter().map(part)).pick(&mut self.front)
+            Weights::new(reached.iter().map(part)).pick(&mut self.front)
         } else {
             self.front.random_range(0..reached.len().max(1))
         };
@@ -145,14 +145,14 @@
 
     fn delivered(&mut self, number: u64) {
         if let Some(request) = self.requests.remove(&number) {
-            self.record.tally.over(self.clock.now(), request.service_class, request.born, true);
+            self.record.tally.over(self.clock.now(), request.service_class, request.created_at, true);
         }
     }
 
     /// Its client gives a message up, or it is lost.
     pub(super) fn unserved(&mut self, number: u64) {
         if let Some(request) = self.requests.remove(&number) {
-            self.record.tally.over(self.clock.now(), request.service_class, request.born, false);
+            self.record.tally.over(self.clock.now(), request.service_class, request.created_at, false);
         }
     }
 
@@ -174,7 +174,7 @@
 
     /// Divides the messages among the destinations anew, by what is hot.
     pub(super) fn share_out(&mut self) {
-        self.shares = Shares::of(self.scenario, |destination| {
+        self.shares = Shares::new(self.scenario, |destination| {
             let hot = self.hot_spots.iter().filter(|spot| spot.destinations.contains(&destination));
             hot.map(|spot| spot.factor).product()
         });
--- a/crates/quillhub-simulator/src/simulation/instances.rs
+++ b/crates/quillhub-simulator/src/simulation/instances.rs
@@ -157,7 +157,7 @@
         for other in (0..self.instances.len()).filter(|other| *other != instance) {
             let lost = self.rng.random::<f64>() >= arrives;
             let (from, to) = (self.instances[instance].zone, self.instances[other].zone);
-            let delay = self.paths.pass(&mut self.rng, from, to).filter(|_| !lost);
+            let delay = self.paths.transit_time(&mut self.rng, from, to).filter(|_| !lost);
             if let Some(delay) = delay {
                 self.after(delay + extra, Event::Gossip { instance: other, octets: octets.to_vec() });
             }
--- a/crates/quillhub-simulator/src/simulation/mod.rs
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -15,7 +15,7 @@
 mod restarts;
 mod servers;
 
-use crate::clients::{ClientRequest, Shares, Stream, stream_chance};
+use crate::clients::{ClientRequest, Shares, Stream, stream_rng};
 use crate::decider::{Decider, Start};
 use crate::fact::Fact;
 use crate::network::Paths;
@@ -103,8 +103,8 @@
             paths: Paths::new(scenario.network.clone()),
             site: Site::new(scenario, seed),
             discovery: Discovery::default(),
-            streams: (0..scenario.arrivals.len()).map(|nth| Stream::new(stream_chance(seed, nth))).collect(),
-            shares: Shares::of(scenario, |_| 1.0),
+            streams: (0..scenario.arrivals.len()).map(|nth| Stream::new(stream_rng(seed, nth))).collect(),
+            shares: Shares::new(scenario, |_| 1.0),
             hot_spots: Vec::new(),
             requests: BTreeMap::new(),
             instances: Vec::new(),
--- a/crates/quillhub-simulator/src/simulation/servers.rs
+++ b/crates/quillhub-simulator/src/simulation/servers.rs
@@ -132,7 +132,7 @@
     fn way_back(&mut self, number: u64) -> Option<Duration> {
         let Call { instance, server, .. } = self.calls[&number];
         let (from, to) = (self.site.servers[server].zone, self.instances[instance].zone);
-        self.paths.pass(&mut self.rng, from, to)
+        self.paths.transit_time(&mut self.rng, from, to)
     }
 
     /// A fault begins at a server.
