--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -1,59 +1,61 @@
-//! What decides for an instance, as the simulation sees it: the dispatcher itself, or whatever is compared with it.
+//! Interface between the simulation and whatever decides for a gateway instance: the dispatcher, or an implementation
+//! to compare it with.
 
 use crate::scenario::{DiscoveryForm, Scenario};
 use quillhub::{AttemptResult, Dispatcher, Driver, EndpointUpdate, MessageId, NewMessage, RecoveredAttempts};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// An input of a decider at an instant; each is the method of [`Dispatcher`] that its doc names.
+/// Event reported to a decider. Each variant corresponds to the method of [`Dispatcher`] that its documentation names.
 #[derive(Clone, Copy, Debug)]
 pub enum Input<'a> {
-    /// An entry of the endpoint list ([`Dispatcher::endpoint_updated`]).
+    /// Service discovery reported an entry of the endpoint list ([`Dispatcher::endpoint_updated`]).
     EndpointUpdated(EndpointUpdate<'a>),
-    /// The entries that come at once end here ([`Dispatcher::endpoint_list_ended`]).
+    /// The entries of one update are complete ([`Dispatcher::endpoint_list_ended`]).
     EndpointListEnded {
-        /// All names of a whole list, if it was one.
+        /// All names in the list if the update was a full list; `None` if it was a list of changes.
         snapshot: Option<&'a BTreeSet<String>>,
-        /// Whether discovery sent it, and not the instance's own memory.
+        /// `true` if service discovery sent the update; `false` if the instance restored it after a restart.
         from_discovery: bool,
     },
-    /// The call to service discovery failed ([`Dispatcher::endpoint_list_failed`]).
+    /// The request to service discovery failed ([`Dispatcher::endpoint_list_failed`]).
     EndpointListFailed,
     /// A message was submitted ([`Dispatcher::accept`]).
     Message(NewMessage<'a>),
-    /// The message that came before was recovered after a restart ([`Dispatcher::restore_attempts`]).
+    /// A message submitted before a restart was recovered ([`Dispatcher::restore_attempts`]).
     Recovered {
-        /// Its identifier.
+        /// Identifier of the message, which an [`Input::Message`] has already reported.
         message: MessageId,
-        /// Its attempts before the restart.
+        /// Attempts of the message before the restart.
         attempts: RecoveredAttempts<'a>,
     },
     /// An attempt ended ([`Dispatcher::attempt_ended`]).
     AttemptEnded(AttemptResult),
-    /// A gossip message came from another instance ([`Dispatcher::gossip_received`]).
+    /// A gossip message arrived from another instance ([`Dispatcher::gossip_received`]).
     Gossip(&'a [u8]),
-    /// The timer that was asked for last has run out ([`Dispatcher::timer_fired`]).
+    /// The timer that was set last expired ([`Dispatcher::timer_fired`]).
     TimerFired,
 }
 
-/// A decider for one instance.
+/// Implementation that decides for one gateway instance when and at which endpoint each message is attempted.
 pub trait Decider {
-    /// The instant of the inputs that follow, by the instance's own clock.
+    /// Sets the current time for the inputs that follow, by the instance's own clock.
     fn advance_to(&mut self, now: Duration);
-    /// Takes an input; what follows from it is carried out by [`Decider::apply_rules`].
+    /// Handles an event without acting; [`Decider::apply_rules`] requests the resulting actions.
     fn handle(&mut self, input: Input);
-    /// Whether an attempt whose connection has come up may still begin.
+    /// Returns `true` if the request of an attempt may still be sent, now that its connection is established.
     fn may_send_request(&self, _: MessageId, _attempt: u32, _now: Duration) -> bool {
         true
     }
-    /// Carries out what follows from the inputs since the last call.
+    /// Requests from `driver` the actions that follow from the inputs since the last call.
     fn apply_rules(&mut self, driver: &mut dyn Driver);
-    /// Whether [`Decider::observe_capacity`] is to be called before each [`Decider::apply_rules`]; only an oracle
-    /// wants it.
+    /// Returns `true` if [`Decider::observe_capacity`] is to be called before each [`Decider::apply_rules`]. Only an
+    /// oracle, which knows the true state of endpoints, needs it.
     fn wants_capacity(&self) -> bool {
         false
     }
-    /// The calls that an endpoint can take at this instant without rejecting any or letting it wait.
+    /// Reports the true capacity of endpoints: for an endpoint's name, `capacity` returns the number of calls that it can
+    /// start now without rejecting or queueing any.
     fn observe_capacity(&mut self, _capacity: &dyn Fn(&str) -> usize) {}
 }
 
@@ -70,13 +72,13 @@
             }
             Input::EndpointListFailed => self.endpoint_list_failed(),
             Input::Message(message) => {
-                // A scenario's streams name its own service classes.
+                // The service class is known: validation of the scenario checks the classes that its streams name.
                 let accepted = self.accept(message);
                 debug_assert!(accepted.is_ok(), "unknown service class {}", message.service_class);
             }
             Input::Recovered { message, attempts } => self.restore_attempts(message, attempts),
             Input::AttemptEnded(result) => self.attempt_ended(result),
-            Input::Gossip(octets) => self.gossip_received(octets),
+            Input::Gossip(bytes) => self.gossip_received(bytes),
             Input::TimerFired => self.timer_fired(),
         }
     }
@@ -90,17 +92,17 @@
     }
 }
 
-/// What a decider is started with: its seed, its zone, and the scenario whose settings instances get.
+/// Parameters that a decider is created with.
 pub struct Start<'a> {
-    /// Seed of its random numbers.
+    /// Seed of the decider's random draws.
     pub seed: u64,
-    /// The zone that it stands in.
+    /// Zone that the instance runs in.
     pub zone: &'a str,
-    /// The scenario, for its settings.
+    /// Scenario that contains the settings of the instances.
     pub scenario: &'a Scenario,
 }
 
-/// The dispatcher itself, with the settings of the scenario.
+/// Creates a [`Dispatcher`] with the settings of the scenario.
 pub fn dispatcher(start: &Start) -> Box<dyn Decider> {
     let scenario = start.scenario;
     let (instances, rules) = (&scenario.instances, &scenario.rules);
--- a/crates/quillhub-simulator/src/lib.rs
+++ b/crates/quillhub-simulator/src/lib.rs
@@ -1,11 +1,13 @@
-//! A discrete-event simulation of what gateway instances serve, in virtual time: destinations, the network,
-//! service discovery, clients, and the faults of all of these. It has no I/O and no threads, and one seed settles a
-//! run to the last bit.
+//! Discrete-event simulation, in virtual time, of the environment of gateway instances: destinations, the network,
+//! service discovery, clients, and faults in each of them.
 //!
-//! A [`Scenario`] says what there is and what happens to it. [`Simulation::run`] plays it: for each instance it
-//! starts one [`Decider`], the real [`dispatcher`] or whatever is to be compared with it, hands it its inputs and
-//! carries out its actions. What happens comes out as [`Fact`]s, from which an [`Auditor`] judges the six rules
-//! without knowing the dispatcher, and a [`Tally`] counts. All figures of the simulator are simulated.
+//! The simulation does no I/O and uses no threads, and the seed determines a run to the last bit.
+//!
+//! A [`Scenario`] describes the environment and its faults. [`Simulation::run`] runs it: for each instance it creates
+//! one [`Decider`], which is the real [`dispatcher`] or an implementation to compare with it, reports events to it, and
+//! carries out the actions that it requests. Everything that happens is recorded as a [`Fact`]. From the facts, an
+//! [`Auditor`] checks the six rules independently of the dispatcher, and a [`Tally`] computes the figures of the run.
+//! All figures are simulated, not measured.
 //!
 //! ```
 //! use quillhub_simulator::{Scenario, Simulation, dispatcher};
