--- a/crates/quillhub-simulator/src/simulation/actions.rs
+++ b/crates/quillhub-simulator/src/simulation/actions.rs
@@ -9,7 +9,7 @@
     StartAttempt { message: MessageId, endpoint: String, timeout: Duration },
     Finish { message: MessageId, outcome: FinalOutcome },
     CloseIdle { endpoint: String },
-    Gossip { octets: Vec<u8> },
+    Gossip { bytes: Vec<u8> },
     SetTimer { wait: Duration },
     Watch,
 }
@@ -32,7 +32,7 @@
         self.0.push(Action::CloseIdle { endpoint: endpoint.into() });
     }
     fn broadcast(&mut self, gossip: &[u8]) {
-        self.0.push(Action::Gossip { octets: gossip.into() });
+        self.0.push(Action::Gossip { bytes: gossip.into() });
     }
     fn set_timer(&mut self, wait: Duration) {
         self.0.push(Action::SetTimer { wait });
--- a/crates/quillhub-simulator/src/simulation/clients.rs
+++ b/crates/quillhub-simulator/src/simulation/clients.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 /// Longest wait of a client that found its instance dead, before it tries another.
-const FRONT_WAIT: Duration = Duration::from_millis(300);
+const MAX_FAILOVER_WAIT: Duration = Duration::from_millis(300);
 /// Part of its longest wait that a client waits at least, and the whole: it draws evenly between them.
-const CLIENT_WAIT_PART: std::ops::Range<f64> = 0.5..1.0;
+const CLIENT_WAIT_SHARES: std::ops::Range<f64> = 0.5..1.0;
 
 /// Destinations that get more than their share of all messages while a fault lasts.
 pub(super) struct HotSpot {
@@ -26,25 +26,25 @@
 impl Simulation<'_> {
     /// Schedules the next arrival of a stream, if there is one.
     pub(super) fn schedule_arrival(&mut self, stream: usize) {
-        let of = &self.scenario.arrivals[stream];
-        let next = self.streams[stream].next_arrival(of, self.clock.now(), self.scenario);
+        let arrivals = &self.scenario.arrivals[stream];
+        let next = self.streams[stream].next_arrival(arrivals, self.clock.now(), self.scenario);
         if let Some((at, count)) = next {
-            self.clock.at(at, Event::Arrival { stream, count });
+            self.clock.schedule(at, Event::Arrival { stream, count });
         }
     }
 
-    pub(super) fn arrival(&mut self, stream: usize, count: u64) {
-        let of = &self.scenario.arrivals[stream];
-        let destination = self.streams[stream].draw_destination(of, &self.shares);
+    pub(super) fn create_messages(&mut self, stream: usize, count: u64) {
+        let arrivals = &self.scenario.arrivals[stream];
+        let destination = self.streams[stream].draw_destination(arrivals, &self.shares);
         let created_at = self.clock.now();
         for _ in 0..count {
-            let (service_class, key) = self.streams[stream].draw_message(stream, of, self.scenario);
+            let (service_class, key) = self.streams[stream].draw_message(stream, arrivals, self.scenario);
             let number = self.next_number();
             self.requests.insert(
                 number,
                 ClientRequest { stream, service_class, destination, key, created_at, rejections: 0 },
             );
-            self.record.tally.submitted(created_at, service_class);
+            self.recorder.tally.submitted(created_at, service_class);
             self.submit(number);
         }
         self.schedule_arrival(stream);
@@ -55,16 +55,16 @@
         let Some(request) = self.requests.get(&number).cloned() else { return };
         let deadline = request.created_at + self.scenario.service_classes[request.service_class].deadline;
         if deadline <= self.clock.now() {
-            return self.unserved(number);
+            return self.give_up(number);
         }
         let instance = self.instance_for(&request);
         if !self.instances[instance].alive {
             // The front does not know yet, or the sidecar is down: the client comes again in a while.
-            let wait = FRONT_WAIT.mul_f64(self.front.random_range(CLIENT_WAIT_PART));
-            return self.after(wait, Event::Submission { request: number });
+            let wait = MAX_FAILOVER_WAIT.mul_f64(self.balancer_rng.random_range(CLIENT_WAIT_SHARES));
+            return self.schedule_after(wait, Event::Submission { request: number });
         }
         if let Some(until) = self.stalled_until(instance) {
-            return self.clock.at(until, Event::Submission { request: number });
+            return self.clock.schedule(until, Event::Submission { request: number });
         }
         self.accept(instance, number, &request, deadline);
     }
@@ -73,24 +73,24 @@
     fn instance_for(&mut self, request: &ClientRequest) -> usize {
         match self.scenario.arrivals[request.stream].instance {
             Some(number) => number as usize - 1,
-            None => self.front_picks(),
+            None => self.pick_instance(),
         }
     }
 
     /// One of the instances that the front takes for alive, by chance; the first if there is none.
-    fn front_picks(&mut self) -> usize {
+    fn pick_instance(&mut self) -> usize {
         let now = self.clock.now();
-        let reachable = |host: &InstanceHost| host.alive || host.trusted_until > now;
+        let is_assumed_alive = |host: &InstanceHost| host.alive || host.assumed_alive_until > now;
         let hosts = self.instances.iter().enumerate();
-        let reached: Vec<_> = hosts.filter(|(_, host)| reachable(host)).map(|(at, _)| at).collect();
+        let candidates: Vec<_> = hosts.filter(|(_, host)| is_assumed_alive(host)).map(|(at, _)| at).collect();
         let skew = self.scenario.instances.skew;
         let nth = if skew > 0.0 {
-            let part = |at: &usize| (*at as f64 + 1.0).powf(-skew);
-            Weights::new(reached.iter().map(part)).pick(&mut self.front)
+            let weight = |at: &usize| (*at as f64 + 1.0).powf(-skew);
+            Weights::new(candidates.iter().map(weight)).pick(&mut self.balancer_rng)
         } else {
-            self.front.random_range(0..reached.len().max(1))
+            self.balancer_rng.random_range(0..candidates.len().max(1))
         };
-        reached.get(nth).copied().unwrap_or(0)
+        candidates.get(nth).copied().unwrap_or(0)
     }
 
     /// An instance accepts a message, and its decider gets it as an input.
@@ -106,11 +106,11 @@
             key,
             deadline,
             attempts: 0,
-            may_have_run: BTreeMap::new(),
+            possible_executions: BTreeMap::new(),
         };
         self.instances[instance].pending.insert(message_id, message);
         let name = &service_class.name;
-        self.fact(&Fact::Accepted {
+        self.record_fact(&Fact::Accepted {
             instance,
             message_id,
             request: number,
@@ -129,61 +129,61 @@
             tenant,
             destination,
         };
-        self.hand_inputs(instance, &[Input::Message(message)]);
+        self.process_inputs(instance, &[Input::Message(message)]);
     }
 
     /// A client hears the final outcome of its message.
     pub(super) fn finish(&mut self, instance: usize, message_id: MessageId, outcome: FinalOutcome) {
-        self.fact(&Fact::Finished { instance, message_id, outcome });
+        self.record_fact(&Fact::Finished { instance, message_id, outcome });
         let Some(message) = self.instances[instance].pending.remove(&message_id) else { return };
         match outcome {
-            FinalOutcome::Delivered => self.delivered(message.request),
-            FinalOutcome::Abandoned => self.unserved(message.request),
-            FinalOutcome::Rejected { retry_after: come_back } => self.rejected(message.request, come_back),
+            FinalOutcome::Delivered => self.complete_request(message.request),
+            FinalOutcome::Abandoned => self.give_up(message.request),
+            FinalOutcome::Rejected { retry_after } => self.retry_rejected(message.request, retry_after),
         }
     }
 
-    fn delivered(&mut self, number: u64) {
+    fn complete_request(&mut self, number: u64) {
         if let Some(request) = self.requests.remove(&number) {
-            self.record.tally.over(self.clock.now(), request.service_class, request.created_at, true);
+            self.recorder.tally.over(self.clock.now(), request.service_class, request.created_at, true);
         }
     }
 
     /// Its client gives a message up, or it is lost.
-    pub(super) fn unserved(&mut self, number: u64) {
+    pub(super) fn give_up(&mut self, number: u64) {
         if let Some(request) = self.requests.remove(&number) {
-            self.record.tally.over(self.clock.now(), request.service_class, request.created_at, false);
+            self.recorder.tally.over(self.clock.now(), request.service_class, request.created_at, false);
         }
     }
 
     /// A client comes again with a rejected message after a while, a bounded number of times.
-    fn rejected(&mut self, number: u64, retry_after: Option<Duration>) {
+    fn retry_rejected(&mut self, number: u64, retry_after: Option<Duration>) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         request.rejections += 1;
         if request.rejections > self.scenario.clients.retries {
-            return self.unserved(number);
+            return self.give_up(number);
         }
-        let wait = self.client_wait().max(retry_after.unwrap_or_default());
-        self.after(wait, Event::Submission { request: number });
+        let wait = self.draw_client_wait().max(retry_after.unwrap_or_default());
+        self.schedule_after(wait, Event::Submission { request: number });
     }
 
     /// How long a client waits before it comes again.
-    pub(super) fn client_wait(&mut self) -> Duration {
-        self.scenario.clients.backoff.mul_f64(self.rng.random_range(CLIENT_WAIT_PART))
+    pub(super) fn draw_client_wait(&mut self) -> Duration {
+        self.scenario.clients.backoff.mul_f64(self.rng.random_range(CLIENT_WAIT_SHARES))
     }
 
     /// Divides the messages among the destinations anew, by what is hot.
-    pub(super) fn share_out(&mut self) {
+    pub(super) fn update_shares(&mut self) {
         self.shares = Shares::new(self.scenario, |destination| {
-            let hot = self.hot_spots.iter().filter(|spot| spot.destinations.contains(&destination));
-            hot.map(|spot| spot.factor).product()
+            let hot_spots = self.hot_spots.iter().filter(|spot| spot.destinations.contains(&destination));
+            hot_spots.map(|spot| spot.factor).product()
         });
     }
 
     /// More messages come in a stream, or in all, while a fault lasts.
-    pub(super) fn surge(&mut self, fault: usize, stream: Option<usize>, factor: f64) {
+    pub(super) fn begin_surge(&mut self, fault: usize, stream: Option<usize>, factor: f64) {
         let streams = self.streams.iter_mut().enumerate();
-        let struck = streams.filter(|(at, _)| stream.is_none_or(|one| one == *at));
-        struck.for_each(|(_, stream)| stream.factors.push((fault, factor)));
+        let affected = streams.filter(|(at, _)| stream.is_none_or(|one| one == *at));
+        affected.for_each(|(_, stream)| stream.factors.push((fault, factor)));
     }
 }
--- a/crates/quillhub-simulator/src/simulation/clock.rs
+++ b/crates/quillhub-simulator/src/simulation/clock.rs
@@ -15,7 +15,7 @@
     /// Scheduled events; a slot is used again once its event has come.
     slots: Vec<Option<E>>,
     free_slots: Vec<usize>,
-    scheduled: u64,
+    schedule_count: u64,
 }
 
 impl<E> Clock<E> {
@@ -25,7 +25,7 @@
             queue: BinaryHeap::new(),
             slots: Vec::new(),
             free_slots: Vec::new(),
-            scheduled: 0,
+            schedule_count: 0,
         }
     }
 
@@ -34,19 +34,19 @@
     }
 
     /// The instant of the next event, if one is scheduled.
-    pub(super) fn next_at(&self) -> Option<Duration> {
+    pub(super) fn next_time(&self) -> Option<Duration> {
         self.queue.peek().map(|Reverse((at, ..))| *at)
     }
 
     /// Schedules an event for an instant.
-    pub(super) fn at(&mut self, at: Duration, event: E) {
+    pub(super) fn schedule(&mut self, at: Duration, event: E) {
         let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.slots.push(None);
             self.slots.len() - 1
         });
         self.slots[slot] = Some(event);
-        self.scheduled += 1;
-        self.queue.push(Reverse((at, self.scheduled, slot)));
+        self.schedule_count += 1;
+        self.queue.push(Reverse((at, self.schedule_count, slot)));
     }
 
     /// Moves on to the next event and takes it out.
--- a/crates/quillhub-simulator/src/simulation/clock_tests.rs
+++ b/crates/quillhub-simulator/src/simulation/clock_tests.rs
@@ -7,7 +7,7 @@
     let mut clock = Clock::new();
     let second = Duration::from_secs(1);
     for (at, event) in [(second * 2, 'c'), (second, 'a'), (second * 2, 'd'), (second, 'b')] {
-        clock.at(at, event);
+        clock.schedule(at, event);
     }
     let events: Vec<_> = std::iter::from_fn(|| clock.advance()).collect();
     assert_eq!((events, clock.now()), (vec!['a', 'b', 'c', 'd'], second * 2));
@@ -17,8 +17,8 @@
 fn slots_are_used_again() {
     let mut clock = Clock::new();
     for event in 0..100 {
-        clock.at(Duration::from_secs(event), event);
+        clock.schedule(Duration::from_secs(event), event);
         assert_eq!(clock.advance(), Some(event));
     }
-    assert_eq!((clock.slots.len(), clock.next_at()), (1, None));
+    assert_eq!((clock.slots.len(), clock.next_time()), (1, None));
 }
--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -12,14 +12,14 @@
 use std::time::Duration;
 
 /// How long a call to service discovery takes to fail when that is out of reach.
-const CALL_FAILS_AFTER: Duration = Duration::from_millis(500);
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// One entry of the endpoint list.
 pub(super) struct Entry {
     pub(super) name: String,
     pub(super) server: usize,
     destination: DestinationId,
-    pub(super) listing: EndpointState,
+    pub(super) state: EndpointState,
     /// Nothing listens there any more.
     pub(super) removed: bool,
     rate: Option<f64>,
@@ -49,13 +49,13 @@
     /// The whole list as it is.
     fn snapshot(&self) -> Entries {
         let listed =
-            self.entries.iter().enumerate().filter(|(_, entry)| entry.listing != EndpointState::Removed);
-        listed.map(|(number, entry)| (number, entry.listing)).collect()
+            self.entries.iter().enumerate().filter(|(_, entry)| entry.state != EndpointState::Removed);
+        listed.map(|(number, entry)| (number, entry.state)).collect()
     }
 
     /// Entries that calls may go to.
-    pub(super) fn open(&self) -> impl Iterator<Item = (usize, &Entry)> {
-        self.entries.iter().enumerate().filter(|(_, entry)| entry.listing == EndpointState::Available)
+    pub(super) fn available(&self) -> impl Iterator<Item = (usize, &Entry)> {
+        self.entries.iter().enumerate().filter(|(_, entry)| entry.state == EndpointState::Available)
     }
 
     fn is_out_of_reach(&self) -> bool {
@@ -67,16 +67,17 @@
     /// Adds an entry for a server to the endpoint list.
     pub(super) fn list_server(&mut self, server: usize) -> usize {
         let name = format!("e{}", self.discovery.entries.len() + 1);
-        let of = &self.site.servers[server];
-        let (route, destination) = (of.route, of.destination as u64 + 1);
-        let zone = &self.scenario.instances.zones[of.zone];
+        let server_state = &self.site.servers[server];
+        let (route, destination) = (server_state.route, server_state.destination as u64 + 1);
+        let zone = &self.scenario.instances.zones[server_state.zone];
         let rate = self.listed_rate(server);
-        self.record.placed(self.clock.now(), &Fact::EndpointPlaced { endpoint: &name, zone, route });
+        self.recorder
+            .record_placement(self.clock.now(), &Fact::EndpointPlaced { endpoint: &name, zone, route });
         self.discovery.add(Entry {
             name,
             server,
             destination,
-            listing: EndpointState::Available,
+            state: EndpointState::Available,
             removed: false,
             rate,
         })
@@ -84,12 +85,12 @@
 
     /// What is listed of a server's rate.
     fn listed_rate(&self, server: usize) -> Option<f64> {
-        let of = &self.site.servers[server];
-        let per_s = self.site.route_rate(of.route);
+        let server_state = &self.site.servers[server];
+        let per_s = self.site.route_rate(server_state.route);
         match self.scenario.discovery.rates {
             Rates::Absent => None,
             Rates::Exact => Some(per_s),
-            Rates::Rough => Some(per_s * self.site.rough_rate_factors[of.destination]),
+            Rates::Rough => Some(per_s * self.site.rough_rate_factors[server_state.destination]),
         }
     }
 
@@ -97,7 +98,7 @@
         self.scenario.discovery.form == DiscoveryForm::Push
     }
 
-    pub(super) fn discovery_fault_begins(&mut self, fault: usize, delay: Option<Duration>) {
+    pub(super) fn begin_discovery_fault(&mut self, fault: usize, delay: Option<Duration>) {
         self.discovery.faults.push(DiscoveryFault { fault, delay });
         if delay.is_none() && !self.pushes() {
             self.break_watches();
@@ -109,14 +110,14 @@
         for instance in 0..self.instances.len() {
             let host = &self.instances[instance];
             let incarnation = host.incarnation;
-            if host.alive && host.watches {
-                let wait = CALL_FAILS_AFTER.mul_f64(self.rng.random());
-                self.after(wait, Event::DiscoveryFails { instance, incarnation });
+            if host.alive && host.is_watching {
+                let wait = UNREACHABLE_TIMEOUT.mul_f64(self.rng.random());
+                self.schedule_after(wait, Event::DiscoveryFails { instance, incarnation });
             }
         }
     }
 
-    pub(super) fn discovery_fault_ends(&mut self, fault: usize) {
+    pub(super) fn end_discovery_fault(&mut self, fault: usize) {
         self.discovery.faults.retain(|other| other.fault != fault);
         if self.pushes() {
             self.send_snapshot();
@@ -124,32 +125,32 @@
     }
 
     /// An instance hears that its call to service discovery failed.
-    pub(super) fn discovery_fails(&mut self, instance: usize, incarnation: u32) {
-        if self.lives(instance, incarnation) {
-            self.instances[instance].watches = false;
-            self.hand_inputs(instance, &[Input::EndpointListFailed]);
+    pub(super) fn fail_discovery(&mut self, instance: usize, incarnation: u32) {
+        if self.is_current(instance, incarnation) {
+            self.instances[instance].is_watching = false;
+            self.process_inputs(instance, &[Input::EndpointListFailed]);
         }
     }
 
     /// How long it takes until an instance hears of a change.
     fn notification_delay(&mut self) -> Duration {
-        let usual = self.scenario.discovery.delay.mul_f64(1.0 + self.rng.random::<f64>());
-        usual + self.discovery.faults.iter().filter_map(|fault| fault.delay).sum::<Duration>()
+        let base_delay = self.scenario.discovery.delay.mul_f64(1.0 + self.rng.random::<f64>());
+        base_delay + self.discovery.faults.iter().filter_map(|fault| fault.delay).sum::<Duration>()
     }
 
     /// Tells an instance that starts the list that it had, or the true one at its first start. Where changes are
     /// pushed it counts as asked for, and the true list follows.
-    pub(super) fn tell_first_list(&mut self, instance: usize) {
-        let submitted = self.pushes();
-        let known = &self.instances[instance].known;
-        let first = known.is_empty();
-        let entries = if first {
+    pub(super) fn report_initial_list(&mut self, instance: usize) {
+        let from_discovery = self.pushes();
+        let known = &self.instances[instance].known_entries;
+        let is_first_start = known.is_empty();
+        let entries = if is_first_start {
             self.discovery.snapshot()
         } else {
-            known.iter().map(|(entry, listing)| (*entry, *listing)).collect()
+            known.iter().map(|(entry, state)| (*entry, *state)).collect()
         };
-        self.tell_endpoints(instance, ListChange::Snapshot(entries), submitted);
-        if submitted && !first {
+        self.report_endpoints(instance, ListChange::Snapshot(entries), from_discovery);
+        if from_discovery && !is_first_start {
             let wait = self.notification_delay();
             if !self.discovery.is_out_of_reach() {
                 let update = ListChange::Snapshot(self.discovery.snapshot());
@@ -160,76 +161,82 @@
 
     fn send_update(&mut self, instance: usize, wait: Duration, update: ListChange) {
         let incarnation = self.instances[instance].incarnation;
-        self.after(wait, Event::EndpointsTold { instance, incarnation, update });
+        self.schedule_after(wait, Event::EndpointsReported { instance, incarnation, update });
     }
 
     /// An instance asks for changes from now on; the whole list comes first.
     pub(super) fn watch(&mut self, instance: usize) {
         if self.discovery.is_out_of_reach() {
             let incarnation = self.instances[instance].incarnation;
-            return self.after(CALL_FAILS_AFTER, Event::DiscoveryFails { instance, incarnation });
+            return self.schedule_after(UNREACHABLE_TIMEOUT, Event::DiscoveryFails { instance, incarnation });
         }
-        self.instances[instance].watches = true;
+        self.instances[instance].is_watching = true;
         let wait = self.notification_delay();
         let update = ListChange::Snapshot(self.discovery.snapshot());
         self.send_update(instance, wait, update);
     }
 
     /// An instance hears of endpoints.
-    pub(super) fn endpoints_told(&mut self, instance: usize, incarnation: u32, update: ListChange) {
-        if self.lives(instance, incarnation) {
-            self.tell_endpoints(instance, update, true);
+    pub(super) fn receive_endpoints(&mut self, instance: usize, incarnation: u32, update: ListChange) {
+        if self.is_current(instance, incarnation) {
+            self.report_endpoints(instance, update, true);
         }
     }
 
-    fn tell_endpoints(&mut self, instance: usize, update: ListChange, submitted: bool) {
-        let (entries, whole) = match update {
+    fn report_endpoints(&mut self, instance: usize, update: ListChange, from_discovery: bool) {
+        let (entries, is_snapshot) = match update {
             ListChange::Changes(entries) => (entries, false),
             ListChange::Snapshot(entries) => (entries, true),
         };
-        self.learn(instance, &entries);
-        if whole {
-            self.learn(instance, &self.left_out(instance, &entries));
+        self.update_known(instance, &entries);
+        if is_snapshot {
+            self.update_known(instance, &self.missing_entries(instance, &entries));
         }
-        self.pass_on_endpoints(instance, &entries, whole, submitted);
+        self.report_to_decider(instance, &entries, is_snapshot, from_discovery);
     }
 
     /// What an instance knows and a whole list leaves out.
-    fn left_out(&self, instance: usize, snapshot: &Entries) -> Entries {
+    fn missing_entries(&self, instance: usize, snapshot: &Entries) -> Entries {
         let named: BTreeSet<_> = snapshot.iter().map(|(entry, _)| *entry).collect();
-        let known = self.instances[instance].known.keys();
+        let known = self.instances[instance].known_entries.keys();
         known.filter(|entry| !named.contains(entry)).map(|entry| (*entry, EndpointState::Removed)).collect()
     }
 
     /// An instance's host keeps what it learns; a fact for each change.
-    fn learn(&mut self, instance: usize, entries: &Entries) {
-        for (entry, listing) in entries.iter().copied() {
-            let known = &mut self.instances[instance].known;
-            let before = match listing {
+    fn update_known(&mut self, instance: usize, entries: &Entries) {
+        for (entry, state) in entries.iter().copied() {
+            let known = &mut self.instances[instance].known_entries;
+            let before = match state {
                 EndpointState::Removed => known.remove(&entry),
                 other => known.insert(entry, other),
             };
-            if before != Some(listing) {
+            if before != Some(state) {
                 let endpoint = self.discovery.entries[entry].name.clone();
-                self.fact(&Fact::EndpointLearned { instance, endpoint: &endpoint, state: listing });
+                self.record_fact(&Fact::EndpointLearned { instance, endpoint: &endpoint, state });
             }
         }
     }
 
     /// An instance's decider gets the endpoints as inputs.
-    fn pass_on_endpoints(&mut self, instance: usize, entries: &Entries, whole: bool, submitted: bool) {
+    fn report_to_decider(
+        &mut self,
+        instance: usize,
+        entries: &Entries,
+        is_snapshot: bool,
+        from_discovery: bool,
+    ) {
         let names: Vec<_> =
             entries.iter().map(|(entry, _)| self.discovery.entries[*entry].name.clone()).collect();
-        let snapshot: Option<BTreeSet<_>> = whole.then(|| names.iter().cloned().collect());
+        let snapshot: Option<BTreeSet<_>> = is_snapshot.then(|| names.iter().cloned().collect());
         let rows = entries.iter().zip(&names);
         let mut inputs: Vec<_> =
-            rows.map(|((entry, listing), name)| self.listed(name, *entry, *listing)).collect();
-        inputs.push(Input::EndpointListEnded { snapshot: snapshot.as_ref(), from_discovery: submitted });
-        self.hand_inputs(instance, &inputs);
+            rows.map(|((entry, state), name)| self.endpoint_input(name, *entry, *state)).collect();
+        inputs.push(Input::EndpointListEnded { snapshot: snapshot.as_ref(), from_discovery });
+        self.process_inputs(instance, &inputs);
     }
 
     /// The input for one entry.
-    fn listed<'s>(&self, endpoint: &'s str, entry: usize, listing: EndpointState) -> Input<'s>
+    fn endpoint_input<'s>(&self, endpoint: &'s str, entry: usize, state: EndpointState) -> Input<'s>
     where
         'a: 's,
     {
@@ -240,16 +247,16 @@
             zone: &self.scenario.instances.zones[server.zone],
             kind: &self.scenario.destinations[server.kind].kind,
             destination: entry.destination,
-            state: listing,
+            state,
             listed_rate: entry.rate,
         })
     }
 
     /// An entry's state changes, and instances hear of it.
-    fn change_listing(&mut self, entry: usize, listing: EndpointState) {
-        self.discovery.entries[entry].listing = listing;
+    fn change_listing(&mut self, entry: usize, state: EndpointState) {
+        self.discovery.entries[entry].state = state;
         if !self.discovery.is_out_of_reach() {
-            self.send_to_all(|| ListChange::Changes(vec![(entry, listing)]));
+            self.send_to_all(|| ListChange::Changes(vec![(entry, state)]));
         }
     }
 
@@ -262,11 +269,11 @@
     /// Sends a list without a share of the endpoints that a fault strikes.
     pub(super) fn send_partial_snapshot(&mut self, fault: usize, scheduled: &ScheduledFault, share: f64) {
         let mut rng = chance_of_fault(self.seed, fault);
-        let struck: BTreeSet<_> = self.servers_struck(fault, &scheduled.target).into_iter().collect();
+        let affected: BTreeSet<_> = self.affected_servers(fault, &scheduled.target).into_iter().collect();
         let mut entries = self.discovery.snapshot();
         entries.retain(|(entry, _)| {
             let server = self.discovery.entries[*entry].server;
-            !struck.contains(&server) || rng.random::<f64>() >= share
+            !affected.contains(&server) || rng.random::<f64>() >= share
         });
         self.send_to_all(|| ListChange::Snapshot(entries.clone()));
     }
@@ -275,7 +282,7 @@
     fn send_to_all(&mut self, update: impl Fn() -> ListChange) {
         for instance in 0..self.instances.len() {
             let host = &self.instances[instance];
-            if host.alive && (self.pushes() || host.watches) {
+            if host.alive && (self.pushes() || host.is_watching) {
                 let wait = self.notification_delay();
                 self.send_update(instance, wait, update());
             }
@@ -283,25 +290,25 @@
     }
 
     /// The endpoints that a fault strikes drain one after the other over its time.
-    pub(super) fn drain(&mut self, fault: usize, scheduled: &ScheduledFault, drain: &Drain) {
-        let struck: BTreeSet<_> = self.servers_struck(fault, &scheduled.target).into_iter().collect();
-        let open = self.discovery.open().filter(|(_, entry)| struck.contains(&entry.server));
-        let entries: Vec<_> = open.map(|(number, _)| number).collect();
-        let each = scheduled.lasts / entries.len().max(1) as u32;
+    pub(super) fn schedule_drains(&mut self, fault: usize, scheduled: &ScheduledFault, drain: &Drain) {
+        let affected: BTreeSet<_> = self.affected_servers(fault, &scheduled.target).into_iter().collect();
+        let available = self.discovery.available().filter(|(_, entry)| affected.contains(&entry.server));
+        let entries: Vec<_> = available.map(|(number, _)| number).collect();
+        let interval = scheduled.lasts / entries.len().max(1) as u32;
         for (nth, entry) in entries.into_iter().enumerate() {
-            self.after(each * nth as u32, Event::DrainBegins { entry, drain: drain.clone() });
+            self.schedule_after(interval * nth as u32, Event::DrainBegins { entry, drain: drain.clone() });
         }
     }
 
-    pub(super) fn drain_begins(&mut self, entry: usize, drain: Drain) {
+    pub(super) fn begin_drain(&mut self, entry: usize, drain: Drain) {
         self.change_listing(entry, EndpointState::Draining);
         if drain.replaced {
             self.replace(entry, drain.same_address);
         }
-        self.after(drain.gone_after, Event::DrainEnds { entry, drain });
+        self.schedule_after(drain.gone_after, Event::DrainEnds { entry, drain });
     }
 
-    pub(super) fn drain_ends(&mut self, entry: usize, drain: &Drain) {
+    pub(super) fn end_drain(&mut self, entry: usize, drain: &Drain) {
         self.change_listing(entry, EndpointState::Removed);
         // At an address that is used again, calls to the old id go on arriving.
         self.discovery.entries[entry].removed = !(drain.replaced && drain.same_address);
--- a/crates/quillhub-simulator/src/simulation/effects.rs
+++ b/crates/quillhub-simulator/src/simulation/effects.rs
@@ -30,27 +30,27 @@
     /// The ends of deduplication windows; forgotten in the order of their first calls.
     window_ends: VecDeque<(Duration, IdempotencyKey)>,
     /// Requests whose effect must not come twice and came once. All of a run: a retry may come late.
-    done: BTreeSet<u64>,
+    executed: BTreeSet<u64>,
 }
 
 impl Effects {
     /// A call runs at its destination.
-    pub(super) fn run(
+    pub(super) fn execute(
         &mut self,
         now: Duration,
         key: IdempotencyKey,
         service_class: &ServiceClassSpec,
     ) -> Effect {
-        self.forget(now);
+        self.remove_expired(now);
         let deduplicated = service_class.retry_safety == RetrySafetyKind::Deduplicated
-            && self.is_repeat(now, key, service_class.deduplication_window);
+            && self.check_and_remember(now, key, service_class.deduplication_window);
         let duplicate = service_class.retry_safety != RetrySafetyKind::Idempotent
             && !deduplicated
-            && !self.done.insert(key.request);
+            && !self.executed.insert(key.request);
         Effect { deduplicated, duplicate }
     }
 
-    fn forget(&mut self, now: Duration) {
+    fn remove_expired(&mut self, now: Duration) {
         while let Some((_, key)) = self.window_ends.front().copied().filter(|(end, _)| *end <= now) {
             self.window_ends.pop_front();
             self.remembered.remove(&key);
@@ -58,7 +58,7 @@
     }
 
     /// Whether the destination knows the key; if not, it remembers it from now on.
-    fn is_repeat(&mut self, now: Duration, key: IdempotencyKey, window: Duration) -> bool {
+    fn check_and_remember(&mut self, now: Duration, key: IdempotencyKey, window: Duration) -> bool {
         let window_end = now + window;
         let until = *self.remembered.entry(key).or_insert_with(|| {
             self.window_ends.push_back((window_end, key));
--- a/crates/quillhub-simulator/src/simulation/event.rs
+++ b/crates/quillhub-simulator/src/simulation/event.rs
@@ -24,11 +24,11 @@
         call: u64,
     },
     /// What a call asks for takes effect at its destination.
-    TakesEffect {
+    CallExecutes {
         call: u64,
     },
     /// A worker of a server has finished a call.
-    Served {
+    CallCompletes {
         call: u64,
         server: usize,
     },
@@ -45,10 +45,10 @@
     /// A gossip message reaches an instance.
     Gossip {
         instance: usize,
-        octets: Vec<u8>,
+        bytes: Vec<u8>,
     },
     /// Service discovery tells an instance of endpoints.
-    EndpointsTold {
+    EndpointsReported {
         instance: usize,
         incarnation: u32,
         update: ListChange,
--- a/crates/quillhub-simulator/src/simulation/faults.rs
+++ b/crates/quillhub-simulator/src/simulation/faults.rs
@@ -10,46 +10,46 @@
 use std::collections::BTreeSet;
 
 impl Simulation<'_> {
-    pub(super) fn fault_begins(&mut self, fault: usize) {
-        self.fact(&Fact::FaultChanged { number: fault, begins: true });
+    pub(super) fn begin_fault(&mut self, fault: usize) {
+        self.record_fact(&Fact::FaultChanged { number: fault, begins: true });
         let scheduled = &self.scenario.faults[fault];
         let (target, until) = (&scheduled.target, scheduled.at + scheduled.lasts);
         match scheduled.fault.injection(scheduled) {
             Injection::Servers(server_fault) => {
-                for server in self.servers_struck(fault, target) {
-                    self.strike_server(server, fault, server_fault);
+                for server in self.affected_servers(fault, target) {
+                    self.begin_server_fault(server, fault, server_fault);
                 }
             }
             Injection::Paths { from, to, kind } => {
                 self.impair_paths(fault, from.as_deref(), to.as_deref(), kind);
             }
-            Injection::Discovery(delay) => self.discovery_fault_begins(fault, delay),
+            Injection::Discovery(delay) => self.begin_discovery_fault(fault, delay),
             Injection::PartialSnapshot(share) => self.send_partial_snapshot(fault, scheduled, share),
-            Injection::Drain(drain) => self.drain(fault, scheduled, drain),
+            Injection::Drain(drain) => self.schedule_drains(fault, scheduled, drain),
             Injection::Crash { state_directory_lost } => {
-                for instance in self.instances_struck(fault, target) {
+                for instance in self.affected_instances(fault, target) {
                     self.kill(instance, state_directory_lost, until);
                 }
             }
             Injection::Stall => {
-                for instance in self.instances_struck(fault, target) {
+                for instance in self.affected_instances(fault, target) {
                     self.stall(instance, until);
                 }
             }
             Injection::Gossip { lost, delay } => self.gossip_faults.push(GossipFault { fault, lost, delay }),
-            Injection::TrafficSurge { stream, factor } => self.surge(fault, stream, factor),
-            Injection::HotDestinations(factor) => self.heat(fault, target, factor),
+            Injection::TrafficSurge { stream, factor } => self.begin_surge(fault, stream, factor),
+            Injection::HotDestinations(factor) => self.add_hot_spot(fault, target, factor),
         }
     }
 
     /// Undoes what a fault did, as far as it does not end by itself.
-    pub(super) fn fault_ends(&mut self, fault: usize) {
-        self.fact(&Fact::FaultChanged { number: fault, begins: false });
+    pub(super) fn end_fault(&mut self, fault: usize) {
+        self.record_fact(&Fact::FaultChanged { number: fault, begins: false });
         let scheduled = &self.scenario.faults[fault];
         match scheduled.fault.injection(scheduled) {
-            Injection::Servers(_) => self.relieve_servers(fault),
+            Injection::Servers(_) => self.end_server_faults(fault),
             Injection::Paths { .. } => self.paths.impaired.retain(|impaired| impaired.fault != fault),
-            Injection::Discovery(_) => self.discovery_fault_ends(fault),
+            Injection::Discovery(_) => self.end_discovery_fault(fault),
             Injection::PartialSnapshot(_) => self.send_snapshot(),
             Injection::Gossip { .. } => self.gossip_faults.retain(|other| other.fault != fault),
             Injection::TrafficSurge { .. } => {
@@ -57,20 +57,20 @@
             }
             Injection::HotDestinations(_) => {
                 self.hot_spots.retain(|spot| spot.fault != fault);
-                self.share_out();
+                self.update_shares();
             }
             Injection::Drain(_) | Injection::Crash { .. } | Injection::Stall => {}
         }
     }
 
     /// The servers that a fault strikes, of those behind an endpoint that is listed as open.
-    pub(super) fn servers_struck(&self, fault: usize, target: &Target) -> Vec<usize> {
-        let listening = self.discovery.open().filter(|(_, entry)| !entry.removed);
-        let open: BTreeSet<_> = listening.map(|(_, entry)| entry.server).collect();
-        self.site.affected_servers(fault, target, |server| open.contains(&server))
+    pub(super) fn affected_servers(&self, fault: usize, target: &Target) -> Vec<usize> {
+        let listening = self.discovery.available().filter(|(_, entry)| !entry.removed);
+        let available: BTreeSet<_> = listening.map(|(_, entry)| entry.server).collect();
+        self.site.affected_servers(fault, target, |server| available.contains(&server))
     }
 
-    fn instances_struck(&self, fault: usize, target: &Target) -> Vec<usize> {
+    fn affected_instances(&self, fault: usize, target: &Target) -> Vec<usize> {
         let in_zone = |instance: usize| {
             let zone = &self.scenario.instances.zones[self.instances[instance].zone];
             target.zone.as_ref().is_none_or(|wanted| wanted == zone)
@@ -78,9 +78,9 @@
         target.choose(self.instances.len(), in_zone, &mut chance_of_fault(self.seed, fault))
     }
 
-    fn relieve_servers(&mut self, fault: usize) {
+    fn end_server_faults(&mut self, fault: usize) {
         for server in self.site.remove_fault(fault) {
-            self.route_changes(self.site.servers[server].route);
+            self.update_route(self.site.servers[server].route);
         }
     }
 
@@ -91,10 +91,10 @@
     }
 
     /// The destinations that a fault strikes get more than their share of all messages.
-    fn heat(&mut self, fault: usize, target: &Target, factor: f64) {
-        let servers = self.servers_struck(fault, target);
+    fn add_hot_spot(&mut self, fault: usize, target: &Target, factor: f64) {
+        let servers = self.affected_servers(fault, target);
         let destinations = servers.into_iter().map(|server| self.site.servers[server].destination).collect();
         self.hot_spots.push(HotSpot { fault, destinations, factor });
-        self.share_out();
+        self.update_shares();
     }
 }
--- a/crates/quillhub-simulator/src/simulation/instances.rs
+++ b/crates/quillhub-simulator/src/simulation/instances.rs
@@ -21,7 +21,7 @@
     pub(super) deadline: Duration,
     pub(super) attempts: u32,
     /// Attempts that may have run: when they began, and at which entry of the endpoint list.
-    pub(super) may_have_run: BTreeMap<u32, (Duration, usize)>,
+    pub(super) possible_executions: BTreeMap<u32, (Duration, usize)>,
 }
 
 /// The host of one instance; the process dies and starts again, the host stays.
@@ -34,14 +34,14 @@
     /// Until when the process stands still.
     pub(super) stalled_until: Duration,
     /// Until when the front does not know that it is dead.
-    pub(super) trusted_until: Duration,
+    pub(super) assumed_alive_until: Duration,
     /// The instant at which the instance's own clock began.
     pub(super) epoch: Duration,
     pub(super) pending: BTreeMap<MessageId, PendingMessage>,
     /// The endpoint list as last received; outlasts the process.
-    pub(super) known: BTreeMap<usize, EndpointState>,
+    pub(super) known_entries: BTreeMap<usize, EndpointState>,
     /// Whether it has a watch on service discovery.
-    pub(super) watches: bool,
+    pub(super) is_watching: bool,
 }
 
 impl InstanceHost {
@@ -52,11 +52,11 @@
             incarnation: 0,
             alive: true,
             stalled_until: Duration::ZERO,
-            trusted_until: Duration::ZERO,
+            assumed_alive_until: Duration::ZERO,
             epoch: Duration::ZERO,
             pending: BTreeMap::new(),
-            known: BTreeMap::new(),
-            watches: false,
+            known_entries: BTreeMap::new(),
+            is_watching: false,
         }
     }
 }
@@ -73,10 +73,10 @@
 impl<'a> Simulation<'a> {
     /// Starts an instance for the first time; instances start in the order of their numbers.
     pub(super) fn start_instance(&mut self, instance: usize) {
-        let decider = (self.make)(&self.start(instance, 0));
+        let decider = (self.make_decider)(&self.start_parameters(instance, 0));
         self.instances.push(InstanceHost::new(decider, self.zone_of_instance(instance)));
-        self.fact(&Fact::InstanceStarted { instance, state_recovered: false });
-        self.tell_first_list(instance);
+        self.record_fact(&Fact::InstanceStarted { instance, state_recovered: false });
+        self.report_initial_list(instance);
     }
 
     fn zone_of_instance(&self, instance: usize) -> usize {
@@ -84,14 +84,14 @@
     }
 
     /// What the decider of an instance's incarnation is started with.
-    pub(super) fn start(&self, instance: usize, incarnation: u32) -> Start<'a> {
+    pub(super) fn start_parameters(&self, instance: usize, incarnation: u32) -> Start<'a> {
         let zone = &self.scenario.instances.zones[self.zone_of_instance(instance)];
         let seed = seeded_rng(self.seed, (instance as u64 + 1) << 32 | u64::from(incarnation)).random();
         Start { seed, zone, scenario: self.scenario }
     }
 
     /// Whether that incarnation of an instance goes on.
-    pub(super) fn lives(&self, instance: usize, incarnation: u32) -> bool {
+    pub(super) fn is_current(&self, instance: usize, incarnation: u32) -> bool {
         let host = &self.instances[instance];
         host.alive && host.incarnation == incarnation
     }
@@ -103,40 +103,40 @@
     }
 
     /// Tells an instance's decider what happened, lets it act, and does what it asks for.
-    pub(super) fn hand_inputs(&mut self, instance: usize, inputs: &[Input]) {
-        let own_now = self.clock.now() - self.instances[instance].epoch;
+    pub(super) fn process_inputs(&mut self, instance: usize, inputs: &[Input]) {
+        let instance_now = self.clock.now() - self.instances[instance].epoch;
         let decider = &mut self.instances[instance].decider;
-        decider.advance_to(own_now);
+        decider.advance_to(instance_now);
         inputs.iter().for_each(|input| decider.handle(*input));
         if decider.wants_capacity() {
-            self.show_capacity(instance);
+            self.report_capacity(instance);
         }
         let mut actions = Actions::default();
         self.instances[instance].decider.apply_rules(&mut actions);
         for action in actions.0 {
-            self.act(instance, action);
+            self.perform(instance, action);
         }
     }
 
     /// Shows an oracle the true state of the endpoints.
-    fn show_capacity(&mut self, instance: usize) {
+    fn report_capacity(&mut self, instance: usize) {
         let mut decider =
             std::mem::replace(&mut self.instances[instance].decider, Box::new(PlaceholderDecider));
         decider.observe_capacity(&|name| self.true_capacity(instance, name));
         self.instances[instance].decider = decider;
     }
 
-    fn act(&mut self, instance: usize, action: Action) {
+    fn perform(&mut self, instance: usize, action: Action) {
         match action {
             Action::StartAttempt { message, endpoint, timeout } => {
                 self.start_attempt(instance, message, &endpoint, timeout)
             }
             Action::Finish { message, outcome } => self.finish(instance, message, outcome),
             Action::CloseIdle { endpoint } => self.close_idle(instance, &endpoint),
-            Action::Gossip { octets } => self.gossip(instance, &octets),
+            Action::Gossip { bytes } => self.broadcast_gossip(instance, &bytes),
             Action::SetTimer { wait } => {
                 let incarnation = self.instances[instance].incarnation;
-                self.after(wait, Event::TimerFires { instance, incarnation });
+                self.schedule_after(wait, Event::TimerFires { instance, incarnation });
             }
             Action::Watch => self.watch(instance),
         }
@@ -150,31 +150,31 @@
     }
 
     /// Sends a gossip message to every other instance.
-    fn gossip(&mut self, instance: usize, octets: &[u8]) {
-        let spared: f64 = self.gossip_faults.iter().map(|fault| 1.0 - fault.lost).product();
+    fn broadcast_gossip(&mut self, instance: usize, bytes: &[u8]) {
+        let unaffected_share: f64 = self.gossip_faults.iter().map(|fault| 1.0 - fault.lost).product();
         let extra: Duration = self.gossip_faults.iter().map(|fault| fault.delay).sum();
-        let arrives = (1.0 - self.scenario.instances.gossip_loss) * spared;
+        let arrives = (1.0 - self.scenario.instances.gossip_loss) * unaffected_share;
         for other in (0..self.instances.len()).filter(|other| *other != instance) {
             let lost = self.rng.random::<f64>() >= arrives;
             let (from, to) = (self.instances[instance].zone, self.instances[other].zone);
             let delay = self.paths.transit_time(&mut self.rng, from, to).filter(|_| !lost);
             if let Some(delay) = delay {
-                self.after(delay + extra, Event::Gossip { instance: other, octets: octets.to_vec() });
+                self.schedule_after(delay + extra, Event::Gossip { instance: other, bytes: bytes.to_vec() });
             }
         }
     }
 
     /// A timer of an instance has run out.
-    pub(super) fn timer_fires(&mut self, instance: usize, incarnation: u32) {
-        if self.lives(instance, incarnation) {
-            self.hand_inputs(instance, &[Input::TimerFired]);
+    pub(super) fn fire_timer(&mut self, instance: usize, incarnation: u32) {
+        if self.is_current(instance, incarnation) {
+            self.process_inputs(instance, &[Input::TimerFired]);
         }
     }
 
     /// A gossip message has reached an instance.
-    pub(super) fn gossip_arrives(&mut self, instance: usize, octets: &[u8]) {
+    pub(super) fn receive_gossip(&mut self, instance: usize, bytes: &[u8]) {
         if self.instances[instance].alive {
-            self.hand_inputs(instance, &[Input::Gossip(octets)]);
+            self.process_inputs(instance, &[Input::Gossip(bytes)]);
         }
     }
 }
--- a/crates/quillhub-simulator/src/simulation/mod.rs
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -11,7 +11,7 @@
 mod event;
 mod faults;
 mod instances;
-mod record;
+mod recorder;
 mod restarts;
 mod servers;
 
@@ -29,29 +29,29 @@
 use event::Event;
 use instances::{GossipFault, InstanceHost};
 use rand_pcg::Pcg64Mcg;
-use record::Record;
+use recorder::Recorder;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub use record::Report;
+pub use recorder::Report;
 
 /// How long a run goes on past the scenario and the longest deadline, for calls that no one waits for any more.
-const TAIL: Duration = Duration::from_secs(30);
+const MAX_OVERRUN: Duration = Duration::from_secs(30);
 
 /// What makes the decider of an instance that starts.
-type Make<'a> = &'a dyn Fn(&Start) -> Box<dyn Decider>;
+type MakeDecider<'a> = &'a dyn Fn(&Start) -> Box<dyn Decider>;
 
 /// Everything that instances serve, and the instances' hosts, in the midst of a run.
 pub struct Simulation<'a> {
     scenario: &'a Scenario,
-    make: Make<'a>,
+    make_decider: MakeDecider<'a>,
     seed: u64,
     clock: Clock<Event>,
-    record: Record<'a>,
+    recorder: Recorder<'a>,
     /// Chance of the network, of what endpoints do, and of clients' waits.
     rng: Pcg64Mcg,
     /// Chance of the front that deals messages out to instances.
-    front: Pcg64Mcg,
+    balancer_rng: Pcg64Mcg,
     paths: Paths,
     site: Site<'a>,
     discovery: Discovery,
@@ -73,33 +73,33 @@
     pub fn run(
         scenario: &Scenario,
         seed: u64,
-        make: &dyn Fn(&Start) -> Box<dyn Decider>,
-        mut seen: impl FnMut(Duration, &Fact),
+        make_decider: &dyn Fn(&Start) -> Box<dyn Decider>,
+        mut observer: impl FnMut(Duration, &Fact),
     ) -> Report {
-        let mut simulation = Simulation::new(scenario, seed, make, &mut seen);
+        let mut simulation = Simulation::new(scenario, seed, make_decider, &mut observer);
         simulation.set_up();
         let mut events = 0;
         while let Some(event) = simulation.next_event() {
             events += 1;
             simulation.handle(event);
         }
-        simulation.record.finish(simulation.clock.now(), events)
+        simulation.recorder.finish(simulation.clock.now(), events)
     }
 
     fn new(
         scenario: &'a Scenario,
         seed: u64,
-        make: Make<'a>,
+        make_decider: MakeDecider<'a>,
         observer: &'a mut dyn FnMut(Duration, &Fact),
     ) -> Self {
         Self {
             scenario,
-            make,
+            make_decider,
             seed,
             clock: Clock::new(),
-            record: Record::new(scenario, observer),
+            recorder: Recorder::new(scenario, observer),
             rng: seeded_rng(seed, 1),
-            front: seeded_rng(seed, 3),
+            balancer_rng: seeded_rng(seed, 3),
             paths: Paths::new(scenario.network.clone()),
             site: Site::new(scenario, seed),
             discovery: Discovery::default(),
@@ -127,23 +127,23 @@
             self.schedule_arrival(stream);
         }
         for (fault, scheduled) in self.scenario.faults.iter().enumerate() {
-            self.clock.at(scheduled.at, Event::FaultBegins { fault });
-            self.clock.at(scheduled.at + scheduled.lasts, Event::FaultEnds { fault });
+            self.clock.schedule(scheduled.at, Event::FaultBegins { fault });
+            self.clock.schedule(scheduled.at + scheduled.lasts, Event::FaultEnds { fault });
         }
     }
 
     /// Moves on to the next event; nothing once the run is over.
     fn next_event(&mut self) -> Option<Event> {
-        let at = self.clock.next_at()?;
-        let at_rest = self.requests.is_empty() && self.calls.is_empty();
-        if at > self.end() || at > self.scenario.length && at_rest {
+        let at = self.clock.next_time()?;
+        let is_idle = self.requests.is_empty() && self.calls.is_empty();
+        if at > self.latest_end() || at > self.scenario.length && is_idle {
             return None;
         }
         self.clock.advance()
     }
 
     /// When a run ends at the latest.
-    fn end(&self) -> Duration {
+    fn latest_end(&self) -> Duration {
         let longest = self
             .scenario
             .service_classes
@@ -151,31 +151,31 @@
             .map(|service_class| service_class.deadline)
             .max()
             .unwrap_or_default();
-        self.scenario.length + longest + TAIL
+        self.scenario.length + longest + MAX_OVERRUN
     }
 
     fn handle(&mut self, event: Event) {
         if let Some(until) = self.instance_of(&event).and_then(|instance| self.stalled_until(instance)) {
-            return self.clock.at(until, event);
+            return self.clock.schedule(until, event);
         }
         match event {
-            Event::Arrival { stream, count } => self.arrival(stream, count),
+            Event::Arrival { stream, count } => self.create_messages(stream, count),
             Event::Submission { request } => self.submit(request),
-            Event::Connected { call } => self.connected(call),
-            Event::CallArrives { call } => self.call_arrives(call),
-            Event::TakesEffect { call } => self.effect(call),
-            Event::Served { call, server } => self.served(call, server),
-            Event::CallEnds { call, end } => self.call_ends(call, end),
-            Event::TimerFires { instance, incarnation } => self.timer_fires(instance, incarnation),
-            Event::Gossip { instance, octets } => self.gossip_arrives(instance, &octets),
-            Event::EndpointsTold { instance, incarnation, update } => {
-                self.endpoints_told(instance, incarnation, update)
+            Event::Connected { call } => self.finish_connecting(call),
+            Event::CallArrives { call } => self.admit_call(call),
+            Event::CallExecutes { call } => self.execute(call),
+            Event::CallCompletes { call, server } => self.complete_call(call, server),
+            Event::CallEnds { call, end } => self.end_call(call, end),
+            Event::TimerFires { instance, incarnation } => self.fire_timer(instance, incarnation),
+            Event::Gossip { instance, bytes } => self.receive_gossip(instance, &bytes),
+            Event::EndpointsReported { instance, incarnation, update } => {
+                self.receive_endpoints(instance, incarnation, update)
             }
-            Event::DiscoveryFails { instance, incarnation } => self.discovery_fails(instance, incarnation),
-            Event::FaultBegins { fault } => self.fault_begins(fault),
-            Event::FaultEnds { fault } => self.fault_ends(fault),
-            Event::DrainBegins { entry, drain } => self.drain_begins(entry, drain),
-            Event::DrainEnds { entry, drain } => self.drain_ends(entry, &drain),
+            Event::DiscoveryFails { instance, incarnation } => self.fail_discovery(instance, incarnation),
+            Event::FaultBegins { fault } => self.begin_fault(fault),
+            Event::FaultEnds { fault } => self.end_fault(fault),
+            Event::DrainBegins { entry, drain } => self.begin_drain(entry, drain),
+            Event::DrainEnds { entry, drain } => self.end_drain(entry, &drain),
             Event::Restart { instance } => self.restart(instance),
         }
     }
@@ -188,19 +188,19 @@
             }
             Event::TimerFires { instance, .. }
             | Event::Gossip { instance, .. }
-            | Event::EndpointsTold { instance, .. }
+            | Event::EndpointsReported { instance, .. }
             | Event::DiscoveryFails { instance, .. } => Some(*instance),
             _ => None,
         }
     }
 
     /// Schedules an event for after a while.
-    fn after(&mut self, wait: Duration, event: Event) {
-        self.clock.at(self.clock.now() + wait, event);
+    fn schedule_after(&mut self, wait: Duration, event: Event) {
+        self.clock.schedule(self.clock.now() + wait, event);
     }
 
-    fn fact(&mut self, fact: &Fact) {
-        self.record.fact(self.clock.now(), fact);
+    fn record_fact(&mut self, fact: &Fact) {
+        self.recorder.record(self.clock.now(), fact);
     }
 
     /// A number that no order, message or call has yet.
--- a/crates/quillhub-simulator/src/simulation/record.rs
+++ b/crates/quillhub-simulator/src/simulation/recorder.rs
@@ -23,7 +23,7 @@
 }
 
 /// Takes the facts of a run.
-pub(super) struct Record<'a> {
+pub(super) struct Recorder<'a> {
     auditor: Auditor,
     pub(super) tally: Tally,
     hash: Xxh3Default,
@@ -31,14 +31,14 @@
     observer: &'a mut dyn FnMut(Duration, &Fact),
 }
 
-impl<'a> Record<'a> {
+impl<'a> Recorder<'a> {
     pub(super) fn new(scenario: &Scenario, observer: &'a mut dyn FnMut(Duration, &Fact)) -> Self {
         let (auditor, tally) = (Auditor::new(scenario), Tally::new(scenario));
         Self { auditor, tally, hash: Xxh3Default::new(), facts: 0, observer }
     }
 
     /// Records what happened.
-    pub(super) fn fact(&mut self, now: Duration, fact: &Fact) {
+    pub(super) fn record(&mut self, now: Duration, fact: &Fact) {
         fact.hash(&mut self.hash);
         now.hash(&mut self.hash);
         self.facts += 1;
@@ -49,7 +49,7 @@
 
     /// Records that an endpoint was placed. It is no event of the run, so it is not counted, and its instant is not
     /// hashed.
-    pub(super) fn placed(&mut self, now: Duration, fact: &Fact) {
+    pub(super) fn record_placement(&mut self, now: Duration, fact: &Fact) {
         self.auditor.record(now, fact);
         fact.hash(&mut self.hash);
         (self.observer)(now, fact);
--- a/crates/quillhub-simulator/src/simulation/restarts.rs
+++ b/crates/quillhub-simulator/src/simulation/restarts.rs
@@ -19,7 +19,7 @@
     destination: DestinationId,
     attempts: u32,
     /// The first attempt that may have run: when, and at which endpoint.
-    may_have_run: Option<(Duration, String)>,
+    first_possible_execution: Option<(Duration, String)>,
 }
 
 impl Recovered {
@@ -28,7 +28,7 @@
         let Self { message_id: id, key, deadline, destination, attempts, .. } = *self;
         let service_class = &service_classes[self.service_class].name;
         let first_execution = self
-            .may_have_run
+            .first_possible_execution
             .as_ref()
             .map(|(started, endpoint)| PossibleExecution { started: *started, endpoint });
         let message =
@@ -43,7 +43,7 @@
     pub(super) fn stall(&mut self, instance: usize, until: Duration) {
         let host = &mut self.instances[instance];
         host.stalled_until = host.stalled_until.max(until);
-        self.fact(&Fact::InstanceStalled { instance, until });
+        self.record_fact(&Fact::InstanceStalled { instance, until });
     }
 
     /// An instance dies, and starts again at `until`.
@@ -53,12 +53,12 @@
         }
         let state_kept = self.scenario.instances.state_directory && !state_directory_lost;
         let lost = self.end_process(instance, state_kept);
-        self.fact(&Fact::InstanceDied { instance, state_kept });
-        self.drop_calls_of(instance);
+        self.record_fact(&Fact::InstanceDied { instance, state_kept });
+        self.drop_calls(instance);
         for message in lost.into_values() {
-            self.lost_with_instance(&message);
+            self.resubmit_lost(&message);
         }
-        self.clock.at(until, Event::Restart { instance });
+        self.clock.schedule(until, Event::Restart { instance });
     }
 
     /// Ends the process; the pending messages that do not outlast it.
@@ -67,47 +67,48 @@
         let host = &mut self.instances[instance];
         host.alive = false;
         host.incarnation += 1;
-        host.watches = false;
+        host.is_watching = false;
         host.stalled_until = now;
-        host.trusted_until = now + self.scenario.clients.death_noticed_after;
+        host.assumed_alive_until = now + self.scenario.clients.death_noticed_after;
         if state_kept { BTreeMap::new() } else { std::mem::take(&mut host.pending) }
     }
 
     /// Clients come again with what is lost, unless it may have taken effect and must not do so twice.
-    fn lost_with_instance(&mut self, message: &PendingMessage) {
+    fn resubmit_lost(&mut self, message: &PendingMessage) {
         let at_most_once =
             self.scenario.service_classes[message.service_class].retry_safety == RetrySafetyKind::AtMostOnce;
-        if at_most_once && !message.may_have_run.is_empty() {
-            return self.unserved(message.request);
+        if at_most_once && !message.possible_executions.is_empty() {
+            return self.give_up(message.request);
         }
-        let wait = self.client_wait();
-        self.after(wait, Event::Submission { request: message.request });
+        let wait = self.draw_client_wait();
+        self.schedule_after(wait, Event::Submission { request: message.request });
     }
 
     /// An instance that died starts again, with what its state directory holds.
     pub(super) fn restart(&mut self, instance: usize) {
-        let decider = (self.make)(&self.start(instance, self.instances[instance].incarnation));
+        let decider =
+            (self.make_decider)(&self.start_parameters(instance, self.instances[instance].incarnation));
         let host = &mut self.instances[instance];
         host.alive = true;
         host.decider = decider;
         // Its clock begins with the oldest of what is pending from before.
-        let attempts = host.pending.values().flat_map(|message| message.may_have_run.values());
+        let attempts = host.pending.values().flat_map(|message| message.possible_executions.values());
         host.epoch = attempts.map(|(at, _)| *at).min().unwrap_or(self.clock.now());
         let state_recovered = !host.pending.is_empty();
-        self.fact(&Fact::InstanceStarted { instance, state_recovered });
-        self.tell_first_list(instance);
-        self.hand_back(instance);
+        self.record_fact(&Fact::InstanceStarted { instance, state_recovered });
+        self.report_initial_list(instance);
+        self.recover_pending(instance);
     }
 
     /// Hands an instance back what its state directory holds.
-    fn hand_back(&mut self, instance: usize) {
-        let recovered = self.recovered(instance);
+    fn recover_pending(&mut self, instance: usize) {
+        let recovered = self.recovered_messages(instance);
         let inputs: Vec<_> =
             recovered.iter().flat_map(|message| message.inputs(&self.scenario.service_classes)).collect();
-        self.hand_inputs(instance, &inputs);
+        self.process_inputs(instance, &inputs);
     }
 
-    fn recovered(&self, instance: usize) -> Vec<Recovered> {
+    fn recovered_messages(&self, instance: usize) -> Vec<Recovered> {
         let host = &self.instances[instance];
         let recover = |(message_id, message): (&MessageId, &PendingMessage)| Recovered {
             message_id: *message_id,
@@ -116,7 +117,7 @@
             deadline: message.deadline.max(self.clock.now()) - host.epoch,
             destination: message.destination,
             attempts: message.attempts,
-            may_have_run: message.may_have_run.values().min().map(|(at, entry)| {
+            first_possible_execution: message.possible_executions.values().min().map(|(at, entry)| {
                 let endpoint = self.discovery.entries[*entry].name.clone();
                 (*at - host.epoch, endpoint)
             }),
--- a/crates/quillhub-simulator/src/simulation/servers.rs
+++ b/crates/quillhub-simulator/src/simulation/servers.rs
@@ -12,78 +12,78 @@
 use std::time::Duration;
 
 /// Share of the calls that run though their endpoint hangs: what is caught there may or may not have run.
-const RUNS_UNHEARD: f64 = 0.5;
+const HUNG_CALL_EXECUTION_SHARE: f64 = 0.5;
 
 impl Simulation<'_> {
     /// A call is at its endpoint.
-    pub(super) fn call_arrives(&mut self, number: u64) {
+    pub(super) fn admit_call(&mut self, number: u64) {
         let Some(call) = self.calls.get(&number) else { return };
         let Call { instance, message_id, attempt, server, .. } = *call;
-        self.fact(&Fact::AttemptArrived { instance, message_id, attempt });
+        self.record_fact(&Fact::AttemptArrived { instance, message_id, attempt });
         let arrived = self.site.admit(server, self.clock.now(), &mut self.rng);
         if arrived.overloads_route {
             self.route_overloaded(server);
         }
         match arrived.admission {
             Admission::Reset => self.answer_call(number, AttemptOutcome::ConnectionReset, false),
-            Admission::Unanswered => self.call_hangs(number),
+            Admission::Unanswered => self.hang_call(number),
             Admission::Rejected(wait) => {
-                self.record.tally.rejected_calls += 1;
+                self.recorder.tally.rejected_calls += 1;
                 self.answer_call(number, AttemptOutcome::Rejected { retry_after: wait }, true);
             }
-            Admission::Failed(time) => self.call_fails(number, time),
-            Admission::Started => self.begin(number, server),
+            Admission::Failed(time) => self.fail_call(number, time),
+            Admission::Started => self.begin_call(number, server),
             Admission::Queued => self.site.enqueue(server, number),
         }
     }
 
     /// A route that got too many calls while it was cold stays down.
     fn route_overloaded(&mut self, server: usize) {
-        self.fact(&Fact::RouteOverloaded { route: self.site.servers[server].route });
+        self.record_fact(&Fact::RouteOverloaded { route: self.site.servers[server].route });
         for server in self.site.route_servers(server) {
-            self.strike_server(server, Site::OVERLOAD_FAULT, ServerFault::Refuses);
+            self.begin_server_fault(server, Site::OVERLOAD_FAULT, ServerFault::Refuses);
         }
     }
 
     /// A call is caught in a server that answers nothing.
-    fn call_hangs(&mut self, number: u64) {
-        if self.rng.random::<f64>() < RUNS_UNHEARD {
-            self.effect(number);
+    fn hang_call(&mut self, number: u64) {
+        if self.rng.random::<f64>() < HUNG_CALL_EXECUTION_SHARE {
+            self.execute(number);
         }
-        self.leave_endpoint(number);
+        self.finish_at_endpoint(number);
     }
 
     /// A call ends with an error after `time`.
-    fn call_fails(&mut self, number: u64, time: Duration) {
-        let delay = self.way_back(number);
-        self.leave_endpoint(number);
+    fn fail_call(&mut self, number: u64, time: Duration) {
+        let delay = self.response_delay(number);
+        self.finish_at_endpoint(number);
         if let Some(delay) = delay {
             let end = CallEnd::answered(AttemptOutcome::Failed);
-            self.after(time + delay, Event::CallEnds { call: number, end });
+            self.schedule_after(time + delay, Event::CallEnds { call: number, end });
         }
     }
 
     /// A worker takes a call up.
-    fn begin(&mut self, number: u64, server: usize) {
+    fn begin_call(&mut self, number: u64, server: usize) {
         let time = self.site.begin_call(server, self.clock.now(), &mut self.rng);
         if let Some(call) = self.calls.get(&number) {
-            self.record.tally.queued(self.clock.now() - call.started);
+            self.recorder.tally.queued(self.clock.now() - call.started);
         }
         let effect = time.mul_f64(self.rng.random());
-        self.after(effect, Event::TakesEffect { call: number });
-        self.after(time, Event::Served { call: number, server });
+        self.schedule_after(effect, Event::CallExecutes { call: number });
+        self.schedule_after(time, Event::CallCompletes { call: number, server });
     }
 
     /// What a call asks for takes place at its destination.
-    pub(super) fn effect(&mut self, number: u64) {
+    pub(super) fn execute(&mut self, number: u64) {
         let Some(call) = self.calls.get(&number).filter(|call| call.at_endpoint) else { return };
         let Call { message_id, request, attempt, .. } = *call;
         let server = &self.site.servers[call.server];
         let service_class = &self.scenario.service_classes[call.service_class];
         let zone = service_class.per_zone.then_some(server.zone);
         let key = IdempotencyKey { destination: server.destination, zone, request };
-        let effect = self.effects.run(self.clock.now(), key, service_class);
-        self.fact(&Fact::Executed {
+        let effect = self.effects.execute(self.clock.now(), key, service_class);
+        self.record_fact(&Fact::Executed {
             message_id,
             request,
             attempt,
@@ -93,26 +93,26 @@
     }
 
     /// A worker has finished a call; it takes up the next.
-    pub(super) fn served(&mut self, number: u64, server: usize) {
+    pub(super) fn complete_call(&mut self, number: u64, server: usize) {
         if !self.calls.get(&number).is_some_and(|call| call.at_endpoint) {
             return; // cut off in the midst of it; its worker was freed then
         }
         if let Some(next) = self.site.end_call(server) {
-            self.begin(next, server);
+            self.begin_call(next, server);
         }
         let lost = self.site.response_faults(server).lost;
         if self.rng.random::<f64>() < lost {
-            return self.leave_endpoint(number);
+            return self.finish_at_endpoint(number);
         }
         self.answer_call(number, AttemptOutcome::Delivered, true);
     }
 
     /// Nothing more happens to a call at its endpoint.
-    fn leave_endpoint(&mut self, number: u64) {
+    fn finish_at_endpoint(&mut self, number: u64) {
         if let Some(call) = self.calls.get_mut(&number) {
             call.at_endpoint = false;
         }
-        self.drop_if_over(number);
+        self.forget_if_done(number);
     }
 
     /// The answer goes back to the instance, if anything gets through.
@@ -120,57 +120,58 @@
         let Some(call) = self.calls.get(&number) else { return };
         let awaited = call.awaited;
         let load_report = self.site.load_report(call.server, self.clock.now());
-        let delay = self.way_back(number);
-        self.leave_endpoint(number);
+        let delay = self.response_delay(number);
+        self.finish_at_endpoint(number);
         if let Some(delay) = delay.filter(|_| awaited) {
             let end = CallEnd { outcome, reusable, load_report };
-            self.after(delay, Event::CallEnds { call: number, end });
+            self.schedule_after(delay, Event::CallEnds { call: number, end });
         }
     }
 
     /// The time from a call's endpoint back to its instance; nothing if it is lost on the way.
-    fn way_back(&mut self, number: u64) -> Option<Duration> {
+    fn response_delay(&mut self, number: u64) -> Option<Duration> {
         let Call { instance, server, .. } = self.calls[&number];
         let (from, to) = (self.site.servers[server].zone, self.instances[instance].zone);
         self.paths.transit_time(&mut self.rng, from, to)
     }
 
     /// A fault begins at a server.
-    pub(super) fn strike_server(&mut self, server: usize, number: usize, fault: ServerFault) {
+    pub(super) fn begin_server_fault(&mut self, server: usize, number: usize, fault: ServerFault) {
         self.site.apply_fault(server, number, fault);
         if fault == ServerFault::Refuses {
-            self.cut_off_calls(server);
+            self.reset_calls(server);
         }
-        self.route_changes(self.site.servers[server].route);
+        self.update_route(self.site.servers[server].route);
     }
 
     /// Resets the connections that stood at a server.
-    fn cut_off_calls(&mut self, server: usize) {
+    fn reset_calls(&mut self, server: usize) {
         let at_server = self.calls.iter().filter(|(_, call)| call.server == server);
-        let calls: Vec<_> = at_server.map(|(number, call)| (*number, call.connected)).collect();
-        for (number, _) in calls.iter().filter(|(_, connected)| *connected) {
-            self.reset(*number);
+        let calls: Vec<_> = at_server.map(|(number, call)| (*number, call.has_connection)).collect();
+        for (number, _) in calls.iter().filter(|(_, has_connection)| *has_connection) {
+            self.reset_call(*number);
         }
         for (number, _) in calls {
-            self.leave_endpoint(number);
+            self.finish_at_endpoint(number);
         }
     }
 
-    fn reset(&mut self, number: u64) {
-        if let Some(delay) = self.way_back(number) {
-            let begun = self.calls[&number].begun;
-            let outcome = if begun { AttemptOutcome::ConnectionReset } else { AttemptOutcome::ConnectFailed };
+    fn reset_call(&mut self, number: u64) {
+        if let Some(delay) = self.response_delay(number) {
+            let request_sent = self.calls[&number].request_sent;
+            let outcome =
+                if request_sent { AttemptOutcome::ConnectionReset } else { AttemptOutcome::ConnectFailed };
             self.end_after(delay, number, outcome);
         }
     }
 
     /// Records that a route is out or back, if that is new.
-    pub(super) fn route_changes(&mut self, route: usize) {
+    pub(super) fn update_route(&mut self, route: usize) {
         match self.site.update_route(route, self.clock.now()) {
-            Some(RouteChange::Down) => self.fact(&Fact::RouteDown { route }),
+            Some(RouteChange::Down) => self.record_fact(&Fact::RouteDown { route }),
             Some(RouteChange::Recovered) => {
                 let milli_per_s = (self.site.routes[route].per_s * 1_000.0) as u64;
-                self.fact(&Fact::RouteRecovered { route, milli_per_s });
+                self.record_fact(&Fact::RouteRecovered { route, milli_per_s });
             }
             None => {}
         }
