--- a/crates/quillhub-simulator/src/simulation/clock.rs
+++ b/crates/quillhub-simulator/src/simulation/clock.rs
@@ -1,18 +1,19 @@
-//! The clock of a run: virtual time, and the queue of the events that are scheduled. Events come by instant, and
-//! those of one instant in the order in which they were scheduled.
+//! Clock of a run: virtual time and the queue of scheduled events.
+//!
+//! Events are processed in order of their time, and those of the same time in the order in which they were scheduled.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// An event in the queue: its instant, its number in the order of scheduling, and the slot that holds it.
+/// Entry of the queue: time of the event, its number in the order of scheduling, and its slot.
 type Scheduled = Reverse<(Duration, u64, usize)>;
 
-/// Virtual time since the start of the run, and what is scheduled.
+/// Virtual time since the start of the run, and the scheduled events.
 pub(super) struct Clock<E> {
     now: Duration,
     queue: BinaryHeap<Scheduled>,
-    /// Scheduled events; a slot is used again once its event has come.
+    /// Scheduled events; a slot is reused after its event was processed.
     slots: Vec<Option<E>>,
     free_slots: Vec<usize>,
     schedule_count: u64,
@@ -33,12 +34,12 @@
         self.now
     }
 
-    /// The instant of the next event, if one is scheduled.
+    /// Returns the time of the next event, if one is scheduled.
     pub(super) fn next_time(&self) -> Option<Duration> {
         self.queue.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Schedules an event for an instant.
+    /// Schedules an event at a time since the start of the run.
     pub(super) fn schedule(&mut self, at: Duration, event: E) {
         let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.slots.push(None);
@@ -49,7 +50,7 @@
         self.queue.push(Reverse((at, self.schedule_count, slot)));
     }
 
-    /// Moves on to the next event and takes it out.
+    /// Advances the time to the next event, and removes the event from the queue.
     pub(super) fn advance(&mut self) -> Option<E> {
         let Reverse((at, _, slot)) = self.queue.pop()?;
         self.now = at;
--- a/crates/quillhub-simulator/src/simulation/clock_tests.rs
+++ b/crates/quillhub-simulator/src/simulation/clock_tests.rs
@@ -1,9 +1,10 @@
-//! The order of events, and the reuse of slots.
+//! Order of events, and reuse of slots.
 
 use super::*;
 
 #[test]
-fn events_come_by_instant_and_then_in_the_order_of_scheduling() {
+fn events_are_ordered_by_time_and_then_by_scheduling() {
+    // Guards against events of the same time in an arbitrary order, which would make runs irreproducible.
     let mut clock = Clock::new();
     let second = Duration::from_secs(1);
     for (at, event) in [(second * 2, 'c'), (second, 'a'), (second * 2, 'd'), (second, 'b')] {
@@ -14,7 +15,8 @@
 }
 
 #[test]
-fn slots_are_used_again() {
+fn slots_are_reused() {
+    // Guards against memory that grows with the number of events of a run.
     let mut clock = Clock::new();
     for event in 0..100 {
         clock.schedule(Duration::from_secs(event), event);
