--- a/crates/quillhub-simulator/src/simulation/calls.rs
+++ b/crates/quillhub-simulator/src/simulation/calls.rs
@@ -1,4 +1,4 @@
-//! The instance's side of a call: its connection, its first byte, and how it ends.
+//! Instance's end of a call: its connection, the sending of its request, and its outcome.
 
 use super::Simulation;
 use super::event::{CallEnd, Event};
@@ -8,10 +8,10 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// A call, from the instance's decision until neither side knows of it any more.
+/// Call of an attempt, from the decider's request until it is over for the instance and for the endpoint.
 pub(super) struct Call {
     pub(super) instance: usize,
-    /// The instance's incarnation that made it.
+    /// Incarnation of the instance that started the call.
     pub(super) incarnation: u32,
     pub(super) message_id: MessageId,
     pub(super) request: u64,
@@ -19,18 +19,19 @@
     pub(super) attempt: u32,
     pub(super) server: usize,
     pub(super) started: Duration,
-    /// The instance has not learned of its end.
+    /// `true` until the instance learns the outcome.
     pub(super) awaited: bool,
-    /// It holds a connection of its server.
+    /// `true` while the call occupies a connection to its server.
     pub(super) has_connection: bool,
-    /// Its endpoint has yet to finish it.
+    /// `true` while the request is on its way to the endpoint or being handled there.
     pub(super) at_endpoint: bool,
-    /// Its first byte has left, so it may have run.
+    /// `true` once the first byte was sent, so that the message may have been executed.
     pub(super) request_sent: bool,
 }
 
 impl Simulation<'_> {
-    /// A decider asks for an attempt. What makes no sense the auditor sees, and nothing leaves.
+    /// Starts an attempt for a decider. An attempt of an unknown message or endpoint is recorded for the auditor, but
+    /// nothing is sent.
     pub(super) fn start_attempt(
         &mut self,
         instance: usize,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Keeps a call of a message that is pending; its number.
+    /// Creates the call of an attempt, and returns its number; `None` if the message is not pending.
     fn new_call(
         &mut self,
         instance: usize,
@@ -88,10 +89,10 @@
     }
 
     fn call_mut(&mut self, number: u64) -> &mut Call {
-        self.calls.get_mut(&number).expect("the caller has seen it")
+        self.calls.get_mut(&number).expect("the call was looked up before")
     }
 
-    /// The zones of a call's instance and of its server.
+    /// Returns the zones of a call's instance and of its server.
     fn zones_of_call(&self, number: u64) -> (usize, usize) {
         let call = &self.calls[&number];
         (self.instances[call.instance].zone, self.site.servers[call.server].zone)
@@ -123,7 +124,7 @@
         let (instance_zone, server_zone) = self.zones_of_call(number);
         let round_trip = self.round_trip(instance_zone, server_zone);
         let network = &self.scenario.network;
-        // Not up in time: nothing left, so nothing ran.
+        // If the connection is not established in time, nothing is sent, so nothing is executed.
         self.end_after(timeout.min(network.connecting), number, AttemptOutcome::ConnectFailed);
         let server = &self.site.servers[self.calls[&number].server];
         let Some(round_trip) = round_trip.filter(|_| !server.is_silent()) else { return };
@@ -132,30 +133,31 @@
         if is_gone || server.refuses() || !accepts_connection && !kind.reports {
             self.end_after(round_trip, number, AttemptOutcome::ConnectFailed);
         } else if !accepts_connection {
-            // The connection comes up, and its first call is rejected without a report.
+            // The connection is established, and its first call is rejected without a load report.
             self.end_after(round_trip * 2 + network.handshake, number, AttemptOutcome::ConnectionLimit);
         } else {
             let setup_time = round_trip + network.handshake + server.extra_handshake();
             self.take_connection(number);
             self.schedule_after(setup_time, Event::Connected { call: number });
-            // The rest of its attempt timeout runs from its first byte's connection on, as for a kept one.
+            // The attempt timeout starts with the attempt, as it does on an idle connection.
             self.end_after(timeout, number, AttemptOutcome::TimedOut);
         }
     }
 
-    /// The time to a zone and back; nothing if either way is lost.
+    /// Draws the time to a zone and back; `None` if either transmission is lost.
     fn round_trip(&mut self, instance_zone: usize, server_zone: usize) -> Option<Duration> {
         let to = self.paths.transit_time(&mut self.rng, instance_zone, server_zone);
         let back = self.paths.transit_time(&mut self.rng, server_zone, instance_zone);
         Some(to? + back?)
     }
 
-    /// A call ends so after a while, unless it ended before; its connection is of no use then.
+    /// Ends a call with `outcome` after `wait`, unless it ends earlier. Its connection cannot be reused.
     pub(super) fn end_after(&mut self, wait: Duration, number: u64, outcome: AttemptOutcome) {
         self.schedule_after(wait, Event::CallEnds { call: number, end: CallEnd::broken(outcome) });
     }
 
-    /// A call's connection is up: its decider is asked once more, where hosts do so, then its first byte leaves.
+    /// Sends the request of a call whose connection is established. In scenarios with
+    /// [`checks_before_first_byte`](crate::Instances::checks_before_first_byte), the decider may cancel it.
     pub(super) fn finish_connecting(&mut self, number: u64) {
         let Some(call) = self.calls.get(&number).filter(|call| call.awaited) else { return };
         let host = &self.instances[call.instance];
@@ -169,7 +171,7 @@
         }
     }
 
-    /// A call's first byte leaves the instance.
+    /// Sends the first byte of a call's request.
     fn send_request(&mut self, number: u64) {
         let call = self.call_mut(number);
         call.request_sent = true;
@@ -182,11 +184,11 @@
         }
     }
 
-    /// The instance hears how a call ended; only its first end counts.
+    /// Reports the outcome of a call to its instance. Only the first outcome of a call counts.
     pub(super) fn end_call(&mut self, number: u64, end: CallEnd) {
         let Some(call) = self.calls.get_mut(&number).filter(|call| call.awaited) else { return };
-        // A connection that is not up in time ends so only if nothing has left by then; a call is not timed out
-        // before its first byte, as nothing was asked then.
+        // The connect timeout applies only until the request is sent. An attempt timeout before that is a failure to
+        // connect, because the message cannot have been executed.
         let outcome = match end.outcome {
             AttemptOutcome::ConnectFailed if call.request_sent => return,
             AttemptOutcome::TimedOut if !call.request_sent => AttemptOutcome::ConnectFailed,
@@ -213,7 +215,7 @@
         self.process_inputs(instance, &[Input::AttemptEnded(result)]);
     }
 
-    /// A call gives its connection back, or closes it.
+    /// Makes a call's connection idle if it is reusable, and closes it otherwise.
     fn release_connection(&mut self, number: u64, reusable: bool) {
         let call = self.call_mut(number);
         let Call { instance, incarnation, server, .. } = *call;
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Keeps what an outcome proves: that the attempt never ran, or that the message is delivered.
+    /// Updates a message by what an outcome proves: the attempt was never executed, or the message is delivered.
     fn record_outcome(
         &mut self,
         instance: usize,
@@ -244,14 +246,14 @@
         }
     }
 
-    /// Forgets a call that neither side knows of any more.
+    /// Removes a call that is over for both its instance and its endpoint.
     pub(super) fn forget_if_done(&mut self, number: u64) {
         if self.calls.get(&number).is_some_and(|call| !call.awaited && !call.at_endpoint) {
             self.calls.remove(&number);
         }
     }
 
-    /// An instance died: its connections are closed, and nobody waits for its calls any more.
+    /// Closes the connections of an instance that crashed, and stops waiting for its calls.
     pub(super) fn drop_calls(&mut self, instance: usize) {
         let calls: Vec<_> =
             self.calls.iter().filter(|(_, call)| call.instance == instance).map(|call| *call.0).collect();
@@ -265,7 +267,7 @@
         }
     }
 
-    /// What an oracle may know: calls that the endpoint can begin at once.
+    /// Returns the number of calls that an endpoint can start at once, for an oracle; 0 if the instance cannot reach it.
     pub(super) fn true_capacity(&self, instance: usize, endpoint: &str) -> usize {
         let Some(entry) = self.discovery.find(endpoint) else { return 0 };
         let entry = &self.discovery.entries[entry];
