--- a/crates/quillhub-simulator/src/simulation/effects.rs
+++ b/crates/quillhub-simulator/src/simulation/effects.rs
@@ -1,40 +1,40 @@
-//! Effects at destinations: deduplication by idempotency key, and effects that must not come twice.
+//! Executions at destinations: deduplication by idempotency key, and detection of duplicate effects.
 
 use crate::scenario::{RetrySafetyKind, ServiceClassSpec};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// An idempotency key as a destination remembers it.
+/// Idempotency key of a message at its destination.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct IdempotencyKey {
     pub(super) destination: usize,
-    /// Where endpoints of one zone share their memory and no others: that zone.
+    /// Zone whose endpoints share the key; `None` if all endpoints of the destination do.
     pub(super) zone: Option<usize>,
-    /// The client's message that it stands for.
+    /// Number of the client's request, which stays the same when the client submits its message again.
     pub(super) request: u64,
 }
 
-/// What became of a call at its destination.
+/// Effect of a call at its destination.
 pub(super) struct Effect {
-    /// The destination knew the key and dropped the call.
+    /// `true` if the destination knew the key and dropped the call.
     pub(super) deduplicated: bool,
-    /// The same request had its effect before, and must not have it again.
+    /// `true` if the request was executed before and must not be executed twice.
     pub(super) duplicate: bool,
 }
 
-/// What all destinations remember, and what took effect at them.
+/// Idempotency keys remembered by all destinations, and the requests executed there.
 #[derive(Default)]
 pub(super) struct Effects {
-    /// Keys that destinations remember, and until when.
+    /// Remembered keys, with the ends of their deduplication windows.
     remembered: BTreeMap<IdempotencyKey, Duration>,
-    /// The ends of deduplication windows; forgotten in the order of their first calls.
+    /// Ends of deduplication windows, in the order of the keys' first calls.
     window_ends: VecDeque<(Duration, IdempotencyKey)>,
-    /// Requests whose effect must not come twice and came once. All of a run: a retry may come late.
+    /// Executed requests that must not be executed twice. Kept for the whole run, because a retry may arrive late.
     executed: BTreeSet<u64>,
 }
 
 impl Effects {
-    /// A call runs at its destination.
+    /// Executes a call at its destination.
     pub(super) fn execute(
         &mut self,
         now: Duration,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether the destination knows the key; if not, it remembers it from now on.
+    /// Returns `true` if the destination knows the key; otherwise the destination remembers it for `window`.
     fn check_and_remember(&mut self, now: Duration, key: IdempotencyKey, window: Duration) -> bool {
         let window_end = now + window;
         let until = *self.remembered.entry(key).or_insert_with(|| {
--- a/crates/quillhub-simulator/src/simulation/servers.rs
+++ b/crates/quillhub-simulator/src/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! The endpoint's side of a call: what its server does with it, its effect, and its answer.
+//! Endpoint's end of a call: its admission, its execution, and its response.
 
 use super::Simulation;
 use super::calls::Call;
@@ -11,11 +11,11 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Share of the calls that run though their endpoint hangs: what is caught there may or may not have run.
+/// Share of the calls to a hung endpoint that are executed, because a call without a response may or may not have been.
 const HUNG_CALL_EXECUTION_SHARE: f64 = 0.5;
 
 impl Simulation<'_> {
-    /// A call is at its endpoint.
+    /// Handles the arrival of a call at its endpoint.
     pub(super) fn admit_call(&mut self, number: u64) {
         let Some(call) = self.calls.get(&number) else { return };
         let Call { instance, message_id, attempt, server, .. } = *call;
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A route that got too many calls while it was cold stays down.
+    /// Takes a route down that was overloaded during its recovery. It stays down for the rest of the run.
     fn route_overloaded(&mut self, server: usize) {
         self.record_fact(&Fact::RouteOverloaded { route: self.site.servers[server].route });
         for server in self.site.route_servers(server) {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A call is caught in a server that answers nothing.
+    /// Leaves a call at a hung server without a response.
     fn hang_call(&mut self, number: u64) {
         if self.rng.random::<f64>() < HUNG_CALL_EXECUTION_SHARE {
             self.execute(number);
@@ -53,7 +53,7 @@
         self.finish_at_endpoint(number);
     }
 
-    /// A call ends with an error after `time`.
+    /// Ends a call with an error that the server returns after `time`.
     fn fail_call(&mut self, number: u64, time: Duration) {
         let delay = self.response_delay(number);
         self.finish_at_endpoint(number);
@@ -63,7 +63,7 @@
         }
     }
 
-    /// A worker takes a call up.
+    /// Starts a call on a worker of `server`, and schedules its execution and its completion.
     fn begin_call(&mut self, number: u64, server: usize) {
         let time = self.site.begin_call(server, self.clock.now(), &mut self.rng);
         if let Some(call) = self.calls.get(&number) {
@@ -74,7 +74,7 @@
         self.schedule_after(time, Event::CallCompletes { call: number, server });
     }
 
-    /// What a call asks for takes place at its destination.
+    /// Executes a call at its destination, unless the server has dropped it.
     pub(super) fn execute(&mut self, number: u64) {
         let Some(call) = self.calls.get(&number).filter(|call| call.at_endpoint) else { return };
         let Call { message_id, request, attempt, .. } = *call;
@@ -92,10 +92,10 @@
         });
     }
 
-    /// A worker has finished a call; it takes up the next.
+    /// Completes a call, sends its response, and starts the next queued call on the worker.
     pub(super) fn complete_call(&mut self, number: u64, server: usize) {
         if !self.calls.get(&number).is_some_and(|call| call.at_endpoint) {
-            return; // cut off in the midst of it; its worker was freed then
+            return; // the connection was reset during the call, which also freed its worker
         }
         if let Some(next) = self.site.end_call(server) {
             self.begin_call(next, server);
@@ -107,7 +107,7 @@
         self.answer_call(number, AttemptOutcome::Delivered, true);
     }
 
-    /// Nothing more happens to a call at its endpoint.
+    /// Marks a call as over for its endpoint.
     fn finish_at_endpoint(&mut self, number: u64) {
         if let Some(call) = self.calls.get_mut(&number) {
             call.at_endpoint = false;
@@ -115,7 +115,7 @@
         self.forget_if_done(number);
     }
 
-    /// The answer goes back to the instance, if anything gets through.
+    /// Sends the response of a call to its instance; the response may be lost.
     fn answer_call(&mut self, number: u64, outcome: AttemptOutcome, reusable: bool) {
         let Some(call) = self.calls.get(&number) else { return };
         let awaited = call.awaited;
@@ -128,14 +128,14 @@
         }
     }
 
-    /// The time from a call's endpoint back to its instance; nothing if it is lost on the way.
+    /// Draws the time from a call's endpoint back to its instance; `None` if the response is lost.
     fn response_delay(&mut self, number: u64) -> Option<Duration> {
         let Call { instance, server, .. } = self.calls[&number];
         let (from, to) = (self.site.servers[server].zone, self.instances[instance].zone);
         self.paths.transit_time(&mut self.rng, from, to)
     }
 
-    /// A fault begins at a server.
+    /// Applies a fault to a server; one that refuses connections also resets the calls there.
     pub(super) fn begin_server_fault(&mut self, server: usize, number: usize, fault: ServerFault) {
         self.site.apply_fault(server, number, fault);
         if fault == ServerFault::Refuses {
@@ -144,7 +144,7 @@
         self.update_route(self.site.servers[server].route);
     }
 
-    /// Resets the connections that stood at a server.
+    /// Resets the connections of a server, and drops the calls there.
     fn reset_calls(&mut self, server: usize) {
         let at_server = self.calls.iter().filter(|(_, call)| call.server == server);
         let calls: Vec<_> = at_server.map(|(number, call)| (*number, call.has_connection)).collect();
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Records that a route is out or back, if that is new.
+    /// Records that a route went down or recovered, if its availability changed.
     pub(super) fn update_route(&mut self, route: usize) {
         match self.site.update_route(route, self.clock.now()) {
             Some(RouteChange::Down) => self.record_fact(&Fact::RouteDown { route }),
