--- a/crates/quillhub-simulator/src/simulation/clients.rs
+++ b/crates/quillhub-simulator/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: messages arrive, are handed to instances as the front deals them out, and come again.
+//! Clients and the load balancer: submission of messages to instances, their outcomes, and retries by clients.
 
 use super::Simulation;
 use super::event::Event;
@@ -11,12 +11,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest wait of a client that found its instance dead, before it tries another.
+/// Maximum wait of a client whose instance does not respond, before it submits the message again.
 const MAX_FAILOVER_WAIT: Duration = Duration::from_millis(300);
-/// Part of its longest wait that a client waits at least, and the whole: it draws evenly between them.
+/// Range of shares of its maximum wait from which a client draws its wait uniformly.
 const CLIENT_WAIT_SHARES: std::ops::Range<f64> = 0.5..1.0;
 
-/// Destinations that get more than their share of all messages while a fault lasts.
+/// Destinations whose share of the messages is multiplied by a factor during a fault.
 pub(super) struct HotSpot {
     pub(super) fault: usize,
     pub(super) destinations: Vec<usize>,
@@ -24,7 +24,7 @@
 }
 
 impl Simulation<'_> {
-    /// Schedules the next arrival of a stream, if there is one.
+    /// Schedules the next arrival of a stream, unless the stream has ended.
     pub(super) fn schedule_arrival(&mut self, stream: usize) {
         let arrivals = &self.scenario.arrivals[stream];
         let next = self.streams[stream].next_arrival(arrivals, self.clock.now(), self.scenario);
@@ -33,6 +33,7 @@
         }
     }
 
+    /// Creates and submits the messages of an arrival, and schedules the next arrival of its stream.
     pub(super) fn create_messages(&mut self, stream: usize, count: u64) {
         let arrivals = &self.scenario.arrivals[stream];
         let destination = self.streams[stream].draw_destination(arrivals, &self.shares);
@@ -50,7 +51,7 @@
         self.schedule_arrival(stream);
     }
 
-    /// A client hands its message to an instance.
+    /// Submits a client's message to an instance, or gives it up if its deadline has passed.
     pub(super) fn submit(&mut self, number: u64) {
         let Some(request) = self.requests.get(&number).cloned() else { return };
         let deadline = request.created_at + self.scenario.service_classes[request.service_class].deadline;
@@ -59,7 +60,8 @@
         }
         let instance = self.instance_for(&request);
         if !self.instances[instance].alive {
-            // The front does not know yet, or the sidecar is down: the client comes again in a while.
+            // The load balancer has not noticed the crash yet, or the stream is bound to this instance: the client
+            // retries after a wait.
             let wait = MAX_FAILOVER_WAIT.mul_f64(self.balancer_rng.random_range(CLIENT_WAIT_SHARES));
             return self.schedule_after(wait, Event::Submission { request: number });
         }
@@ -69,7 +71,8 @@
         self.accept(instance, number, &request, deadline);
     }
 
-    /// The instance that a message goes to: its client's own one, or the one that the front picks.
+    /// Returns the instance that gets a message: the one that its stream is bound to, or one chosen by the load
+    /// balancer.
     fn instance_for(&mut self, request: &ClientRequest) -> usize {
         match self.scenario.arrivals[request.stream].instance {
             Some(number) => number as usize - 1,
@@ -77,7 +80,7 @@
         }
     }
 
-    /// One of the instances that the front takes for alive, by chance; the first if there is none.
+    /// Draws one of the instances that the load balancer assumes to be alive; returns the first if there is none.
     fn pick_instance(&mut self) -> usize {
         let now = self.clock.now();
         let is_assumed_alive = |host: &InstanceHost| host.alive || host.assumed_alive_until > now;
@@ -93,7 +96,7 @@
         candidates.get(nth).copied().unwrap_or(0)
     }
 
-    /// An instance accepts a message, and its decider gets it as an input.
+    /// Adds a message to the pending messages of an instance, and reports it to the decider.
     fn accept(&mut self, instance: usize, number: u64, request: &ClientRequest, deadline: Duration) {
         let service_class = &self.scenario.service_classes[request.service_class];
         let message_id = self.next_number();
@@ -132,7 +135,7 @@
         self.process_inputs(instance, &[Input::Message(message)]);
     }
 
-    /// A client hears the final outcome of its message.
+    /// Gives a message its final outcome, and reports it to the client.
     pub(super) fn finish(&mut self, instance: usize, message_id: MessageId, outcome: FinalOutcome) {
         self.record_fact(&Fact::Finished { instance, message_id, outcome });
         let Some(message) = self.instances[instance].pending.remove(&message_id) else { return };
@@ -143,20 +146,21 @@
         }
     }
 
+    /// Ends a request whose message was delivered.
     fn complete_request(&mut self, number: u64) {
         if let Some(request) = self.requests.remove(&number) {
             self.recorder.tally.over(self.clock.now(), request.service_class, request.created_at, true);
         }
     }
 
-    /// Its client gives a message up, or it is lost.
+    /// Ends a request without delivery: its client gives up, or the message is lost.
     pub(super) fn give_up(&mut self, number: u64) {
         if let Some(request) = self.requests.remove(&number) {
             self.recorder.tally.over(self.clock.now(), request.service_class, request.created_at, false);
         }
     }
 
-    /// A client comes again with a rejected message after a while, a bounded number of times.
+    /// Schedules another submission of a rejected message, or gives it up after the allowed number of retries.
     fn retry_rejected(&mut self, number: u64, retry_after: Option<Duration>) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         request.rejections += 1;
@@ -167,12 +171,12 @@
         self.schedule_after(wait, Event::Submission { request: number });
     }
 
-    /// How long a client waits before it comes again.
+    /// Draws the time until a client submits a message again.
     pub(super) fn draw_client_wait(&mut self) -> Duration {
         self.scenario.clients.backoff.mul_f64(self.rng.random_range(CLIENT_WAIT_SHARES))
     }
 
-    /// Divides the messages among the destinations anew, by what is hot.
+    /// Recomputes the destinations' shares of the messages after a change of the hot spots.
     pub(super) fn update_shares(&mut self) {
         self.shares = Shares::new(self.scenario, |destination| {
             let hot_spots = self.hot_spots.iter().filter(|spot| spot.destinations.contains(&destination));
@@ -180,7 +184,7 @@
         });
     }
 
-    /// More messages come in a stream, or in all, while a fault lasts.
+    /// Multiplies the rate of a stream, or of all if `stream` is `None`, until the fault ends.
     pub(super) fn begin_surge(&mut self, fault: usize, stream: Option<usize>, factor: f64) {
         let streams = self.streams.iter_mut().enumerate();
         let affected = streams.filter(|(at, _)| stream.is_none_or(|one| one == *at));
