--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! Service discovery: the endpoint list, and when instances hear of it.
+//! Service discovery: the endpoint list, and the delivery of its updates to instances.
 
 use super::Simulation;
 use super::event::{DiscoveryFault, Entries, Event, ListChange};
@@ -11,21 +11,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long a call to service discovery takes to fail when that is out of reach.
+/// Time until a request to service discovery fails while it is unreachable.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One entry of the endpoint list.
+/// Entry of the endpoint list.
 pub(super) struct Entry {
     pub(super) name: String,
     pub(super) server: usize,
     destination: DestinationId,
     pub(super) state: EndpointState,
-    /// Nothing listens there any more.
+    /// `true` once nothing listens at the endpoint's address any more.
     pub(super) removed: bool,
     rate: Option<f64>,
 }
 
-/// The endpoint list, and what is wrong with service discovery. Entries are never taken out, as calls may name them.
+/// Endpoint list, and the active faults of service discovery. Entries are never deleted, because calls refer to them.
 #[derive(Default)]
 pub(super) struct Discovery {
     pub(super) entries: Vec<Entry>,
@@ -34,7 +34,7 @@
 }
 
 impl Discovery {
-    /// The entry of that name.
+    /// Returns the number of the entry with a name.
     pub(super) fn find(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).copied()
     }
@@ -46,14 +46,14 @@
         number
     }
 
-    /// The whole list as it is.
+    /// Returns the full list in its current state.
     fn snapshot(&self) -> Entries {
         let listed =
             self.entries.iter().enumerate().filter(|(_, entry)| entry.state != EndpointState::Removed);
         listed.map(|(number, entry)| (number, entry.state)).collect()
     }
 
-    /// Entries that calls may go to.
+    /// Returns the entries that may be called.
     pub(super) fn available(&self) -> impl Iterator<Item = (usize, &Entry)> {
         self.entries.iter().enumerate().filter(|(_, entry)| entry.state == EndpointState::Available)
     }
@@ -64,7 +64,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    /// Adds an entry for a server to the endpoint list.
+    /// Adds an entry for a server to the endpoint list, and returns its number.
     pub(super) fn list_server(&mut self, server: usize) -> usize {
         let name = format!("e{}", self.discovery.entries.len() + 1);
         let server_state = &self.site.servers[server];
@@ -83,7 +83,7 @@
         })
     }
 
-    /// What is listed of a server's rate.
+    /// Returns the rate that is listed for a server, in calls per second, if the scenario lists rates.
     fn listed_rate(&self, server: usize) -> Option<f64> {
         let server_state = &self.site.servers[server];
         let per_s = self.site.route_rate(server_state.route);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Every watch fails, each at a moment of its own.
+    /// Makes every watch fail, each after its own random delay.
     fn break_watches(&mut self) {
         for instance in 0..self.instances.len() {
             let host = &self.instances[instance];
@@ -124,7 +124,7 @@
         }
     }
 
-    /// An instance hears that its call to service discovery failed.
+    /// Reports a failed request to service discovery to its instance.
     pub(super) fn fail_discovery(&mut self, instance: usize, incarnation: u32) {
         if self.is_current(instance, incarnation) {
             self.instances[instance].is_watching = false;
@@ -132,14 +132,15 @@
         }
     }
 
-    /// How long it takes until an instance hears of a change.
+    /// Draws the time until an instance receives a change.
     fn notification_delay(&mut self) -> Duration {
         let base_delay = self.scenario.discovery.delay.mul_f64(1.0 + self.rng.random::<f64>());
         base_delay + self.discovery.faults.iter().filter_map(|fault| fault.delay).sum::<Duration>()
     }
 
-    /// Tells an instance that starts the list that it had, or the true one at its first start. Where changes are
-    /// pushed it counts as asked for, and the true list follows.
+    /// Reports the endpoint list to a starting instance: the list that it knew before a restart, or the true one at its
+    /// first start. If discovery pushes changes, the report counts as one from discovery, and after a restart the true
+    /// list follows.
     pub(super) fn report_initial_list(&mut self, instance: usize) {
         let from_discovery = self.pushes();
         let known = &self.instances[instance].known_entries;
@@ -164,7 +165,8 @@
         self.schedule_after(wait, Event::EndpointsReported { instance, incarnation, update });
     }
 
-    /// An instance asks for changes from now on; the whole list comes first.
+    /// Starts an instance's watch for changes, and sends it the full list first. The request fails if service discovery
+    /// is unreachable.
     pub(super) fn watch(&mut self, instance: usize) {
         if self.discovery.is_out_of_reach() {
             let incarnation = self.instances[instance].incarnation;
@@ -176,7 +178,7 @@
         self.send_update(instance, wait, update);
     }
 
-    /// An instance hears of endpoints.
+    /// Handles the arrival of an update from service discovery at an instance.
     pub(super) fn receive_endpoints(&mut self, instance: usize, incarnation: u32, update: ListChange) {
         if self.is_current(instance, incarnation) {
             self.report_endpoints(instance, update, true);
@@ -195,14 +197,14 @@
         self.report_to_decider(instance, &entries, is_snapshot, from_discovery);
     }
 
-    /// What an instance knows and a whole list leaves out.
+    /// Returns the entries that an instance knows and that are missing from a full list, as removed.
     fn missing_entries(&self, instance: usize, snapshot: &Entries) -> Entries {
         let named: BTreeSet<_> = snapshot.iter().map(|(entry, _)| *entry).collect();
         let known = self.instances[instance].known_entries.keys();
         known.filter(|entry| !named.contains(entry)).map(|entry| (*entry, EndpointState::Removed)).collect()
     }
 
-    /// An instance's host keeps what it learns; a fact for each change.
+    /// Stores entries in the list that an instance knows, and records a fact for each change.
     fn update_known(&mut self, instance: usize, entries: &Entries) {
         for (entry, state) in entries.iter().copied() {
             let known = &mut self.instances[instance].known_entries;
@@ -217,7 +219,7 @@
         }
     }
 
-    /// An instance's decider gets the endpoints as inputs.
+    /// Reports entries of the endpoint list to an instance's decider.
     fn report_to_decider(
         &mut self,
         instance: usize,
@@ -235,7 +237,7 @@
         self.process_inputs(instance, &inputs);
     }
 
-    /// The input for one entry.
+    /// Returns the input that reports one entry to a decider.
     fn endpoint_input<'s>(&self, endpoint: &'s str, entry: usize, state: EndpointState) -> Input<'s>
     where
         'a: 's,
@@ -252,7 +254,7 @@
         })
     }
 
-    /// An entry's state changes, and instances hear of it.
+    /// Changes the state of an entry, and sends the change to the instances.
     fn change_listing(&mut self, entry: usize, state: EndpointState) {
         self.discovery.entries[entry].state = state;
         if !self.discovery.is_out_of_reach() {
@@ -260,13 +262,13 @@
         }
     }
 
-    /// Sends the true list to all who hear.
+    /// Sends the full list to all instances that receive updates.
     pub(super) fn send_snapshot(&mut self) {
         let entries = self.discovery.snapshot();
         self.send_to_all(|| ListChange::Snapshot(entries.clone()));
     }
 
-    /// Sends a list without a share of the endpoints that a fault strikes.
+    /// Sends a list without a random share of the endpoints that a fault affects.
     pub(super) fn send_partial_snapshot(&mut self, fault: usize, scheduled: &ScheduledFault, share: f64) {
         let mut rng = chance_of_fault(self.seed, fault);
         let affected: BTreeSet<_> = self.affected_servers(fault, &scheduled.target).into_iter().collect();
@@ -278,7 +280,7 @@
         self.send_to_all(|| ListChange::Snapshot(entries.clone()));
     }
 
-    /// Sends an update to every instance that hears of changes, to each with a delay of its own.
+    /// Sends an update to every instance that receives updates, with a separate delay for each.
     fn send_to_all(&mut self, update: impl Fn() -> ListChange) {
         for instance in 0..self.instances.len() {
             let host = &self.instances[instance];
@@ -289,7 +291,7 @@
         }
     }
 
-    /// The endpoints that a fault strikes drain one after the other over its time.
+    /// Schedules the drains of the endpoints that a fault affects, spread evenly over the duration of the fault.
     pub(super) fn schedule_drains(&mut self, fault: usize, scheduled: &ScheduledFault, drain: &Drain) {
         let affected: BTreeSet<_> = self.affected_servers(fault, &scheduled.target).into_iter().collect();
         let available = self.discovery.available().filter(|(_, entry)| affected.contains(&entry.server));
@@ -310,11 +312,11 @@
 
     pub(super) fn end_drain(&mut self, entry: usize, drain: &Drain) {
         self.change_listing(entry, EndpointState::Removed);
-        // At an address that is used again, calls to the old id go on arriving.
+        // If the new endpoint uses the same address, calls to the old endpoint's name still arrive.
         self.discovery.entries[entry].removed = !(drain.replaced && drain.same_address);
     }
 
-    /// Lists a new endpoint for one that drains.
+    /// Lists a new endpoint that replaces a draining one.
     fn replace(&mut self, entry: usize, same_address: bool) {
         let old = &self.discovery.entries[entry];
         let (old_server, rate) = (old.server, old.rate);
