--- a/crates/quillhub-simulator/src/simulation/actions.rs
+++ b/crates/quillhub-simulator/src/simulation/actions.rs
@@ -1,10 +1,10 @@
-//! What a decider asks for, kept until the simulation is free to do it.
+//! Actions that a decider requests, collected until the simulation carries them out.
 
 use crate::fact::FinalOutcome;
 use quillhub::{Driver, LogEvent, MessageId};
 use std::time::Duration;
 
-/// One thing that a decider asks for; the methods of [`Driver`] say what each means.
+/// Action requested by a decider; the methods of [`Driver`] describe each one.
 pub(super) enum Action {
     StartAttempt { message: MessageId, endpoint: String, timeout: Duration },
     Finish { message: MessageId, outcome: FinalOutcome },
@@ -14,7 +14,7 @@
     Watch,
 }
 
-/// The actions of one step of a decider, in their order.
+/// Actions requested in one call of [`Decider::apply_rules`](crate::Decider::apply_rules), in order.
 #[derive(Default)]
 pub(super) struct Actions(pub(super) Vec<Action>);
 
--- a/crates/quillhub-simulator/src/simulation/instances.rs
+++ b/crates/quillhub-simulator/src/simulation/instances.rs
@@ -1,4 +1,4 @@
-//! The instances' hosts: each runs one decider, keeps the messages that it holds, and carries out what it asks for.
+//! Hosts of the gateway instances. Each runs a decider, stores its pending messages, and carries out its actions.
 
 use super::Simulation;
 use super::actions::{Action, Actions};
@@ -11,36 +11,36 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A message as its instance's host keeps it; gone with its final outcome, or with the instance's state directory.
+/// Pending message of an instance, kept until its final outcome or the loss of the instance's state directory.
 pub(super) struct PendingMessage {
     pub(super) request: u64,
     pub(super) service_class: usize,
     pub(super) destination: DestinationId,
-    /// The ordering key.
+    /// Ordering key, if the service class is ordered.
     pub(super) key: Option<u64>,
     pub(super) deadline: Duration,
     pub(super) attempts: u32,
-    /// Attempts that may have run: when they began, and at which entry of the endpoint list.
+    /// Attempts that may have been executed, by number: start time and entry of the endpoint list.
     pub(super) possible_executions: BTreeMap<u32, (Duration, usize)>,
 }
 
-/// The host of one instance; the process dies and starts again, the host stays.
+/// Host of one instance. It persists when the instance's process crashes and restarts.
 pub(super) struct InstanceHost {
     pub(super) decider: Box<dyn Decider>,
     pub(super) zone: usize,
-    /// How often the process has died: what was scheduled for an earlier one is dropped.
+    /// Number of crashes of the process. Events that were scheduled for an earlier incarnation are dropped.
     pub(super) incarnation: u32,
     pub(super) alive: bool,
-    /// Until when the process stands still.
+    /// Time until which the process is stalled.
     pub(super) stalled_until: Duration,
-    /// Until when the front does not know that it is dead.
+    /// Time until which the load balancer has not noticed the crash of the process.
     pub(super) assumed_alive_until: Duration,
-    /// The instant at which the instance's own clock began.
+    /// Time of the run at which the instance's own clock is zero.
     pub(super) epoch: Duration,
     pub(super) pending: BTreeMap<MessageId, PendingMessage>,
-    /// The endpoint list as last received; outlasts the process.
+    /// Endpoint list as last received, which survives a crash of the process.
     pub(super) known_entries: BTreeMap<usize, EndpointState>,
-    /// Whether it has a watch on service discovery.
+    /// `true` while the instance watches service discovery for changes.
     pub(super) is_watching: bool,
 }
 
@@ -61,17 +61,17 @@
     }
 }
 
-/// What is wrong with gossip between instances while a fault lasts.
+/// Active fault of the gossip between instances.
 pub(super) struct GossipFault {
     pub(super) fault: usize,
-    /// Share of the gossip messages lost.
+    /// Share of the gossip messages that are lost.
     pub(super) lost: f64,
-    /// How much later the others arrive.
+    /// Extra delay of the other gossip messages.
     pub(super) delay: Duration,
 }
 
 impl<'a> Simulation<'a> {
-    /// Starts an instance for the first time; instances start in the order of their numbers.
+    /// Starts an instance for the first time. Instances must be started in the order of their numbers.
     pub(super) fn start_instance(&mut self, instance: usize) {
         let decider = (self.make_decider)(&self.start_parameters(instance, 0));
         self.instances.push(InstanceHost::new(decider, self.zone_of_instance(instance)));
@@ -83,26 +83,26 @@
         instance % self.scenario.instances.zones.len()
     }
 
-    /// What the decider of an instance's incarnation is started with.
+    /// Returns the parameters that the decider of an instance's incarnation is created with.
     pub(super) fn start_parameters(&self, instance: usize, incarnation: u32) -> Start<'a> {
         let zone = &self.scenario.instances.zones[self.zone_of_instance(instance)];
         let seed = seeded_rng(self.seed, (instance as u64 + 1) << 32 | u64::from(incarnation)).random();
         Start { seed, zone, scenario: self.scenario }
     }
 
-    /// Whether that incarnation of an instance goes on.
+    /// Returns `true` if an incarnation of an instance is still running.
     pub(super) fn is_current(&self, instance: usize, incarnation: u32) -> bool {
         let host = &self.instances[instance];
         host.alive && host.incarnation == incarnation
     }
 
-    /// Until when an instance stands still, if it does.
+    /// Returns the time until which an instance is stalled, if it is.
     pub(super) fn stalled_until(&self, instance: usize) -> Option<Duration> {
         let host = &self.instances[instance];
         (host.alive && host.stalled_until > self.clock.now()).then_some(host.stalled_until)
     }
 
-    /// Tells an instance's decider what happened, lets it act, and does what it asks for.
+    /// Reports events to an instance's decider, and carries out the actions that it requests.
     pub(super) fn process_inputs(&mut self, instance: usize, inputs: &[Input]) {
         let instance_now = self.clock.now() - self.instances[instance].epoch;
         let decider = &mut self.instances[instance].decider;
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Shows an oracle the true state of the endpoints.
+    /// Reports the true capacity of the endpoints to an oracle.
     fn report_capacity(&mut self, instance: usize) {
         let mut decider =
             std::mem::replace(&mut self.instances[instance].decider, Box::new(PlaceholderDecider));
@@ -164,14 +164,14 @@
         }
     }
 
-    /// A timer of an instance has run out.
+    /// Reports an expired timer to an instance, unless the instance has restarted since it set the timer.
     pub(super) fn fire_timer(&mut self, instance: usize, incarnation: u32) {
         if self.is_current(instance, incarnation) {
             self.process_inputs(instance, &[Input::TimerFired]);
         }
     }
 
-    /// A gossip message has reached an instance.
+    /// Reports a gossip message to an instance, if it is running.
     pub(super) fn receive_gossip(&mut self, instance: usize, bytes: &[u8]) {
         if self.instances[instance].alive {
             self.process_inputs(instance, &[Input::Gossip(bytes)]);
@@ -179,7 +179,7 @@
     }
 }
 
-/// Stands in for a decider while the decider is shown the truth.
+/// Placeholder for an instance's decider while [`Simulation::report_capacity`] borrows the simulation.
 struct PlaceholderDecider;
 
 impl Decider for PlaceholderDecider {
--- a/crates/quillhub-simulator/src/simulation/restarts.rs
+++ b/crates/quillhub-simulator/src/simulation/restarts.rs
@@ -1,4 +1,4 @@
-//! Instances that stand still, die and start again.
+//! Stalls, crashes and restarts of instances.
 
 use super::Simulation;
 use super::event::Event;
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A message that is read back from the state directory; instants by the instance's own clock.
+/// Message recovered from the state directory; its times are by the instance's own clock.
 struct Recovered {
     message_id: MessageId,
     service_class: usize,
@@ -18,12 +18,12 @@
     deadline: Duration,
     destination: DestinationId,
     attempts: u32,
-    /// The first attempt that may have run: when, and at which endpoint.
+    /// Start time and endpoint of the first attempt that may have been executed, if any.
     first_possible_execution: Option<(Duration, String)>,
 }
 
 impl Recovered {
-    /// The inputs that tell the decider of it.
+    /// Returns the inputs that report the message to the decider.
     fn inputs<'s>(&'s self, service_classes: &'s [ServiceClassSpec]) -> [Input<'s>; 2] {
         let Self { message_id: id, key, deadline, destination, attempts, .. } = *self;
         let service_class = &service_classes[self.service_class].name;
@@ -39,14 +39,14 @@
 }
 
 impl Simulation<'_> {
-    /// An instance stands still; what happens meanwhile it learns afterwards.
+    /// Stalls an instance until `until`. Events for it are delayed until then.
     pub(super) fn stall(&mut self, instance: usize, until: Duration) {
         let host = &mut self.instances[instance];
         host.stalled_until = host.stalled_until.max(until);
         self.record_fact(&Fact::InstanceStalled { instance, until });
     }
 
-    /// An instance dies, and starts again at `until`.
+    /// Crashes an instance, and schedules its restart at `until`.
     pub(super) fn kill(&mut self, instance: usize, state_directory_lost: bool, until: Duration) {
         if !self.instances[instance].alive {
             return;
@@ -61,7 +61,7 @@
         self.clock.schedule(until, Event::Restart { instance });
     }
 
-    /// Ends the process; the pending messages that do not outlast it.
+    /// Ends the process of an instance, and returns the pending messages that are lost with it.
     fn end_process(&mut self, instance: usize, state_kept: bool) -> BTreeMap<MessageId, PendingMessage> {
         let now = self.clock.now();
         let host = &mut self.instances[instance];
@@ -73,7 +73,8 @@
         if state_kept { BTreeMap::new() } else { std::mem::take(&mut host.pending) }
     }
 
-    /// Clients come again with what is lost, unless it may have taken effect and must not do so twice.
+    /// Schedules another submission of a message lost in a crash, unless it may have been executed and must not be
+    /// executed twice.
     fn resubmit_lost(&mut self, message: &PendingMessage) {
         let at_most_once =
             self.scenario.service_classes[message.service_class].retry_safety == RetrySafetyKind::AtMostOnce;
@@ -84,14 +85,14 @@
         self.schedule_after(wait, Event::Submission { request: message.request });
     }
 
-    /// An instance that died starts again, with what its state directory holds.
+    /// Restarts a crashed instance, and recovers the pending messages from its state directory.
     pub(super) fn restart(&mut self, instance: usize) {
         let decider =
             (self.make_decider)(&self.start_parameters(instance, self.instances[instance].incarnation));
         let host = &mut self.instances[instance];
         host.alive = true;
         host.decider = decider;
-        // Its clock begins with the oldest of what is pending from before.
+        // The clock must start no later than the oldest recovered attempt, as its times cannot be negative.
         let attempts = host.pending.values().flat_map(|message| message.possible_executions.values());
         host.epoch = attempts.map(|(at, _)| *at).min().unwrap_or(self.clock.now());
         let state_recovered = !host.pending.is_empty();
@@ -100,7 +101,7 @@
         self.recover_pending(instance);
     }
 
-    /// Hands an instance back what its state directory holds.
+    /// Reports the messages recovered from the state directory to the instance's decider.
     fn recover_pending(&mut self, instance: usize) {
         let recovered = self.recovered_messages(instance);
         let inputs: Vec<_> =
