--- a/crates/quillhub-simulator/src/simulation/faults.rs
+++ b/crates/quillhub-simulator/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: what each does to the simulation when it begins, and what is undone when it ends.
+//! Start and end of faults in the simulation.
 
 use super::Simulation;
 use super::clients::HotSpot;
@@ -10,6 +10,7 @@
 use std::collections::BTreeSet;
 
 impl Simulation<'_> {
+    /// Applies a fault to the parts of the simulation that it affects.
     pub(super) fn begin_fault(&mut self, fault: usize) {
         self.record_fact(&Fact::FaultChanged { number: fault, begins: true });
         let scheduled = &self.scenario.faults[fault];
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Undoes what a fault did, as far as it does not end by itself.
+    /// Ends a fault. Drains, crashes and stalls need nothing here, because they schedule their own end.
     pub(super) fn end_fault(&mut self, fault: usize) {
         self.record_fact(&Fact::FaultChanged { number: fault, begins: false });
         let scheduled = &self.scenario.faults[fault];
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The servers that a fault strikes, of those behind an endpoint that is listed as open.
+    /// Chooses the servers that a fault affects, among those with an available endpoint.
     pub(super) fn affected_servers(&self, fault: usize, target: &Target) -> Vec<usize> {
         let listening = self.discovery.available().filter(|(_, entry)| !entry.removed);
         let available: BTreeSet<_> = listening.map(|(_, entry)| entry.server).collect();
@@ -90,7 +91,7 @@
         self.paths.impaired.push(ImpairedPath { fault, from: zone(from), to: zone(to), kind });
     }
 
-    /// The destinations that a fault strikes get more than their share of all messages.
+    /// Multiplies the share of messages of the destinations that a fault affects by `factor`.
     fn add_hot_spot(&mut self, fault: usize, target: &Target, factor: f64) {
         let servers = self.affected_servers(fault, target);
         let destinations = servers.into_iter().map(|server| self.site.servers[server].destination).collect();
--- a/crates/quillhub-simulator/src/simulation/mod.rs
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -1,6 +1,7 @@
-//! Plays a scenario in virtual time. Each module beside this one extends [`Simulation`] by one job: the instances'
-//! hosts, the clients, both sides of a call, service discovery, and the faults. This one holds the state that they
-//! share, and hands each event to the one that it concerns.
+//! Event loop of the simulation in virtual time, and the state that its parts share.
+//!
+//! Each submodule implements one part of [`Simulation`]: the hosts of the gateway instances, the clients, the two ends of
+//! a call, service discovery, or faults. This module dispatches each event to the part that handles it.
 
 mod actions;
 mod calls;
@@ -35,22 +36,23 @@
 
 pub use recorder::Report;
 
-/// How long a run goes on past the scenario and the longest deadline, for calls that no one waits for any more.
+/// Time that a run may continue after the end of the scenario and the longest deadline, until the calls that nobody
+/// waits for any more are done.
 const MAX_OVERRUN: Duration = Duration::from_secs(30);
 
-/// What makes the decider of an instance that starts.
+/// Function that creates the decider of a starting instance.
 type MakeDecider<'a> = &'a dyn Fn(&Start) -> Box<dyn Decider>;
 
-/// Everything that instances serve, and the instances' hosts, in the midst of a run.
+/// State of a run: the environment of the gateway instances, and the hosts that run them.
 pub struct Simulation<'a> {
     scenario: &'a Scenario,
     make_decider: MakeDecider<'a>,
     seed: u64,
     clock: Clock<Event>,
     recorder: Recorder<'a>,
-    /// Chance of the network, of what endpoints do, and of clients' waits.
+    /// Random number generator for the network, the endpoints, and the waits of clients.
     rng: Pcg64Mcg,
-    /// Chance of the front that deals messages out to instances.
+    /// Random number generator for the load balancer that distributes messages over the instances.
     balancer_rng: Pcg64Mcg,
     paths: Paths,
     site: Site<'a>,
@@ -58,18 +60,18 @@
     streams: Vec<Stream>,
     shares: Shares,
     hot_spots: Vec<HotSpot>,
-    /// Messages as their clients see them.
+    /// Messages without a final outcome, from their clients' point of view.
     requests: BTreeMap<u64, ClientRequest>,
     instances: Vec<InstanceHost>,
     gossip_faults: Vec<GossipFault>,
     calls: BTreeMap<u64, Call>,
     effects: Effects,
-    /// The last number given to an order, a message or a call.
+    /// Last number assigned to a client's request, a message or a call.
     last_number: u64,
 }
 
 impl<'a> Simulation<'a> {
-    /// Plays `scenario` with one decider of `make` for each instance, and shows each fact to `seen`.
+    /// Runs `scenario` with a decider from `make_decider` for each instance, and reports each fact to `observer`.
     pub fn run(
         scenario: &Scenario,
         seed: u64,
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Moves on to the next event; nothing once the run is over.
+    /// Advances to the next event and returns it; `None` when the run is over.
     fn next_event(&mut self) -> Option<Event> {
         let at = self.clock.next_time()?;
         let is_idle = self.requests.is_empty() && self.calls.is_empty();
@@ -142,7 +144,7 @@
         self.clock.advance()
     }
 
-    /// When a run ends at the latest.
+    /// Returns the time at which the run ends even if requests or calls are left.
     fn latest_end(&self) -> Duration {
         let longest = self
             .scenario
@@ -180,7 +182,7 @@
         }
     }
 
-    /// The instance whose process an event needs, if it needs one: it waits until that no longer stands still.
+    /// Returns the instance whose process handles an event, if any. While that process is stalled, the event is delayed.
     fn instance_of(&self, event: &Event) -> Option<usize> {
         match event {
             Event::CallEnds { call, .. } | Event::Connected { call } => {
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Schedules an event for after a while.
+    /// Schedules an event after a delay.
     fn schedule_after(&mut self, wait: Duration, event: Event) {
         self.clock.schedule(self.clock.now() + wait, event);
     }
@@ -203,7 +205,7 @@
         self.recorder.record(self.clock.now(), fact);
     }
 
-    /// A number that no order, message or call has yet.
+    /// Returns a number that no request, message or call has yet.
     fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
--- a/crates/quillhub-simulator/src/simulation/recorder.rs
+++ b/crates/quillhub-simulator/src/simulation/recorder.rs
@@ -1,4 +1,4 @@
-//! The record of a run: each fact goes to the auditor, the tally, the hash and the caller.
+//! Recorder of a run: passes each fact to the auditor, the tally, the hash and the caller's observer.
 
 use crate::audit::{Auditor, Breach};
 use crate::fact::Fact;
@@ -8,21 +8,21 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// What a run came to.
+/// Result of a run.
 pub struct Report {
-    /// Breaches of the six rules, in the order in which they were found.
+    /// Breaches of the six rules, in the order in which the auditor found them.
     pub breaches: Vec<Breach>,
-    /// The run's figures.
+    /// Figures of the run.
     pub tally: Tally,
-    /// Of all facts in turn: equal hashes, equal runs.
+    /// Hash of all facts in order; runs with equal hashes are identical.
     pub hash: u64,
-    /// Facts recorded.
+    /// Number of facts recorded, not counting placements of endpoints.
     pub facts: u64,
-    /// Events of the simulation.
+    /// Number of events processed by the simulation.
     pub events: u64,
 }
 
-/// Takes the facts of a run.
+/// Recorder of the facts of a run.
 pub(super) struct Recorder<'a> {
     auditor: Auditor,
     pub(super) tally: Tally,
@@ -37,7 +37,7 @@
         Self { auditor, tally, hash: Xxh3Default::new(), facts: 0, observer }
     }
 
-    /// Records what happened.
+    /// Records a fact at its time.
     pub(super) fn record(&mut self, now: Duration, fact: &Fact) {
         fact.hash(&mut self.hash);
         now.hash(&mut self.hash);
@@ -47,7 +47,7 @@
         (self.observer)(now, fact);
     }
 
-    /// Records that an endpoint was placed. It is no event of the run, so it is not counted, and its instant is not
+    /// Records the placement of an endpoint. It is not an event of the run, so it is not counted and its time is not
     /// hashed.
     pub(super) fn record_placement(&mut self, now: Duration, fact: &Fact) {
         self.auditor.record(now, fact);
@@ -55,7 +55,7 @@
         (self.observer)(now, fact);
     }
 
-    /// Ends the record; the auditor finds what is still pending.
+    /// Ends the recording. The auditor reports messages that are still pending.
     pub(super) fn finish(self, now: Duration, events: u64) -> Report {
         let Self { auditor, tally, hash, facts, .. } = self;
         Report { breaches: auditor.end(now), tally, hash: hash.finish(), facts, events }
