--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -138,20 +138,20 @@
         base_delay + self.discovery.faults.iter().filter_map(|fault| fault.delay).sum::<Duration>()
     }
 
-    /// Reports the endpoint list to a starting instance: the list that it knew before a restart, or the true one at its
-    /// first start. If discovery pushes changes, the report counts as one from discovery, and after a restart the true
+    /// Reports the endpoint list to a starting instance: the list that it knew before a restart, or the true one if it
+    /// knows no endpoints yet. If discovery pushes changes, the report counts as one from discovery, and after a restart the true
     /// list follows.
     pub(super) fn report_initial_list(&mut self, instance: usize) {
         let from_discovery = self.pushes();
         let known = &self.instances[instance].known_entries;
-        let is_first_start = known.is_empty();
-        let entries = if is_first_start {
+        let knows_no_endpoints = known.is_empty();
+        let entries = if knows_no_endpoints {
             self.discovery.snapshot()
         } else {
             known.iter().map(|(entry, state)| (*entry, *state)).collect()
         };
         self.report_endpoints(instance, ListChange::Snapshot(entries), from_discovery);
-        if from_discovery && !is_first_start {
+        if from_discovery && !knows_no_endpoints {
             let wait = self.notification_delay();
             if !self.discovery.is_out_of_reach() {
                 let update = ListChange::Snapshot(self.discovery.snapshot());
