--- a/crates/quillhub-simulator/src/clients.rs
+++ b/crates/quillhub-simulator/src/clients.rs
@@ -14,11 +14,16 @@
 /// Message from its client's point of view, from its first submission until the client has its outcome or gives up.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
+    /// Index of the message's stream among the scenario's arrivals.
     pub(crate) stream: usize,
+    /// Index of the message's service class in the scenario's list.
     pub(crate) service_class: usize,
     pub(crate) destination: DestinationId,
+    /// Ordering key, if the stream has keys.
     pub(crate) key: Option<u64>,
+    /// Time of the first submission, since the start of the run.
     pub(crate) created_at: Duration,
+    /// Number of submissions that were rejected.
     pub(crate) rejections: u32,
 }
 
@@ -142,9 +147,11 @@
         scenario: &Scenario,
     ) -> (usize, Option<u64>) {
         let service_class = match &arrivals.service_class {
-            Some(name) => {
-                scenario.service_classes.iter().position(|class| class.name == *name).expect("checked")
-            }
+            Some(name) => scenario
+                .service_classes
+                .iter()
+                .position(|class| class.name == *name)
+                .expect("the service class is validated to exist"),
             None => self.rng.random_range(0..scenario.service_classes.len()),
         };
         let key = (arrivals.keys > 0).then(|| (nth as u64) << 32 | self.rng.random_range(0..arrivals.keys));
@@ -162,7 +169,7 @@
         let now = now.max(arrivals.from);
         let rate = arrivals.per_s * self.factors.iter().map(|f| f.1).product::<f64>();
         let exp = |rng: &mut Pcg64Mcg, rate: f64| {
-            Duration::from_secs_f64(Exp::new(rate).expect("rates over 0 were checked").sample(rng))
+            Duration::from_secs_f64(Exp::new(rate).expect("the rate is validated to be positive").sample(rng))
         };
         self.generated += 1;
         let (at, messages) = match &arrivals.pattern {
@@ -176,7 +183,7 @@
             Pattern::Even => (now + Duration::from_secs_f64(1.0 / rate), 1),
             Pattern::Bursts { of } => {
                 let additional = if *of > 1.0 {
-                    Poisson::new(of - 1.0).expect("checked").sample(&mut self.rng)
+                    Poisson::new(of - 1.0).expect("the burst size is validated").sample(&mut self.rng)
                 } else {
                     0.0
                 };
--- a/crates/quillhub-simulator/src/server.rs
+++ b/crates/quillhub-simulator/src/server.rs
@@ -12,8 +12,11 @@
 /// Servers that share one rate limit and that fail and recover as one.
 pub(crate) struct Route {
     pub(crate) rate_limit: Option<RateLimit>,
+    /// Numbers of the servers that belong to the route.
     pub(crate) servers: Vec<usize>,
+    /// `true` while all servers of the route are out.
     pub(crate) is_down: bool,
+    /// `true` once the route was overloaded during a recovery, from which it does not come back.
     pub(crate) is_overloaded: bool,
     /// Time of the recovery, while the route is warming up; `None` if it is warm or has never been down.
     pub(crate) recovered_at: Option<Duration>,
@@ -75,12 +78,17 @@
 
 /// Server behind an endpoint, at one address.
 pub(crate) struct Server {
+    /// Number of the destination, counted from 0.
     pub(crate) destination: usize,
+    /// Index of the destination's kind in the scenario.
     pub(crate) kind: usize,
+    /// Index of the server's zone in the scenario.
     pub(crate) zone: usize,
+    /// Number of the route, counted from 0.
     pub(crate) route: usize,
     /// Factor on the service times of the destination's kind.
     pub(crate) time_factor: f64,
+    /// Number of workers that are serving a call.
     pub(crate) busy: usize,
     /// Number of times that the server began to refuse connections, which drops its calls.
     pub(crate) reset_count: u32,
@@ -91,6 +99,7 @@
     /// For each instance, the times since which its connections are idle. A connection is removed when it is reused,
     /// closed by its instance, or closed by the server after the idle timeout.
     pub(crate) idle: BTreeMap<usize, Vec<Duration>>,
+    /// Active faults, with their numbers in the scenario.
     pub(crate) faults: Vec<(usize, ServerFault)>,
 }
 
