--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -54,8 +54,8 @@
     fn wants_capacity(&self) -> bool {
         false
     }
-    /// Reports the true capacity of endpoints: for an endpoint's name, `capacity` returns the number of calls that it can
-    /// start now without rejecting or queueing any.
+    /// Reports the true capacity of endpoints: for an endpoint's name, `capacity` returns the number of calls that it
+    /// can start now without rejecting or queueing any.
     fn observe_capacity(&mut self, _capacity: &dyn Fn(&str) -> usize) {}
 }
 
--- a/crates/quillhub-simulator/src/network.rs
+++ b/crates/quillhub-simulator/src/network.rs
@@ -7,11 +7,12 @@
 use std::time::Duration;
 
 /// Share of lost transmissions above which the oracle decider treats a path as unusable.
-const MAX_USABLE_LOSS: f64 = 0.1;
+const MAX_USABLE_LOSS_SHARE: f64 = 0.1;
 
 /// Fault on the paths from one zone to another; `None` stands for every zone.
 #[derive(Clone, Debug)]
 pub(crate) struct ImpairedPath {
+    /// Index of the fault in the scenario.
     pub(crate) fault: usize,
     pub(crate) from: Option<usize>,
     pub(crate) to: Option<usize>,
@@ -40,7 +41,7 @@
     pub(crate) fn is_unusable(&self, from: usize, to: usize) -> bool {
         let makes_unusable = |kind: PathFault| {
             matches!(kind, PathFault::Cut)
-                || matches!(kind, PathFault::Loses(share) if share > MAX_USABLE_LOSS)
+                || matches!(kind, PathFault::Loses(share) if share > MAX_USABLE_LOSS_SHARE)
         };
         self.impaired.iter().any(|impaired| impaired.is_between(from, to) && makes_unusable(impaired.kind))
     }
--- a/crates/quillhub-simulator/src/rate_limit.rs
+++ b/crates/quillhub-simulator/src/rate_limit.rs
@@ -4,8 +4,8 @@
 use quillhub::LoadReport;
 use std::time::Duration;
 
-/// Rate limit of one route: a fixed window if the scenario sets a span, and otherwise a token bucket with a burst of one
-/// second.
+/// Rate limit of one route: a fixed window if the scenario sets a span, and otherwise a token bucket with a burst of
+/// one second.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimit {
     spec: RateLimitSpec,
--- a/crates/quillhub-simulator/src/rate_limit_tests.rs
+++ b/crates/quillhub-simulator/src/rate_limit_tests.rs
@@ -2,13 +2,15 @@
 
 use super::*;
 
+/// Counts the calls that the limit accepts if one arrives each millisecond.
 fn accepted_calls(limit: &mut RateLimit, from_ms: u64, to_ms: u64) -> usize {
     (from_ms..to_ms).filter(|at| limit.acquire(Duration::from_millis(*at)).is_ok()).count()
 }
 
 #[test]
 fn a_fixed_window_allows_its_count_and_returns_the_time_until_its_end() {
-    // Guards against a window that allows more calls than its count, or that reports a wrong time until the next window.
+    // Guards against a window that allows more calls than its count, or that reports a wrong time until the next
+    // window.
     let spec = RateLimitSpec {
         per_s: 5.0,
         span: Some(Duration::from_secs(2)),
@@ -31,13 +33,13 @@
     // and must recover once they send less.
     let spec = RateLimitSpec { per_s: 4.0, span: None, retry_after_share: 0.0, counts_rejected: true };
     let mut limit = RateLimit::new(spec);
-    let mut accepted_calls = |per_s: u64, from: u64| {
+    let mut accepted_at_rate = |per_s: u64, from: u64| {
         let at = (0..per_s * 10).map(|nth| Duration::from_millis(from + nth * 1_000 / per_s));
         at.filter(|at| limit.acquire(*at).is_ok()).count()
     };
-    assert!(accepted_calls(10, 0) < 8);
-    assert_eq!(accepted_calls(10, 10_000), 0);
-    assert!(accepted_calls(3, 20_000) > 10);
+    assert!(accepted_at_rate(10, 0) < 8);
+    assert_eq!(accepted_at_rate(10, 10_000), 0);
+    assert!(accepted_at_rate(3, 20_000) > 10);
 }
 
 #[test]
--- a/crates/quillhub-simulator/src/simulation/calls.rs
+++ b/crates/quillhub-simulator/src/simulation/calls.rs
@@ -105,6 +105,7 @@
         self.site.servers[server].open += 1;
     }
 
+    /// Sends a call on an idle connection of its instance, which may turn out to be broken.
     fn call_on_idle_connection(&mut self, number: u64, timeout: Duration) {
         self.take_connection(number);
         self.end_after(timeout, number, AttemptOutcome::TimedOut);
@@ -119,6 +120,7 @@
         }
     }
 
+    /// Opens a connection for a call. `is_gone` is `true` if nothing listens at the endpoint's address any more.
     fn call_on_new_connection(&mut self, number: u64, timeout: Duration, is_gone: bool) {
         self.recorder.tally.connections += 1;
         let (instance_zone, server_zone) = self.zones_of_call(number);
@@ -267,7 +269,8 @@
         }
     }
 
-    /// Returns the number of calls that an endpoint can start at once, for an oracle; 0 if the instance cannot reach it.
+    /// Returns the number of calls that an endpoint can start at once, for an oracle; 0 if the instance cannot reach
+    /// it.
     pub(super) fn true_capacity(&self, instance: usize, endpoint: &str) -> usize {
         let Some(entry) = self.discovery.find(endpoint) else { return 0 };
         let entry = &self.discovery.entries[entry];
--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -58,6 +58,7 @@
         self.entries.iter().enumerate().filter(|(_, entry)| entry.state == EndpointState::Available)
     }
 
+    /// Returns `true` while a fault makes service discovery unreachable.
     fn is_out_of_reach(&self) -> bool {
         self.faults.iter().any(|fault| fault.delay.is_none())
     }
@@ -94,10 +95,13 @@
         }
     }
 
+    /// Returns `true` if discovery sends changes to every instance without a watch.
     fn pushes(&self) -> bool {
         self.scenario.discovery.form == DiscoveryForm::Push
     }
 
+    /// Adds a delay to the updates of service discovery, or makes it unreachable if `delay` is `None`. An unreachable
+    /// discovery breaks all watches.
     pub(super) fn begin_discovery_fault(&mut self, fault: usize, delay: Option<Duration>) {
         self.discovery.faults.push(DiscoveryFault { fault, delay });
         if delay.is_none() && !self.pushes() {
@@ -117,6 +121,7 @@
         }
     }
 
+    /// Ends a fault of service discovery. Discovery that pushes changes then sends the full list.
     pub(super) fn end_discovery_fault(&mut self, fault: usize) {
         self.discovery.faults.retain(|other| other.fault != fault);
         if self.pushes() {
@@ -139,8 +144,8 @@
     }
 
     /// Reports the endpoint list to a starting instance: the list that it knew before a restart, or the true one if it
-    /// knows no endpoints yet. If discovery pushes changes, the report counts as one from discovery, and after a restart the true
-    /// list follows.
+    /// knows no endpoints yet. If discovery pushes changes, the report counts as one from discovery, and after a
+    /// restart the true list follows.
     pub(super) fn report_initial_list(&mut self, instance: usize) {
         let from_discovery = self.pushes();
         let known = &self.instances[instance].known_entries;
@@ -160,6 +165,7 @@
         }
     }
 
+    /// Sends an update that arrives at an instance after `wait`.
     fn send_update(&mut self, instance: usize, wait: Duration, update: ListChange) {
         let incarnation = self.instances[instance].incarnation;
         self.schedule_after(wait, Event::EndpointsReported { instance, incarnation, update });
@@ -185,6 +191,7 @@
         }
     }
 
+    /// Updates the list that an instance knows, and reports the update to its decider.
     fn report_endpoints(&mut self, instance: usize, update: ListChange, from_discovery: bool) {
         let (entries, is_snapshot) = match update {
             ListChange::Changes(entries) => (entries, false),
@@ -302,6 +309,7 @@
         }
     }
 
+    /// Marks an endpoint as draining, and lists its replacement if the fault has one.
     pub(super) fn begin_drain(&mut self, entry: usize, drain: Drain) {
         self.change_listing(entry, EndpointState::Draining);
         if drain.replaced {
@@ -310,6 +318,7 @@
         self.schedule_after(drain.gone_after, Event::DrainEnds { entry, drain });
     }
 
+    /// Removes a drained endpoint from the list.
     pub(super) fn end_drain(&mut self, entry: usize, drain: &Drain) {
         self.change_listing(entry, EndpointState::Removed);
         // If the new endpoint uses the same address, calls to the old endpoint's name still arrive.
--- a/crates/quillhub-simulator/src/simulation/mod.rs
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -1,7 +1,7 @@
 //! Event loop of the simulation in virtual time, and the state that its parts share.
 //!
-//! Each submodule implements one part of [`Simulation`]: the hosts of the gateway instances, the clients, the two ends of
-//! a call, service discovery, or faults. This module dispatches each event to the part that handles it.
+//! Each submodule implements one part of [`Simulation`]: the hosts of the gateway instances, the clients, the two ends
+//! of a call, service discovery, or faults. This module dispatches each event to the part that handles it.
 
 mod actions;
 mod calls;
@@ -182,7 +182,8 @@
         }
     }
 
-    /// Returns the instance whose process handles an event, if any. While that process is stalled, the event is delayed.
+    /// Returns the instance whose process handles an event, if any. While that process is stalled, the event is
+    /// delayed.
     fn instance_of(&self, event: &Event) -> Option<usize> {
         match event {
             Event::CallEnds { call, .. } | Event::Connected { call } => {
--- a/crates/quillhub-simulator/tests/cold_recovery.rs
+++ b/crates/quillhub-simulator/tests/cold_recovery.rs
@@ -11,7 +11,8 @@
 
 const SEEDS: u64 = 20;
 const INSTANCE_COUNTS: [u32; 3] = [20, 30, 100];
-/// Minimum share of the calls in a window, sent by instances that knew of the outage, for the instances to be its cause.
+/// Minimum share of the calls in a window, sent by instances that knew of the outage, for the instances to be its
+/// cause.
 const INFORMED_SHARE: f64 = 2.0 / 3.0;
 /// Overload factor that no number of instances reaches, so that simulated destinations do not fail and every window can
 /// be checked.
@@ -188,8 +189,8 @@
     total
 }
 
-/// Asserts that `instances` instances, which may load a recovering destination with `factor` times its capacity, cause no
-/// overload. Also asserts that the runs contain enough recoveries and calls to detect one.
+/// Asserts that `instances` instances, which may load a recovering destination with `factor` times its capacity, cause
+/// no overload. Also asserts that the runs contain enough recoveries and calls to detect one.
 fn assert_instances_overload_no_destination(
     instances: u32,
     kind: &str,
@@ -215,8 +216,8 @@
 
 #[test]
 fn destinations_that_failed_all_calls_while_an_endpoint_was_replaced_are_not_overloaded() {
-    // Guards against overloading a destination whose endpoint is replaced during the outage: the instances have no failed
-    // calls to the new endpoint.
+    // Guards against overloading a destination whose endpoint is replaced during the outage: the instances have no
+    // failed calls to the new endpoint.
     let faults = outage("{ errors = { share = 1.0 } }")
         + r#"
         [[faults]]
@@ -257,8 +258,8 @@
 
 #[test]
 fn destinations_that_refused_connections_and_report_their_rate_limit_are_not_overloaded() {
-    // Guards against overloading a destination whose load reports give the rate limit, which is higher than the capacity
-    // of a recovering destination.
+    // Guards against overloading a destination whose load reports give the rate limit, which is higher than the
+    // capacity of a recovering destination.
     let kind = format!("{SERVICE}\nreports = true\nlimit = {{ per_s = 8.0 }}");
     let faults = outage(r#""refuse""#);
     for instances in INSTANCE_COUNTS {
