--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -313,7 +313,7 @@
     pub(super) fn begin_drain(&mut self, entry: usize, drain: Drain) {
         self.change_listing(entry, EndpointState::Draining);
         if drain.replaced {
-            self.replace(entry, drain.same_address);
+            self.list_replacement(entry, drain.same_address);
         }
         self.schedule_after(drain.gone_after, Event::DrainEnds { entry, drain });
     }
@@ -326,7 +326,7 @@
     }
 
     /// Lists a new endpoint that replaces a draining one.
-    fn replace(&mut self, entry: usize, same_address: bool) {
+    fn list_replacement(&mut self, entry: usize, same_address: bool) {
         let old = &self.discovery.entries[entry];
         let (old_server, rate) = (old.server, old.rate);
         let server = if same_address { old_server } else { self.site.replace_server(old_server) };
--- a/crates/quillhub-simulator/src/simulation/servers.rs
+++ b/crates/quillhub-simulator/src/simulation/servers.rs
@@ -22,7 +22,7 @@
         self.record_fact(&Fact::AttemptArrived { instance, message_id, attempt });
         let arrived = self.site.admit(server, self.clock.now(), &mut self.rng);
         if arrived.overloads_route {
-            self.route_overloaded(server);
+            self.fail_overloaded_route(server);
         }
         match arrived.admission {
             Admission::Reset => self.answer_call(number, AttemptOutcome::ConnectionReset, false),
@@ -38,7 +38,7 @@
     }
 
     /// Takes a route down that was overloaded during its recovery. It stays down for the rest of the run.
-    fn route_overloaded(&mut self, server: usize) {
+    fn fail_overloaded_route(&mut self, server: usize) {
         self.record_fact(&Fact::RouteOverloaded { route: self.site.servers[server].route });
         for server in self.site.route_servers(server) {
             self.begin_server_fault(server, Site::OVERLOAD_FAULT, ServerFault::Refuses);
@@ -65,13 +65,13 @@
 
     /// Starts a call on a worker of `server`, and schedules its execution and its completion.
     fn begin_call(&mut self, number: u64, server: usize) {
-        let time = self.site.begin_call(server, self.clock.now(), &mut self.rng);
+        let service_time = self.site.begin_call(server, self.clock.now(), &mut self.rng);
         if let Some(call) = self.calls.get(&number) {
             self.recorder.tally.queued(self.clock.now() - call.started);
         }
-        let effect = time.mul_f64(self.rng.random());
-        self.schedule_after(effect, Event::CallExecutes { call: number });
-        self.schedule_after(time, Event::CallCompletes { call: number, server });
+        let execution_delay = service_time.mul_f64(self.rng.random());
+        self.schedule_after(execution_delay, Event::CallExecutes { call: number });
+        self.schedule_after(service_time, Event::CallCompletes { call: number, server });
     }
 
     /// Executes a call at its destination, unless the server has dropped it.
