--- a/crates/quillhub-simulator/src/faults/target.rs
+++ b/crates/quillhub-simulator/src/faults/target.rs
@@ -1,6 +1,6 @@
 //! Targets of faults: destinations, endpoints or instances, selected by the same criteria.
 
-use crate::site::chance;
+use crate::site::seeded_rng;
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -45,5 +45,5 @@
 /// Returns the random number generator that selects the targets of a fault. Each fault has its own, so that the
 /// selection does not depend on earlier decisions of the run.
 pub(crate) fn target_rng(seed: u64, fault: usize) -> Pcg64Mcg {
-    chance(seed, 1 << 48 | fault as u64)
+    seeded_rng(seed, 1 << 48 | fault as u64)
 }
--- a/crates/quillhub-simulator/src/server.rs
+++ b/crates/quillhub-simulator/src/server.rs
@@ -1,5 +1,7 @@
-//! Destinations as they are: routes with their limits, outages and returns, and the servers behind endpoints with
-//! workers, queues, connections and whatever faults strike them. Nothing here knows of events or instances.
+//! True state of the destinations: routes with their rate limits, outages and recoveries, and the servers behind
+//! endpoints with their workers, queues, connections and active faults.
+//!
+//! The module knows neither events nor gateway instances.
 
 use crate::conditions::ServerFault;
 use crate::rate_limit::RateLimit;
@@ -7,28 +9,31 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// What shares one limit and returns as one.
+/// Servers that share one rate limit and that fail and recover as one.
 pub(crate) struct Route {
     pub(crate) rate_limit: Option<RateLimit>,
+    /// Numbers of the servers that belong to the route.
     pub(crate) servers: Vec<usize>,
+    /// `true` while all servers of the route are out.
     pub(crate) is_down: bool,
+    /// `true` once the route was overloaded during a recovery, from which it does not come back.
     pub(crate) is_overloaded: bool,
-    /// Since when it is back, while it is cold.
+    /// Time of the recovery, while the route is warming up; `None` if it is warm or has never been down.
     pub(crate) recovered_at: Option<Duration>,
-    /// Calls a second that it works off when warm.
+    /// Capacity in calls per second when the route is warm.
     pub(crate) per_s: f64,
-    /// When calls came while it is cold; emptied with the overload span.
+    /// Arrival times of calls while the route is warming up; those older than the overload span are removed.
     pub(crate) calls: VecDeque<Duration>,
 }
 
-/// The share of its capacity that a route has `age` after its return.
-pub(crate) fn warmth(rules: &RuleSettings, age: Duration) -> f64 {
-    let part = (age.as_secs_f64() / rules.warm_up.as_secs_f64().max(1e-9)).min(1.0);
-    rules.initial_share + (1.0 - rules.initial_share) * part
+/// Returns the share of its warm capacity that a route has at `age` after its recovery.
+pub(crate) fn warm_share(rules: &RuleSettings, age: Duration) -> f64 {
+    let progress = (age.as_secs_f64() / rules.warm_up.as_secs_f64().max(1e-9)).min(1.0);
+    rules.initial_share + (1.0 - rules.initial_share) * progress
 }
 
 impl Route {
-    /// A route without servers, warm.
+    /// Creates a warm route without servers.
     pub(crate) fn new(rate_limit: Option<RateLimit>) -> Self {
         Self {
             rate_limit,
@@ -41,59 +46,79 @@
         }
     }
 
-    /// The share of its capacity that it has now.
-    pub(crate) fn capacity(&mut self, now: Duration, rules: &RuleSettings) -> f64 {
-        let Some(back) = self.recovered_at else { return 1.0 };
-        if now >= back + rules.warm_up {
+    /// Returns the share of its warm capacity that the route has now, and ends the warm-up if it is over.
+    pub(crate) fn capacity_share(&mut self, now: Duration, rules: &RuleSettings) -> f64 {
+        let Some(recovered_at) = self.recovered_at else { return 1.0 };
+        if now >= recovered_at + rules.warm_up {
             self.recovered_at = None;
             self.calls.clear();
             return 1.0;
         }
-        warmth(rules, now - back)
+        warm_share(rules, now - recovered_at)
     }
 
-    /// A call came. True if, with it, the route was sent too much for too long while it is cold.
-    pub(crate) fn is_overloaded_by_call(&mut self, now: Duration, rules: &RuleSettings) -> bool {
-        let Some(back) = self.recovered_at else { return false };
+    /// Records the arrival of a call. Returns `true` if the calls of the last overload span exceed what the recovering
+    /// route withstands.
+    pub(crate) fn record_call(&mut self, now: Duration, rules: &RuleSettings) -> bool {
+        let Some(recovered_at) = self.recovered_at else { return false };
         self.calls.push_back(now);
         while self.calls.front().is_some_and(|at| *at + rules.overload_tolerance < now) {
             self.calls.pop_front();
         }
-        if now < back + rules.overload_tolerance {
-            return false; // it has not been back for so long
+        if now < recovered_at + rules.overload_tolerance {
+            return false; // the route recovered less than one overload span ago
         }
-        // What it could do in the span: capacity grows evenly, so its middle tells its mean.
-        let could = self.per_s
+        // The capacity grows linearly, so its mean over the span is its value at the middle of the span.
+        let capacity = self.per_s
             * rules.overload_tolerance.as_secs_f64()
-            * warmth(rules, now - rules.overload_tolerance / 2 - back);
-        self.calls.len() as f64 > rules.overload_factor * could
+            * warm_share(rules, now - rules.overload_tolerance / 2 - recovered_at);
+        self.calls.len() as f64 > rules.overload_factor * capacity
     }
 }
 
-/// The machine behind an endpoint, at one address.
+/// Server behind an endpoint, at one address.
 pub(crate) struct Server {
+    /// Number of the destination, counted from 0.
     pub(crate) destination: usize,
+    /// Index of the destination's kind in the scenario.
     pub(crate) kind: usize,
+    /// Index of the server's zone in the scenario.
     pub(crate) zone: usize,
+    /// Number of the route, counted from 0.
     pub(crate) route: usize,
-    /// How many times as long as usual calls take here.
-    pub(crate) pace: f64,
+    /// Factor on the service times of the destination's kind.
+    pub(crate) time_factor: f64,
+    /// Number of workers that are serving a call.
     pub(crate) busy: usize,
-    /// How often it began anew.
-    pub(crate) starts: u32,
-    /// Calls that wait for a worker, by number.
+    /// Number of times that the server began to refuse connections, which drops its calls.
+    pub(crate) reset_count: u32,
+    /// Numbers of the calls that wait for a worker, in order of arrival.
     pub(crate) queue: VecDeque<u64>,
-    /// Connections with a call, or being opened.
+    /// Number of connections that are being opened or carry a call.
     pub(crate) open: usize,
-    /// Idle connections by instance, and since when; gone when used, closed by its instance or closed for idleness.
+    /// For each instance, the times since which its connections are idle. A connection is removed when it is reused,
+    /// closed by its instance, or closed by the server after the idle timeout.
     pub(crate) idle: BTreeMap<usize, Vec<Duration>>,
+    /// Active faults, with their numbers in the scenario.
     pub(crate) faults: Vec<(usize, ServerFault)>,
 }
 
 impl Server {
-    pub(crate) fn new(destination: usize, kind: usize, zone: usize, route: usize, pace: f64) -> Self {
+    pub(crate) fn new(destination: usize, kind: usize, zone: usize, route: usize, time_factor: f64) -> Self {
         let (idle, faults, queue) = (BTreeMap::new(), Vec::new(), VecDeque::new());
-        Self { destination, kind, zone, route, pace, busy: 0, starts: 0, queue, open: 0, idle, faults }
+        Self {
+            destination,
+            kind,
+            zone,
+            route,
+            time_factor,
+            busy: 0,
+            reset_count: 0,
+            queue,
+            open: 0,
+            idle,
+            faults,
+        }
     }
 
     pub(crate) fn is_out(&self) -> bool {
@@ -101,66 +126,74 @@
     }
 
     pub(crate) fn refuses(&self) -> bool {
-        self.faults.iter().any(|(_, t)| *t == ServerFault::Refuses)
+        self.faults.iter().any(|(_, fault)| *fault == ServerFault::Refuses)
     }
 
-    pub(crate) fn silent(&self) -> bool {
-        self.faults.iter().any(|(_, t)| *t == ServerFault::Silent)
+    pub(crate) fn is_silent(&self) -> bool {
+        self.faults.iter().any(|(_, fault)| *fault == ServerFault::Silent)
     }
 
     pub(crate) fn hangs(&self) -> bool {
-        self.faults.iter().any(|(_, t)| matches!(t, ServerFault::Hangs | ServerFault::Silent))
+        self.faults.iter().any(|(_, fault)| matches!(fault, ServerFault::Hangs | ServerFault::Silent))
     }
 
-    /// When it opens, if it is shut, if that is known.
-    pub(crate) fn shut(&self) -> Option<Option<Duration>> {
-        let shut = |t: &ServerFault| if let ServerFault::Shut { until } = t { Some(*until) } else { None };
-        self.faults.iter().filter_map(|(_, t)| shut(t)).max()
+    /// Returns `None` if the server is not shut, and otherwise the time at which it reopens, if that is known.
+    pub(crate) fn shut_until(&self) -> Option<Option<Duration>> {
+        let shut =
+            |fault: &ServerFault| if let ServerFault::Shut { until } = fault { Some(*until) } else { None };
+        self.faults.iter().filter_map(|(_, fault)| shut(fault)).max()
     }
 
-    /// The share that all faults together leave over, of those shares that `of` picks.
-    fn spared(&self, of: impl Fn(&ServerFault) -> Option<f64>) -> f64 {
-        self.faults.iter().filter_map(|(_, t)| of(t)).map(|share| 1.0 - share).product()
+    /// Returns the share that all active faults together leave unaffected. `share_of` returns the share that one fault
+    /// affects, or `None` if the fault is of another kind.
+    fn unaffected_share(&self, share_of: impl Fn(&ServerFault) -> Option<f64>) -> f64 {
+        self.faults.iter().filter_map(|(_, fault)| share_of(fault)).map(|share| 1.0 - share).product()
     }
 
-    pub(crate) fn errs(&self) -> f64 {
-        1.0 - self.spared(|t| if let ServerFault::Fails(share) = t { Some(*share) } else { None })
+    pub(crate) fn error_share(&self) -> f64 {
+        1.0 - self
+            .unaffected_share(|fault| if let ServerFault::Fails(share) = fault { Some(*share) } else { None })
     }
 
     pub(crate) fn response_loss(&self) -> f64 {
-        1.0 - self.spared(|t| if let ServerFault::LosesResponses(share) = t { Some(*share) } else { None })
+        1.0 - self.unaffected_share(|fault| {
+            if let ServerFault::LosesResponses(share) = fault { Some(*share) } else { None }
+        })
     }
 
-    pub(crate) fn stale(&self) -> f64 {
-        1.0 - self.spared(|t| if let ServerFault::Stale(share) = t { Some(*share) } else { None })
+    pub(crate) fn stale_share(&self) -> f64 {
+        1.0 - self
+            .unaffected_share(|fault| if let ServerFault::Stale(share) = fault { Some(*share) } else { None })
     }
 
-    pub(crate) fn slow(&self) -> f64 {
-        let factor = |t: &ServerFault| if let ServerFault::Slow(factor) = t { Some(*factor) } else { None };
-        self.faults.iter().filter_map(|(_, t)| factor(t)).product()
+    pub(crate) fn slowdown(&self) -> f64 {
+        let factor =
+            |fault: &ServerFault| if let ServerFault::Slow(factor) = fault { Some(*factor) } else { None };
+        self.faults.iter().filter_map(|(_, fault)| factor(fault)).product()
     }
 
-    pub(crate) fn handshake(&self) -> Duration {
-        let more = |t: &ServerFault| if let ServerFault::Handshake(more) = t { Some(*more) } else { None };
-        self.faults.iter().filter_map(|(_, t)| more(t)).sum()
+    pub(crate) fn extra_handshake(&self) -> Duration {
+        let extra =
+            |fault: &ServerFault| if let ServerFault::Handshake(extra) = fault { Some(*extra) } else { None };
+        self.faults.iter().filter_map(|(_, fault)| extra(fault)).sum()
     }
 
-    /// Closes what idled for too long.
-    pub(crate) fn sweep(&mut self, now: Duration, idle_close: Duration) {
+    /// Closes the connections that have been idle for `idle_close` or longer.
+    pub(crate) fn close_expired_connections(&mut self, now: Duration, idle_close: Duration) {
         self.idle.retain(|_, since| {
             since.retain(|at| *at + idle_close > now);
             !since.is_empty()
         });
     }
 
-    /// Whether one more connection fits.
-    pub(crate) fn has_place(&self, kind: &Destinations) -> bool {
+    /// Returns `true` if one more connection is within the connection limit.
+    pub(crate) fn accepts_connection(&self, kind: &Destinations) -> bool {
         let idle: usize = self.idle.values().map(Vec::len).sum();
-        kind.max_connections.is_none_or(|most| self.open + idle < most)
+        kind.max_connections.is_none_or(|max| self.open + idle < max)
     }
 
-    /// Takes the connection of that instance that idled the shortest.
-    pub(crate) fn reuse(&mut self, instance: usize) -> bool {
+    /// Takes the instance's most recently used idle connection. Returns `false` if it has none.
+    pub(crate) fn take_idle_connection(&mut self, instance: usize) -> bool {
         let Some(since) = self.idle.get_mut(&instance) else { return false };
         let found = since.pop().is_some();
         if since.is_empty() {
--- a/crates/quillhub-simulator/src/simulation/actions.rs
+++ b/crates/quillhub-simulator/src/simulation/actions.rs
@@ -1,20 +1,20 @@
-//! What a decider asks for, kept until the simulation is free to do it.
+//! Actions that a decider requests, collected until the simulation carries them out.
 
 use crate::fact::FinalOutcome;
 use quillhub::{Driver, LogEvent, MessageId};
 use std::time::Duration;
 
-/// One thing that a decider asks for; the methods of [`Driver`] say what each means.
+/// Action requested by a decider; the methods of [`Driver`] describe each one.
 pub(super) enum Action {
     StartAttempt { message: MessageId, endpoint: String, timeout: Duration },
     Finish { message: MessageId, outcome: FinalOutcome },
     CloseIdle { endpoint: String },
-    Gossip { octets: Vec<u8> },
+    Gossip { bytes: Vec<u8> },
     SetTimer { wait: Duration },
     Watch,
 }
 
-/// The actions of one step of a decider, in their order.
+/// Actions requested in one call of [`Decider::apply_rules`](crate::Decider::apply_rules), in order.
 #[derive(Default)]
 pub(super) struct Actions(pub(super) Vec<Action>);
 
@@ -32,7 +32,7 @@
         self.0.push(Action::CloseIdle { endpoint: endpoint.into() });
     }
     fn broadcast(&mut self, gossip: &[u8]) {
-        self.0.push(Action::Gossip { octets: gossip.into() });
+        self.0.push(Action::Gossip { bytes: gossip.into() });
     }
     fn set_timer(&mut self, wait: Duration) {
         self.0.push(Action::SetTimer { wait });
--- a/crates/quillhub-simulator/src/simulation/clients.rs
+++ b/crates/quillhub-simulator/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: messages arrive, are handed to instances as the front deals them out, and come again.
+//! Clients and the load balancer: submission of messages to instances, their outcomes, and retries by clients.
 
 use super::Simulation;
 use super::event::Event;
@@ -11,12 +11,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest wait of a client that found its instance dead, before it tries another.
-const FRONT_WAIT: Duration = Duration::from_millis(300);
-/// Part of its longest wait that a client waits at least, and the whole: it draws evenly between them.
-const CLIENT_WAIT_PART: std::ops::Range<f64> = 0.5..1.0;
+/// Maximum wait of a client whose instance does not respond, before it submits the message again.
+const MAX_FAILOVER_WAIT: Duration = Duration::from_millis(300);
+/// Range of shares of its maximum wait from which a client draws its wait uniformly.
+const CLIENT_WAIT_SHARES: std::ops::Range<f64> = 0.5..1.0;
 
-/// Destinations that get more than their share of all messages while a fault lasts.
+/// Destinations whose share of the messages is multiplied by a factor during a fault.
 pub(super) struct HotSpot {
     pub(super) fault: usize,
     pub(super) destinations: Vec<usize>,
@@ -24,76 +24,79 @@
 }
 
 impl Simulation<'_> {
-    /// Schedules the next arrival of a stream, if there is one.
+    /// Schedules the next arrival of a stream, unless the stream has ended.
     pub(super) fn schedule_arrival(&mut self, stream: usize) {
-        let of = &self.scenario.arrivals[stream];
-        let next = self.streams[stream].next(of, self.clock.now(), self.scenario);
+        let arrivals = &self.scenario.arrivals[stream];
+        let next = self.streams[stream].next_arrival(arrivals, self.clock.now(), self.scenario);
         if let Some((at, count)) = next {
-            self.clock.at(at, Event::Arrival { stream, count });
+            self.clock.schedule(at, Event::Arrival { stream, count });
         }
     }
 
-    pub(super) fn arrival(&mut self, stream: usize, count: u64) {
-        let of = &self.scenario.arrivals[stream];
-        let destination = self.streams[stream].destination(of, &self.shares);
-        let born = self.clock.now();
+    /// Creates and submits the messages of an arrival, and schedules the next arrival of its stream.
+    pub(super) fn create_messages(&mut self, stream: usize, count: u64) {
+        let arrivals = &self.scenario.arrivals[stream];
+        let destination = self.streams[stream].draw_destination(arrivals, &self.shares);
+        let created_at = self.clock.now();
         for _ in 0..count {
-            let (service_class, key) = self.streams[stream].draw(stream, of, self.scenario);
+            let (service_class, key) = self.streams[stream].draw_message(stream, arrivals, self.scenario);
             let number = self.next_number();
             self.requests.insert(
                 number,
-                ClientRequest { stream, service_class, destination, key, born, rejections: 0 },
+                ClientRequest { stream, service_class, destination, key, created_at, rejections: 0 },
             );
-            self.record.tally.submitted(born, service_class);
+            self.recorder.tally.submitted(created_at, service_class);
             self.submit(number);
         }
         self.schedule_arrival(stream);
     }
 
-    /// A client hands its message to an instance.
+    /// Submits a client's message to an instance, or gives it up if its deadline has passed.
     pub(super) fn submit(&mut self, number: u64) {
         let Some(request) = self.requests.get(&number).cloned() else { return };
-        let deadline = request.born + self.scenario.service_classes[request.service_class].deadline;
+        let deadline = request.created_at + self.scenario.service_classes[request.service_class].deadline;
         if deadline <= self.clock.now() {
-            return self.unserved(number);
+            return self.give_up(number);
         }
         let instance = self.instance_for(&request);
         if !self.instances[instance].alive {
-            // The front does not know yet, or the sidecar is down: the client comes again in a while.
-            let wait = FRONT_WAIT.mul_f64(self.front.random_range(CLIENT_WAIT_PART));
-            return self.after(wait, Event::Submission { request: number });
+            // The load balancer has not noticed the crash yet, or the stream is bound to this instance: the client
+            // retries after a wait.
+            let wait = MAX_FAILOVER_WAIT.mul_f64(self.balancer_rng.random_range(CLIENT_WAIT_SHARES));
+            return self.schedule_after(wait, Event::Submission { request: number });
         }
         if let Some(until) = self.stalled_until(instance) {
-            return self.clock.at(until, Event::Submission { request: number });
+            return self.clock.schedule(until, Event::Submission { request: number });
         }
         self.accept(instance, number, &request, deadline);
     }
 
-    /// The instance that a message goes to: its client's own one, or the one that the front picks.
+    /// Returns the instance that gets a message: the one that its stream is bound to, or one chosen by the load
+    /// balancer.
     fn instance_for(&mut self, request: &ClientRequest) -> usize {
         match self.scenario.arrivals[request.stream].instance {
             Some(number) => number as usize - 1,
-            None => self.front_picks(),
+            None => self.pick_instance(),
         }
     }
 
-    /// One of the instances that the front takes for alive, by chance; the first if there is none.
-    fn front_picks(&mut self) -> usize {
+    /// Draws one of the instances that the load balancer assumes to be alive; returns the first if there is none.
+    fn pick_instance(&mut self) -> usize {
         let now = self.clock.now();
-        let reachable = |host: &InstanceHost| host.alive || host.trusted_until > now;
+        let is_assumed_alive = |host: &InstanceHost| host.alive || host.assumed_alive_until > now;
         let hosts = self.instances.iter().enumerate();
-        let reached: Vec<_> = hosts.filter(|(_, host)| reachable(host)).map(|(at, _)| at).collect();
+        let candidates: Vec<_> = hosts.filter(|(_, host)| is_assumed_alive(host)).map(|(at, _)| at).collect();
         let skew = self.scenario.instances.skew;
         let nth = if skew > 0.0 {
-            let part = |at: &usize| (*at as f64 + 1.0).powf(-skew);
-            Weights::of(reached.iter().map(part)).pick(&mut self.front)
+            let weight = |at: &usize| (*at as f64 + 1.0).powf(-skew);
+            Weights::new(candidates.iter().map(weight)).pick(&mut self.balancer_rng)
         } else {
-            self.front.random_range(0..reached.len().max(1))
+            self.balancer_rng.random_range(0..candidates.len().max(1))
         };
-        reached.get(nth).copied().unwrap_or(0)
+        candidates.get(nth).copied().unwrap_or(0)
     }
 
-    /// An instance accepts a message, and its decider gets it as an input.
+    /// Adds a message to the pending messages of an instance, and reports it to the decider.
     fn accept(&mut self, instance: usize, number: u64, request: &ClientRequest, deadline: Duration) {
         let service_class = &self.scenario.service_classes[request.service_class];
         let message_id = self.next_number();
@@ -106,11 +109,11 @@
             key,
             deadline,
             attempts: 0,
-            may_have_run: BTreeMap::new(),
+            possible_executions: BTreeMap::new(),
         };
         self.instances[instance].pending.insert(message_id, message);
         let name = &service_class.name;
-        self.fact(&Fact::Accepted {
+        self.record_fact(&Fact::Accepted {
             instance,
             message_id,
             request: number,
@@ -129,61 +132,72 @@
             tenant,
             destination,
         };
-        self.hand_inputs(instance, &[Input::Message(message)]);
+        self.process_inputs(instance, &[Input::Message(message)]);
     }
 
-    /// A client hears the final outcome of its message.
+    /// Gives a message its final outcome, and reports it to the client.
     pub(super) fn finish(&mut self, instance: usize, message_id: MessageId, outcome: FinalOutcome) {
-        self.fact(&Fact::Finished { instance, message_id, outcome });
+        self.record_fact(&Fact::Finished { instance, message_id, outcome });
         let Some(message) = self.instances[instance].pending.remove(&message_id) else { return };
         match outcome {
-            FinalOutcome::Delivered => self.delivered(message.request),
-            FinalOutcome::Abandoned => self.unserved(message.request),
-            FinalOutcome::Rejected { retry_after: come_back } => self.rejected(message.request, come_back),
+            FinalOutcome::Delivered => self.complete_request(message.request),
+            FinalOutcome::Abandoned => self.give_up(message.request),
+            FinalOutcome::Rejected { retry_after } => self.retry_rejected(message.request, retry_after),
         }
     }
 
-    fn delivered(&mut self, number: u64) {
+    /// Ends a request whose message was delivered.
+    fn complete_request(&mut self, number: u64) {
         if let Some(request) = self.requests.remove(&number) {
-            self.record.tally.request_finished(self.clock.now(), request.service_class, request.born, true);
+            self.recorder.tally.request_finished(
+                self.clock.now(),
+                request.service_class,
+                request.created_at,
+                true,
+            );
         }
     }
 
-    /// Its client gives a message up, or it is lost.
-    pub(super) fn unserved(&mut self, number: u64) {
+    /// Ends a request without delivery: its client gives up, or the message is lost.
+    pub(super) fn give_up(&mut self, number: u64) {
         if let Some(request) = self.requests.remove(&number) {
-            self.record.tally.request_finished(self.clock.now(), request.service_class, request.born, false);
+            self.recorder.tally.request_finished(
+                self.clock.now(),
+                request.service_class,
+                request.created_at,
+                false,
+            );
         }
     }
 
-    /// A client comes again with a rejected message after a while, a bounded number of times.
-    fn rejected(&mut self, number: u64, retry_after: Option<Duration>) {
+    /// Schedules another submission of a rejected message, or gives it up after the allowed number of retries.
+    fn retry_rejected(&mut self, number: u64, retry_after: Option<Duration>) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         request.rejections += 1;
         if request.rejections > self.scenario.clients.retries {
-            return self.unserved(number);
+            return self.give_up(number);
         }
-        let wait = self.client_wait().max(retry_after.unwrap_or_default());
-        self.after(wait, Event::Submission { request: number });
+        let wait = self.draw_client_wait().max(retry_after.unwrap_or_default());
+        self.schedule_after(wait, Event::Submission { request: number });
     }
 
-    /// How long a client waits before it comes again.
-    pub(super) fn client_wait(&mut self) -> Duration {
-        self.scenario.clients.backoff.mul_f64(self.rng.random_range(CLIENT_WAIT_PART))
+    /// Draws the time until a client submits a message again.
+    pub(super) fn draw_client_wait(&mut self) -> Duration {
+        self.scenario.clients.backoff.mul_f64(self.rng.random_range(CLIENT_WAIT_SHARES))
     }
 
-    /// Divides the messages among the destinations anew, by what is hot.
-    pub(super) fn share_out(&mut self) {
-        self.shares = Shares::of(self.scenario, |destination| {
-            let hot = self.hot_spots.iter().filter(|spot| spot.destinations.contains(&destination));
-            hot.map(|spot| spot.factor).product()
+    /// Recomputes the destinations' shares of the messages after a change of the hot spots.
+    pub(super) fn update_shares(&mut self) {
+        self.shares = Shares::new(self.scenario, |destination| {
+            let hot_spots = self.hot_spots.iter().filter(|spot| spot.destinations.contains(&destination));
+            hot_spots.map(|spot| spot.factor).product()
         });
     }
 
-    /// More messages come in a stream, or in all, while a fault lasts.
-    pub(super) fn surge(&mut self, fault: usize, stream: Option<usize>, factor: f64) {
+    /// Multiplies the rate of a stream, or of all if `stream` is `None`, until the fault ends.
+    pub(super) fn begin_surge(&mut self, fault: usize, stream: Option<usize>, factor: f64) {
         let streams = self.streams.iter_mut().enumerate();
-        let struck = streams.filter(|(at, _)| stream.is_none_or(|one| one == *at));
-        struck.for_each(|(_, stream)| stream.factors.push((fault, factor)));
+        let affected = streams.filter(|(at, _)| stream.is_none_or(|one| one == *at));
+        affected.for_each(|(_, stream)| stream.factors.push((fault, factor)));
     }
 }
--- a/crates/quillhub-simulator/src/simulation/mod.rs
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -1,6 +1,7 @@
-//! Plays a scenario in virtual time. Each module beside this one extends [`Simulation`] by one job: the instances'
-//! hosts, the clients, both sides of a call, service discovery, and the faults. This one holds the state that they
-//! share, and hands each event to the one that it concerns.
+//! Event loop of the simulation in virtual time, and the state that its parts share.
+//!
+//! Each submodule implements one part of [`Simulation`]: the hosts of the gateway instances, the clients, the two ends
+//! of a call, service discovery, or faults. This module dispatches each event to the part that handles it.
 
 mod actions;
 mod calls;
@@ -11,16 +12,16 @@
 mod event;
 mod faults;
 mod instances;
-mod record;
+mod recorder;
 mod restarts;
 mod servers;
 
-use crate::clients::{ClientRequest, Shares, Stream, stream_chance};
+use crate::clients::{ClientRequest, Shares, Stream, stream_rng};
 use crate::decider::{Decider, Start};
 use crate::fact::Fact;
 use crate::network::Paths;
 use crate::scenario::Scenario;
-use crate::site::{Site, chance};
+use crate::site::{Site, seeded_rng};
 use calls::Call;
 use clients::HotSpot;
 use clock::Clock;
@@ -29,82 +30,83 @@
 use event::Event;
 use instances::{GossipFault, InstanceHost};
 use rand_pcg::Pcg64Mcg;
-use record::Record;
+use recorder::Recorder;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub use record::Report;
+pub use recorder::Report;
 
-/// How long a run goes on past the scenario and the longest deadline, for calls that no one waits for any more.
-const TAIL: Duration = Duration::from_secs(30);
+/// Time that a run may continue after the end of the scenario and the longest deadline, until the calls that nobody
+/// waits for any more are done.
+const MAX_OVERRUN: Duration = Duration::from_secs(30);
 
-/// What makes the decider of an instance that starts.
-type Make<'a> = &'a dyn Fn(&Start) -> Box<dyn Decider>;
+/// Function that creates the decider of a starting instance.
+type MakeDecider<'a> = &'a dyn Fn(&Start) -> Box<dyn Decider>;
 
-/// Everything that instances serve, and the instances' hosts, in the midst of a run.
+/// State of a run: the environment of the gateway instances, and the hosts that run them.
 pub struct Simulation<'a> {
     scenario: &'a Scenario,
-    make: Make<'a>,
+    make_decider: MakeDecider<'a>,
     seed: u64,
     clock: Clock<Event>,
-    record: Record<'a>,
-    /// Chance of the network, of what endpoints do, and of clients' waits.
+    recorder: Recorder<'a>,
+    /// Random number generator for the network, the endpoints, and the waits of clients.
     rng: Pcg64Mcg,
-    /// Chance of the front that deals messages out to instances.
-    front: Pcg64Mcg,
+    /// Random number generator for the load balancer that distributes messages over the instances.
+    balancer_rng: Pcg64Mcg,
     paths: Paths,
     site: Site<'a>,
     discovery: Discovery,
     streams: Vec<Stream>,
     shares: Shares,
     hot_spots: Vec<HotSpot>,
-    /// Messages as their clients see them.
+    /// Messages without a final outcome, from their clients' point of view.
     requests: BTreeMap<u64, ClientRequest>,
     instances: Vec<InstanceHost>,
     gossip_faults: Vec<GossipFault>,
     calls: BTreeMap<u64, Call>,
     effects: Effects,
-    /// The last number given to an order, a message or a call.
+    /// Last number assigned to a client's request, a message or a call.
     last_number: u64,
 }
 
 impl<'a> Simulation<'a> {
-    /// Plays `scenario` with one decider of `make` for each instance, and shows each fact to `seen`.
+    /// Runs `scenario` with a decider from `make_decider` for each instance, and reports each fact to `observer`.
     pub fn run(
         scenario: &Scenario,
         seed: u64,
-        make: &dyn Fn(&Start) -> Box<dyn Decider>,
-        mut seen: impl FnMut(Duration, &Fact),
+        make_decider: &dyn Fn(&Start) -> Box<dyn Decider>,
+        mut observer: impl FnMut(Duration, &Fact),
     ) -> Report {
-        let mut simulation = Simulation::new(scenario, seed, make, &mut seen);
+        let mut simulation = Simulation::new(scenario, seed, make_decider, &mut observer);
         simulation.set_up();
         let mut events = 0;
         while let Some(event) = simulation.next_event() {
             events += 1;
             simulation.handle(event);
         }
-        simulation.record.finish(simulation.clock.now(), events)
+        simulation.recorder.finish(simulation.clock.now(), events)
     }
 
     fn new(
         scenario: &'a Scenario,
         seed: u64,
-        make: Make<'a>,
+        make_decider: MakeDecider<'a>,
         observer: &'a mut dyn FnMut(Duration, &Fact),
     ) -> Self {
         Self {
             scenario,
-            make,
+            make_decider,
             seed,
             clock: Clock::new(),
-            record: Record::new(scenario, observer),
-            rng: chance(seed, 1),
-            front: chance(seed, 3),
+            recorder: Recorder::new(scenario, observer),
+            rng: seeded_rng(seed, 1),
+            balancer_rng: seeded_rng(seed, 3),
             paths: Paths::new(scenario.network.clone()),
             site: Site::new(scenario, seed),
             discovery: Discovery::default(),
-            streams: (0..scenario.arrivals.len()).map(|nth| Stream::new(stream_chance(seed, nth))).collect(),
-            shares: Shares::of(scenario, |_| 1.0),
+            streams: (0..scenario.arrivals.len()).map(|nth| Stream::new(stream_rng(seed, nth))).collect(),
+            shares: Shares::new(scenario, |_| 1.0),
             hot_spots: Vec::new(),
             requests: BTreeMap::new(),
             instances: Vec::new(),
@@ -117,7 +119,7 @@
 
     /// Lists the servers, starts the instances, and schedules the first arrivals and all faults.
     fn set_up(&mut self) {
-        for server in 0..self.site.servers() {
+        for server in 0..self.site.server_count() {
             self.list_server(server);
         }
         for instance in 0..self.scenario.instances.count as usize {
@@ -127,23 +129,23 @@
             self.schedule_arrival(stream);
         }
         for (fault, scheduled) in self.scenario.faults.iter().enumerate() {
-            self.clock.at(scheduled.start, Event::FaultBegins { fault });
-            self.clock.at(scheduled.start + scheduled.duration, Event::FaultEnds { fault });
+            self.clock.schedule(scheduled.start, Event::FaultBegins { fault });
+            self.clock.schedule(scheduled.start + scheduled.duration, Event::FaultEnds { fault });
         }
     }
 
-    /// Moves on to the next event; nothing once the run is over.
+    /// Advances to the next event and returns it; `None` when the run is over.
     fn next_event(&mut self) -> Option<Event> {
-        let at = self.clock.next_at()?;
-        let at_rest = self.requests.is_empty() && self.calls.is_empty();
-        if at > self.end() || at > self.scenario.length && at_rest {
+        let at = self.clock.next_time()?;
+        let is_idle = self.requests.is_empty() && self.calls.is_empty();
+        if at > self.latest_end() || at > self.scenario.length && is_idle {
             return None;
         }
         self.clock.advance()
     }
 
-    /// When a run ends at the latest.
-    fn end(&self) -> Duration {
+    /// Returns the time at which the run ends even if requests or calls are left.
+    fn latest_end(&self) -> Duration {
         let longest = self
             .scenario
             .service_classes
@@ -151,36 +153,37 @@
             .map(|service_class| service_class.deadline)
             .max()
             .unwrap_or_default();
-        self.scenario.length + longest + TAIL
+        self.scenario.length + longest + MAX_OVERRUN
     }
 
     fn handle(&mut self, event: Event) {
         if let Some(until) = self.instance_of(&event).and_then(|instance| self.stalled_until(instance)) {
-            return self.clock.at(until, event);
+            return self.clock.schedule(until, event);
         }
         match event {
-            Event::Arrival { stream, count } => self.arrival(stream, count),
+            Event::Arrival { stream, count } => self.create_messages(stream, count),
             Event::Submission { request } => self.submit(request),
-            Event::Connected { call } => self.connected(call),
-            Event::CallArrives { call } => self.call_arrives(call),
-            Event::TakesEffect { call } => self.effect(call),
-            Event::Served { call, server } => self.served(call, server),
-            Event::CallEnds { call, end } => self.call_ends(call, end),
-            Event::TimerFires { instance, incarnation } => self.timer_fires(instance, incarnation),
-            Event::Gossip { instance, octets } => self.gossip_arrives(instance, &octets),
-            Event::EndpointsTold { instance, incarnation, update } => {
-                self.endpoints_told(instance, incarnation, update)
+            Event::Connected { call } => self.finish_connecting(call),
+            Event::CallArrives { call } => self.admit_call(call),
+            Event::CallExecutes { call } => self.execute(call),
+            Event::CallCompletes { call, server } => self.complete_call(call, server),
+            Event::CallEnds { call, end } => self.end_call(call, end),
+            Event::TimerFires { instance, incarnation } => self.fire_timer(instance, incarnation),
+            Event::Gossip { instance, bytes } => self.receive_gossip(instance, &bytes),
+            Event::EndpointsReported { instance, incarnation, update } => {
+                self.receive_endpoints(instance, incarnation, update)
             }
-            Event::DiscoveryFails { instance, incarnation } => self.discovery_fails(instance, incarnation),
-            Event::FaultBegins { fault } => self.fault_begins(fault),
-            Event::FaultEnds { fault } => self.fault_ends(fault),
-            Event::DrainBegins { entry, drain } => self.drain_begins(entry, drain),
-            Event::DrainEnds { entry, drain } => self.drain_ends(entry, &drain),
+            Event::DiscoveryFails { instance, incarnation } => self.fail_discovery(instance, incarnation),
+            Event::FaultBegins { fault } => self.begin_fault(fault),
+            Event::FaultEnds { fault } => self.end_fault(fault),
+            Event::DrainBegins { entry, drain } => self.begin_drain(entry, drain),
+            Event::DrainEnds { entry, drain } => self.end_drain(entry, &drain),
             Event::Restart { instance } => self.restart(instance),
         }
     }
 
-    /// The instance whose process an event needs, if it needs one: it waits until that no longer stands still.
+    /// Returns the instance whose process handles an event, if any. While that process is stalled, the event is
+    /// delayed.
     fn instance_of(&self, event: &Event) -> Option<usize> {
         match event {
             Event::CallEnds { call, .. } | Event::Connected { call } => {
@@ -188,22 +191,22 @@
             }
             Event::TimerFires { instance, .. }
             | Event::Gossip { instance, .. }
-            | Event::EndpointsTold { instance, .. }
+            | Event::EndpointsReported { instance, .. }
             | Event::DiscoveryFails { instance, .. } => Some(*instance),
             _ => None,
         }
     }
 
-    /// Schedules an event for after a while.
-    fn after(&mut self, wait: Duration, event: Event) {
-        self.clock.at(self.clock.now() + wait, event);
+    /// Schedules an event after a delay.
+    fn schedule_after(&mut self, wait: Duration, event: Event) {
+        self.clock.schedule(self.clock.now() + wait, event);
     }
 
-    fn fact(&mut self, fact: &Fact) {
-        self.record.fact(self.clock.now(), fact);
+    fn record_fact(&mut self, fact: &Fact) {
+        self.recorder.record(self.clock.now(), fact);
     }
 
-    /// A number that no order, message or call has yet.
+    /// Returns a number that no request, message or call has yet.
     fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
