--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -25,7 +25,7 @@
         ("listen", json!("here"), "an address as settings' listen"),
         ("listen", Value::Null, "found none"),
         ("seed", json!("x7"), "a hexadecimal number"),
-        ("discovery", json!(7), "a text"),
+        ("discovery", json!(7), "a string"),
         ("limits", json!({"disk_mb": "much"}), "limits.disk_mb"),
         ("settings", json!([]), "a JSON object"),
         ("settings", json!({"classes": [{"name": "g"}]}), "effect"),
