--- a/crates/quillhub-experiments/src/baselines.rs
+++ b/crates/quillhub-experiments/src/baselines.rs
@@ -1,5 +1,5 @@
-//! Deciders to compare the dispatcher with, and for nothing else: ways of retrying that the design's source weighs,
-//! each as plain as it can be, and an oracle that sees the true state of every endpoint.
+//! Baselines that the dispatcher is compared with: simple retry strategies, and an oracle that knows the free capacity of
+//! every endpoint. They serve experiments only.
 
 use quillhub::{
     AttemptOutcome, AttemptResult, DestinationId, Driver, EndpointState, EndpointUpdate, MessageId,
@@ -12,42 +12,42 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// The span over which first attempts and retries are compared.
-const BUDGET_SPAN: Duration = Duration::from_secs(10);
-/// After which a message that the budget held back is looked at again.
+/// Period over which the budget compares retries with first attempts.
+const BUDGET_PERIOD: Duration = Duration::from_secs(10);
+/// Delay before a retry that the budget did not allow is considered again.
 const BUDGET_RECHECK: Duration = Duration::from_secs(1);
-/// A message is given up so long before its deadline, so that its final outcome is in time.
+/// Time before its deadline at which a message is given up, so that its final outcome arrives by the deadline.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
-/// Messages looked at in one step; the rest is looked at in the next.
+/// Maximum number of due messages considered in one step; the others are considered in later steps.
 const MAX_DUE_MESSAGES: usize = 1_000;
-/// How long an oracle expects a call to take.
-const USUAL_DURATION: Duration = Duration::from_millis(200);
-/// After which a message that found no endpoint is looked at again.
+/// Duration that the oracle assumes for a call.
+const ORACLE_CALL_DURATION: Duration = Duration::from_millis(200);
+/// Delay before a message without a usable endpoint is considered again.
 const ENDPOINT_RECHECK: Duration = Duration::from_millis(50);
 
-/// What a decider's file name stands for.
+/// Decider of a run, as named in experiment files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Named {
-    /// The dispatcher.
+pub enum DeciderKind {
+    /// Dispatcher of quillhub.
     Module,
-    /// A retry after the same interval each time, counted from attempt to attempt.
+    /// Baseline that retries at a fixed interval, measured between the starts of attempts.
     Fixed,
-    /// Growing gaps without chance.
+    /// Baseline that retries with exponential backoff without jitter.
     Exponential,
-    /// Growing gaps, each drawn evenly from zero on, and no bound on their sum.
+    /// Baseline that retries with exponential backoff and full jitter, without a limit on the total number of retries.
     Jitter,
-    /// Retries at once, as long as they stay under a share of first attempts.
+    /// Baseline that retries at once while retries stay below a share of the first attempts.
     Budget,
-    /// No retries.
+    /// Baseline that never retries.
     Single,
-    /// Sees the true state of every endpoint.
+    /// Baseline that knows the free capacity of every endpoint.
     Oracle,
 }
 
-impl Named {
-    /// The name in an experiment file.
-    pub fn word(self) -> &'static str {
+impl DeciderKind {
+    /// Returns the name in experiment files and kept results.
+    pub fn name(self) -> &'static str {
         match self {
             Self::Module => "module",
             Self::Fixed => "fixed",
@@ -60,61 +60,62 @@
     }
 }
 
-/// The figures of the baselines in an experiment file.
+/// Settings of the baselines in an experiment file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Baselines {
-    /// Of `fixed`.
-    #[serde(with = "humantime_serde")]
-    pub every: Duration,
-    /// Of `exponential` and `jitter`.
-    #[serde(with = "humantime_serde")]
-    pub base: Duration,
-    /// Of `exponential` and `jitter`: by how much each gap is longer than the one before.
+pub struct BaselineSettings {
+    /// Time between the starts of two attempts of `fixed`.
+    #[serde(rename = "every", with = "humantime_serde")]
+    pub interval: Duration,
+    /// Delay before the first retry of `exponential`, and its upper bound for `jitter`.
+    #[serde(rename = "base", with = "humantime_serde")]
+    pub base_delay: Duration,
+    /// Factor by which the delay of `exponential` and `jitter` grows with each retry.
     pub multiplier: f64,
-    /// Of `exponential` and `jitter`: the longest gap.
-    #[serde(with = "humantime_serde")]
-    pub cap: Duration,
-    /// Of all: the attempt timeout.
-    #[serde(with = "humantime_serde")]
-    pub timeout: Duration,
-    /// Of `budget`: retries for each first attempt.
-    pub share: f64,
+    /// Maximum delay of `exponential` and `jitter`.
+    #[serde(rename = "cap", with = "humantime_serde")]
+    pub max_delay: Duration,
+    /// Attempt timeout of all baselines except `oracle`, whose attempts may last until the deadline.
+    #[serde(rename = "timeout", with = "humantime_serde")]
+    pub attempt_timeout: Duration,
+    /// Maximum number of retries per first attempt of `budget`, over the last 10 seconds.
+    #[serde(rename = "share")]
+    pub retry_share: f64,
 }
 
-impl Default for Baselines {
+impl Default for BaselineSettings {
     fn default() -> Self {
         Self {
-            every: Duration::from_secs(1),
-            base: Duration::from_millis(200),
+            interval: Duration::from_secs(1),
+            base_delay: Duration::from_millis(200),
             multiplier: 3.0,
-            cap: Duration::from_secs(4),
-            timeout: Duration::from_secs(2),
-            share: 0.1,
+            max_delay: Duration::from_secs(4),
+            attempt_timeout: Duration::from_secs(2),
+            retry_share: 0.1,
         }
     }
 }
 
-/// The gap before the k-th retry, without chance: `min(cap, base * multiplier^(k - 1))`.
-pub fn ideal_gap(of: &Baselines, k: u32) -> Duration {
-    let s = of.base.as_secs_f64() * of.multiplier.powi(k.saturating_sub(1) as i32);
-    Duration::from_secs_f64(s.min(of.cap.as_secs_f64()))
+/// Returns the delay before the k-th retry without jitter: `min(max_delay, base_delay * multiplier^(k - 1))`.
+pub fn exponential_delay(settings: &BaselineSettings, k: u32) -> Duration {
+    let delay_s = settings.base_delay.as_secs_f64() * settings.multiplier.powi(k.saturating_sub(1) as i32);
+    Duration::from_secs_f64(delay_s.min(settings.max_delay.as_secs_f64()))
 }
 
-/// A decider of that name.
-pub fn make(named: Named, of: &Baselines, start: &Start) -> Box<dyn Decider> {
-    if named == Named::Module {
+/// Creates the decider of one instance.
+pub fn create_decider(kind: DeciderKind, settings: &BaselineSettings, start: &Start) -> Box<dyn Decider> {
+    if kind == DeciderKind::Module {
         return dispatcher(start);
     }
     let scenario = start.scenario;
     Box::new(Baseline {
-        named,
-        of: of.clone(),
+        kind,
+        settings: settings.clone(),
         rng: Pcg64Mcg::seed_from_u64(start.seed),
         now: Duration::ZERO,
         slots: scenario.instances.slots,
         capacity: scenario.instances.capacity,
-        max_attempts: if named == Named::Single { 1 } else { scenario.instances.max_attempts },
+        max_attempts: if kind == DeciderKind::Single { 1 } else { scenario.instances.max_attempts },
         service_classes: scenario
             .service_classes
             .iter()
@@ -124,10 +125,10 @@
         by_destination: BTreeMap::new(),
         pending: BTreeMap::new(),
         due: BTreeSet::new(),
-        ends: BTreeSet::new(),
+        deadlines: BTreeSet::new(),
         retry_after: BTreeMap::new(),
         recent: BTreeMap::new(),
-        calls: 0,
+        in_flight: 0,
         to_finish: Vec::new(),
         timer: None,
     })
@@ -138,7 +139,7 @@
     destination: DestinationId,
     state: EndpointState,
     in_flight: usize,
-    /// As last seen by an oracle.
+    /// Free capacity when the oracle last observed it; 0 for the other baselines.
     capacity: usize,
 }
 
@@ -150,11 +151,11 @@
     due: Duration,
     started: Duration,
     endpoint: String,
-    /// The first attempt that may have run, and its zone.
+    /// Start and zone of the first attempt by which the message may have been executed.
     first_execution: Option<(Duration, String)>,
 }
 
-/// What was sent to a destination in the budget's span, and how much of it again.
+/// Attempts at a destination within the budget's period, and the number of retries among them.
 #[derive(Default)]
 struct RecentAttempts {
     times: VecDeque<(Duration, bool)>,
@@ -162,23 +163,23 @@
 }
 
 impl RecentAttempts {
-    fn forget(&mut self, now: Duration) {
-        while let Some((_, is_retry)) = self.times.front().filter(|(at, _)| *at + BUDGET_SPAN <= now) {
+    fn remove_expired(&mut self, now: Duration) {
+        while let Some((_, is_retry)) = self.times.front().filter(|(at, _)| *at + BUDGET_PERIOD <= now) {
             self.retries -= u32::from(*is_retry);
             self.times.pop_front();
         }
     }
 
-    fn count(&mut self, now: Duration, is_retry: bool) {
-        self.forget(now);
+    fn record(&mut self, now: Duration, is_retry: bool) {
+        self.remove_expired(now);
         self.times.push_back((now, is_retry));
         self.retries += u32::from(is_retry);
     }
 }
 
 struct Baseline {
-    named: Named,
-    of: Baselines,
+    kind: DeciderKind,
+    settings: BaselineSettings,
     rng: Pcg64Mcg,
     now: Duration,
     slots: usize,
@@ -188,70 +189,73 @@
     endpoints: BTreeMap<String, KnownEndpoint>,
     by_destination: BTreeMap<DestinationId, BTreeSet<String>>,
     pending: BTreeMap<MessageId, PendingMessage>,
-    /// What is not out, by when it may go.
+    /// Pending messages without an attempt in flight, by the time of their next attempt.
     due: BTreeSet<(Duration, MessageId)>,
-    /// Pending messages, by when they must have a final outcome.
-    ends: BTreeSet<(Duration, MessageId)>,
-    /// Each goes when it is over.
+    /// Pending messages, by the time at which they are given up.
+    deadlines: BTreeSet<(Duration, MessageId)>,
+    /// End of the retry-after of each destination; entries are removed when they expire.
     retry_after: BTreeMap<DestinationId, Duration>,
-    /// Attempts of the span of the budget.
+    /// Attempts within the budget's period, by destination.
     recent: BTreeMap<DestinationId, RecentAttempts>,
-    calls: usize,
-    /// To be rejected or abandoned at the next step.
+    in_flight: usize,
+    /// Messages to reject or abandon in the next step.
     to_finish: Vec<MessageId>,
     timer: Option<Duration>,
 }
 
 impl Baseline {
-    /// Whether the service class allows an attempt of `pending` in `zone` now.
+    /// Returns `true` if the service class allows an attempt of `pending` in `zone` now.
     fn may_attempt(&self, pending: &PendingMessage, zone: &str) -> bool {
         match (&pending.first_execution, self.service_classes[pending.service_class].1.retry_safety) {
             (None, _) | (_, RetrySafety::Idempotent) => true,
             (Some(_), RetrySafety::AtMostOnce) => false,
-            (Some((first, of)), RetrySafety::Deduplicated { window, per_zone }) => {
-                self.now <= *first + window && (!per_zone || of == zone)
+            (Some((first, first_zone)), RetrySafety::Deduplicated { window, per_zone }) => {
+                self.now <= *first + window && (!per_zone || first_zone == zone)
             }
         }
     }
 
-    fn gap(&mut self, attempts: u32, started: Duration) -> Duration {
-        let ideal = ideal_gap(&self.of, attempts);
-        match self.named {
-            Named::Fixed => started + self.of.every,
-            Named::Exponential => self.now + ideal,
-            Named::Jitter => self.now + ideal.mul_f64(self.rng.random()),
+    fn next_attempt_time(&mut self, attempts: u32, started: Duration) -> Duration {
+        let delay = exponential_delay(&self.settings, attempts);
+        match self.kind {
+            DeciderKind::Fixed => started + self.settings.interval,
+            DeciderKind::Exponential => self.now + delay,
+            DeciderKind::Jitter => self.now + delay.mul_f64(self.rng.random()),
             _ => self.now,
         }
     }
 
-    /// Whether the budget allows a retry there.
-    fn budget(&mut self, destination: DestinationId) -> bool {
+    /// Returns `true` if the budget allows a retry at `destination`.
+    fn budget_allows_retry(&mut self, destination: DestinationId) -> bool {
         let recent = self.recent.entry(destination).or_default();
-        recent.forget(self.now);
-        f64::from(recent.retries) < self.of.share * (recent.times.len() as f64 - f64::from(recent.retries))
+        recent.remove_expired(self.now);
+        f64::from(recent.retries)
+            < self.settings.retry_share * (recent.times.len() as f64 - f64::from(recent.retries))
     }
 
-    /// The endpoint for a message: the one with the fewest calls out, at random among equals; an oracle's has free capacity.
-    fn endpoint(&mut self, id: MessageId) -> Option<String> {
+    /// Chooses the endpoint with the fewest calls in flight, or for the oracle the one with the most free capacity; at
+    /// random among equals.
+    fn choose_endpoint(&mut self, id: MessageId) -> Option<String> {
         let pending = &self.pending[&id];
-        let oracle = self.named == Named::Oracle;
+        let oracle = self.kind == DeciderKind::Oracle;
         let names = self.by_destination.get(&pending.destination)?;
-        let open = names.iter().map(|name| (name, &self.endpoints[name])).filter(|(_, known)| {
+        let available = names.iter().map(|name| (name, &self.endpoints[name])).filter(|(_, known)| {
             known.state == EndpointState::Available
                 && (!oracle || known.capacity > 0)
                 && self.may_attempt(pending, &known.zone)
         });
         let load = |known: &KnownEndpoint| if oracle { usize::MAX - known.capacity } else { known.in_flight };
-        let least = open.clone().map(|(_, known)| load(known)).min()?;
-        let best: Vec<_> = open.filter(|(_, known)| load(known) == least).map(|(name, _)| name).collect();
-        let at = self.rng.random_range(0..best.len());
-        Some(best[at].clone())
+        let min_load = available.clone().map(|(_, known)| load(known)).min()?;
+        let best: Vec<_> =
+            available.filter(|(_, known)| load(known) == min_load).map(|(name, _)| name).collect();
+        let index = self.rng.random_range(0..best.len());
+        Some(best[index].clone())
     }
 
     fn give_up(&mut self, id: MessageId, driver: &mut dyn Driver) {
         let Some(pending) = self.pending.remove(&id) else { return };
         self.due.remove(&(pending.due, id));
-        self.ends.remove(&(pending.deadline, id));
+        self.deadlines.remove(&(pending.deadline, id));
         if pending.first_execution.is_some()
             && self.service_classes[pending.service_class].1.retry_safety == RetrySafety::AtMostOnce
         {
@@ -261,21 +265,21 @@
         }
     }
 
-    /// What may go now, first what came due first; an oracle takes what its soft deadline still covers before what
-    /// it does not, and of each what is due sooner.
+    /// Returns the due messages, earliest due time first. The oracle puts messages that can still be delivered by their
+    /// soft deadline before the others, and orders both by soft deadline.
     fn due_messages(&self) -> Vec<MessageId> {
-        if self.calls >= self.slots {
+        if self.in_flight >= self.slots {
             return Vec::new();
         }
         let due = self.due.iter().take_while(|(at, _)| *at <= self.now).take(MAX_DUE_MESSAGES);
         let mut due: Vec<_> = due.map(|(_, id)| *id).collect();
-        if self.named == Named::Oracle {
+        if self.kind == DeciderKind::Oracle {
             due.sort_by_key(|id| {
                 let pending = &self.pending[id];
                 let service_class = &self.service_classes[pending.service_class].1;
                 let soft_deadline =
                     (pending.deadline + service_class.soft_deadline).saturating_sub(service_class.deadline);
-                (self.now + USUAL_DURATION > soft_deadline, soft_deadline)
+                (self.now + ORACLE_CALL_DURATION > soft_deadline, soft_deadline)
             });
         }
         due
@@ -291,27 +295,29 @@
     fn endpoint_updated(&mut self, update: EndpointUpdate) {
         let EndpointUpdate { name, zone, destination, state, .. } = update;
         self.by_destination.entry(destination).or_default().insert(name.into());
-        let new = || KnownEndpoint { zone: zone.into(), destination, state, in_flight: 0, capacity: 0 };
-        self.endpoints.entry(name.into()).or_insert_with(new).state = state;
+        let new_endpoint =
+            || KnownEndpoint { zone: zone.into(), destination, state, in_flight: 0, capacity: 0 };
+        self.endpoints.entry(name.into()).or_insert_with(new_endpoint).state = state;
     }
 
-    fn endpoint_list_ended(&mut self, whole: Option<&BTreeSet<String>>) {
+    fn endpoint_list_ended(&mut self, snapshot: Option<&BTreeSet<String>>) {
         let by_destination = &mut self.by_destination;
         self.endpoints.retain(|name, known| {
-            if whole.is_some_and(|names| !names.contains(name)) {
+            if snapshot.is_some_and(|names| !names.contains(name)) {
                 known.state = EndpointState::Removed;
             }
-            let stays = known.state != EndpointState::Removed || known.in_flight > 0;
-            if !stays && let Some(names) = by_destination.get_mut(&known.destination) {
+            let is_kept = known.state != EndpointState::Removed || known.in_flight > 0;
+            if !is_kept && let Some(names) = by_destination.get_mut(&known.destination) {
                 names.remove(name);
             }
-            stays
+            is_kept
         });
     }
 
     fn accept(&mut self, message: NewMessage) {
         let NewMessage { id, service_class, deadline, destination, .. } = message;
-        let Some(service_class) = self.service_classes.iter().position(|g| g.0 == service_class) else {
+        let Some(service_class) = self.service_classes.iter().position(|class| class.0 == service_class)
+        else {
             return;
         };
         let deadline = deadline.saturating_sub(DEADLINE_MARGIN);
@@ -328,13 +334,13 @@
         };
         self.pending.insert(id, pending);
         self.due.insert((now, id));
-        self.ends.insert((deadline, id));
+        self.deadlines.insert((deadline, id));
         if self.pending.len() > self.capacity {
             self.to_finish.push(id);
         }
     }
 
-    fn recover(&mut self, id: MessageId, attempts: RecoveredAttempts) {
+    fn restore_attempts(&mut self, id: MessageId, attempts: RecoveredAttempts) {
         let first_execution = attempts.first_execution;
         let endpoint = first_execution.and_then(|execution| self.endpoints.get(execution.endpoint));
         let zone = endpoint.map_or(String::new(), |endpoint| endpoint.zone.clone());
@@ -346,7 +352,7 @@
 
     fn attempt_ended(&mut self, result: AttemptResult) {
         let AttemptResult { message: id, outcome, finished, .. } = result;
-        self.calls -= 1;
+        self.in_flight -= 1;
         if let (
             Some(pending),
             AttemptOutcome::Rejected { retry_after: Some(wait) }
@@ -365,21 +371,22 @@
         if finished {
             let deadline = pending.deadline;
             self.pending.remove(&id);
-            self.ends.remove(&(deadline, id));
+            self.deadlines.remove(&(deadline, id));
             return;
         }
         if !outcome.known_not_executed() && pending.first_execution.is_none() {
             pending.first_execution = Some((pending.started, zone));
         }
         let (attempts, started) = (pending.attempts, pending.started);
-        let due = self.gap(attempts, started).max(self.now);
+        let due = self.next_attempt_time(attempts, started).max(self.now);
         let pending = &self.pending[&id];
-        let zones: Vec<_> = self.by_destination.get(&pending.destination).into_iter().flatten().collect();
-        let fits = zones.iter().any(|name| self.may_attempt(pending, &self.endpoints[*name].zone));
-        if attempts >= self.max_attempts || due >= pending.deadline || !fits {
+        let names: Vec<_> = self.by_destination.get(&pending.destination).into_iter().flatten().collect();
+        let has_allowed_zone =
+            names.iter().any(|name| self.may_attempt(pending, &self.endpoints[*name].zone));
+        if attempts >= self.max_attempts || due >= pending.deadline || !has_allowed_zone {
             self.to_finish.push(id);
         } else {
-            self.pending.get_mut(&id).expect("just seen").due = due;
+            self.pending.get_mut(&id).expect("the message is pending").due = due;
             self.due.insert((due, id));
         }
     }
@@ -395,7 +402,7 @@
             Input::EndpointUpdated(update) => self.endpoint_updated(update),
             Input::EndpointListEnded { snapshot, .. } => self.endpoint_list_ended(snapshot),
             Input::Message(message) => self.accept(message),
-            Input::Recovered { message, attempts } => self.recover(message, attempts),
+            Input::Recovered { message, attempts } => self.restore_attempts(message, attempts),
             Input::AttemptEnded(result) => self.attempt_ended(result),
             Input::TimerFired => self.timer = self.timer.filter(|at| *at > self.now),
             Input::EndpointListFailed | Input::Gossip(_) => {}
@@ -404,8 +411,9 @@
 
     fn may_send_request(&self, id: MessageId, _: u32, now: Duration) -> bool {
         let Some(pending) = self.pending.get(&id) else { return false };
-        let open = self.endpoints.get(&pending.endpoint).is_some_and(|e| e.state == EndpointState::Available);
-        open && self.retry_after.get(&pending.destination).is_none_or(|until| *until <= now)
+        let is_available =
+            self.endpoints.get(&pending.endpoint).is_some_and(|e| e.state == EndpointState::Available);
+        is_available && self.retry_after.get(&pending.destination).is_none_or(|until| *until <= now)
     }
 
     fn apply_rules(&mut self, driver: &mut dyn Driver) {
@@ -413,7 +421,7 @@
             self.give_up(id, driver);
         }
         let now = self.now;
-        while let Some((_, id)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
+        while let Some((_, id)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
             self.give_up(id, driver);
         }
         self.retry_after.retain(|_, until| *until > now);
@@ -425,33 +433,34 @@
                 self.postpone(id, until.min(deadline));
                 continue;
             }
-            if attempts > 0 && self.named == Named::Budget && !self.budget(destination) {
+            if attempts > 0 && self.kind == DeciderKind::Budget && !self.budget_allows_retry(destination) {
                 self.postpone(id, (now + BUDGET_RECHECK).min(deadline));
                 continue;
             }
-            if self.calls >= self.slots {
+            if self.in_flight >= self.slots {
                 break;
             }
-            let Some(name) = self.endpoint(id) else {
+            let Some(name) = self.choose_endpoint(id) else {
                 self.postpone(id, (now + ENDPOINT_RECHECK).min(deadline));
                 continue;
             };
-            let timeout = if self.named == Named::Oracle { deadline - now } else { self.of.timeout };
+            let timeout =
+                if self.kind == DeciderKind::Oracle { deadline - now } else { self.settings.attempt_timeout };
             let timeout = timeout.min(deadline - now);
             driver.start_attempt(id, &name, timeout);
-            self.calls += 1;
-            if self.named == Named::Budget {
-                self.recent.entry(destination).or_default().count(now, attempts > 0);
+            self.in_flight += 1;
+            if self.kind == DeciderKind::Budget {
+                self.recent.entry(destination).or_default().record(now, attempts > 0);
             }
-            let known = self.endpoints.get_mut(&name).expect("just chosen");
+            let known = self.endpoints.get_mut(&name).expect("the endpoint was just chosen");
             known.in_flight += 1;
             known.capacity = known.capacity.saturating_sub(1);
-            let pending = self.pending.get_mut(&id).expect("just seen");
+            let pending = self.pending.get_mut(&id).expect("the message is pending");
             self.due.remove(&(pending.due, id));
             (pending.attempts, pending.started, pending.endpoint) = (attempts + 1, now, name);
         }
-        // The next that comes due, or the deadline of what waits for a slot: the end of a call shows free ones.
-        let next = self.due.first().into_iter().chain(self.ends.first()).map(|(at, _)| *at).min();
+        // Wakes up for the next due time or deadline; messages that wait for a slot are started when a call ends.
+        let next = self.due.first().into_iter().chain(self.deadlines.first()).map(|(at, _)| *at).min();
         let next = next.map(|at| at.max(now + ENDPOINT_RECHECK / 5));
         if let Some(at) = next.filter(|at| self.timer.is_none_or(|timer| timer > *at || timer <= now)) {
             self.timer = Some(at);
@@ -460,7 +469,7 @@
     }
 
     fn wants_capacity(&self) -> bool {
-        self.named == Named::Oracle
+        self.kind == DeciderKind::Oracle
     }
 
     fn observe_capacity(&mut self, capacity: &dyn Fn(&str) -> usize) {
--- a/crates/quillhub-experiments/src/chart.rs
+++ b/crates/quillhub-experiments/src/chart.rs
@@ -1,97 +1,108 @@
-//! Draws lines as SVG: over time, or over the days of an experiment.
+//! Line charts as SVG: over time, the offered rate, the variants of an experiment, or sizes.
 
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-const SIZE: (u32, u32) = (820, 380);
+/// Width and height of a chart in pixels.
+const CHART_SIZE_PX: (u32, u32) = (820, 380);
 
-/// A curve of a chart.
-pub struct Line {
-    /// Its name in the legend.
+/// Line of a chart.
+pub struct Series {
+    /// Name in the legend.
     pub name: String,
-    /// Its points, from left to right.
+    /// Points as x and y, from left to right.
     pub points: Vec<(f64, f64)>,
 }
 
-/// The least and the most of one coordinate, never the same.
-fn span(lines: &[Line], of: impl Fn(&(f64, f64)) -> f64) -> (f64, f64) {
-    let all = lines.iter().flat_map(|line| &line.points).map(of).filter(|value| value.is_finite());
+/// Returns the minimum and the maximum of one coordinate; the maximum is always greater.
+fn value_range(lines: &[Series], coordinate: impl Fn(&(f64, f64)) -> f64) -> (f64, f64) {
+    let all = lines.iter().flat_map(|line| &line.points).map(coordinate).filter(|value| value.is_finite());
     let (low, high) = all.fold((f64::MAX, f64::MIN), |(low, high), v| (low.min(v), high.max(v)));
     if low > high { (0.0, 1.0) } else { (low, if high > low { high } else { low + 1.0 }) }
 }
 
+/// Draws lines as SVG, with x labels formatted by `format_label` and y from 0.
 fn draw(
     title: &str,
-    lines: &[Line],
-    across: &str,
-    label: &dyn Fn(&f64) -> String,
-    labels: usize,
+    lines: &[Series],
+    x_title: &str,
+    format_label: &dyn Fn(&f64) -> String,
+    label_count: usize,
 ) -> Result<String, String> {
-    let told = |e: &dyn std::fmt::Display| format!("the chart '{title}' cannot be drawn: {e}");
+    let error = |e: &dyn std::fmt::Display| format!("the chart '{title}' cannot be drawn: {e}");
     let mut svg = String::new();
     {
-        let area: DrawingArea<_, Shift> = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        area.fill(&WHITE).map_err(|e| told(&e))?;
-        let ((left, right), top) = (span(lines, |p| p.0), span(lines, |p| p.1).1.max(1e-9));
+        let area: DrawingArea<_, Shift> =
+            SVGBackend::with_string(&mut svg, CHART_SIZE_PX).into_drawing_area();
+        area.fill(&WHITE).map_err(|e| error(&e))?;
+        let ((left, right), top) = (value_range(lines, |p| p.0), value_range(lines, |p| p.1).1.max(1e-9));
         let mut chart = ChartBuilder::on(&area)
             .caption(title, ("sans-serif", 17))
             .margin(10)
             .x_label_area_size(36)
             .y_label_area_size(56)
             .build_cartesian_2d(left..right, 0.0..top * 1.05)
-            .map_err(|e| told(&e))?;
+            .map_err(|e| error(&e))?;
         let mut mesh = chart.configure_mesh();
-        mesh.x_desc(across).x_labels(labels).x_label_formatter(label).light_line_style(WHITE);
-        mesh.draw().map_err(|e| told(&e))?;
-        for (nth, line) in lines.iter().enumerate() {
-            let colour = Palette99::pick(nth).to_rgba();
+        mesh.x_desc(x_title).x_labels(label_count).x_label_formatter(format_label).light_line_style(WHITE);
+        mesh.draw().map_err(|e| error(&e))?;
+        for (index, line) in lines.iter().enumerate() {
+            let colour = Palette99::pick(index).to_rgba();
             let series = LineSeries::new(line.points.iter().copied(), colour.stroke_width(2));
-            let drawn = chart.draw_series(series).map_err(|e| told(&e))?;
-            drawn
+            let drawn_series = chart.draw_series(series).map_err(|e| error(&e))?;
+            drawn_series
                 .label(&line.name)
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour.stroke_width(2)));
         }
         let mut names = chart.configure_series_labels();
         names.background_style(WHITE.mix(0.8)).border_style(BLACK.mix(0.3));
-        names.draw().map_err(|e| told(&e))?;
-        area.present().map_err(|e| told(&e))?;
+        names.draw().map_err(|e| error(&e))?;
+        area.present().map_err(|e| error(&e))?;
     }
     Ok(svg)
 }
 
-/// A chart over the seconds of a run, as SVG.
+/// Draws a chart over the time of a run in seconds, as SVG.
 ///
 /// # Errors
 ///
-/// If it cannot be drawn.
-pub fn over_time(title: &str, lines: &[Line]) -> Result<String, String> {
-    draw(title, lines, "s", &|at| format!("{at:.0}"), 10)
+/// Returns a message if the chart cannot be drawn.
+pub fn over_time(title: &str, lines: &[Series]) -> Result<String, String> {
+    draw(title, lines, "s", &|value| format!("{value:.0}"), 10)
 }
 
-/// A chart over the offered rate, as SVG.
+/// Draws a chart over the offered rate in messages per second, as SVG.
 ///
 /// # Errors
 ///
-/// If it cannot be drawn.
-pub fn over_rate(title: &str, lines: &[Line]) -> Result<String, String> {
-    draw(title, lines, "notices offered a second", &|at| format!("{at:.0}"), 10)
+/// Returns a message if the chart cannot be drawn.
+pub fn over_rate(title: &str, lines: &[Series]) -> Result<String, String> {
+    draw(title, lines, "offered messages per second", &|value| format!("{value:.0}"), 10)
 }
 
-/// Each name is one place across.
-pub fn over_names(title: &str, names: &[&str], lines: &[Line]) -> Result<String, String> {
-    let label = |at: &f64| {
-        let whole = (at - at.round()).abs() < 1e-6;
-        names.get(at.round() as usize).filter(|_| whole).map_or(String::new(), |name| (*name).into())
+/// Draws a chart over named variants, as SVG: x is the index into `names`.
+///
+/// # Errors
+///
+/// Returns a message if the chart cannot be drawn.
+pub fn over_names(title: &str, names: &[&str], lines: &[Series]) -> Result<String, String> {
+    let format_label = |value: &f64| {
+        let is_whole = (value - value.round()).abs() < 1e-6;
+        names.get(value.round() as usize).filter(|_| is_whole).map_or(String::new(), |name| (*name).into())
     };
-    draw(title, lines, "", &label, names.len())
+    draw(title, lines, "", &format_label, names.len())
 }
 
-/// Sizes spaced by factors: each power of ten is as far from the next.
-pub fn over_sizes(title: &str, across: &str, lines: &[Line]) -> Result<String, String> {
-    let scaled = |line: &Line| {
+/// Draws a chart over sizes on a logarithmic axis, as SVG.
+///
+/// # Errors
+///
+/// Returns a message if the chart cannot be drawn.
+pub fn over_sizes(title: &str, x_title: &str, lines: &[Series]) -> Result<String, String> {
+    let scaled = |line: &Series| {
         let points = line.points.iter().map(|(size, value)| (size.max(1.0).log10(), *value)).collect();
-        Line { name: line.name.clone(), points }
+        Series { name: line.name.clone(), points }
     };
-    let lines: Vec<Line> = lines.iter().map(scaled).collect();
-    draw(title, &lines, across, &|at| format!("{:.0}", 10f64.powf(*at)), 10)
+    let lines: Vec<Series> = lines.iter().map(scaled).collect();
+    draw(title, &lines, x_title, &|value| format!("{:.0}", 10f64.powf(*value)), 10)
 }
--- a/crates/quillhub-experiments/src/cost.rs
+++ b/crates/quillhub-experiments/src/cost.rs
@@ -1,8 +1,8 @@
-//! What a run costs in time and memory: the deciders' own share, and the simulator's. Wall time of one thread, so it
-//! differs from run to run; ratios hold better.
+//! Time and memory of a run, with the shares of the deciders and of the simulator. Wall time of one thread varies from
+//! run to run; ratios vary less.
 
 use crate::baselines;
-use crate::experiment::Planned;
+use crate::experiment::ExperimentPlan;
 use crate::sweep::Run;
 use quillhub::{Driver, MessageId};
 use quillhub_simulator::{Decider, Input, Report, Simulation, Start};
@@ -10,48 +10,48 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The cost of one run.
+/// Time and memory of one run.
 pub struct Cost {
-    /// What the run came to.
+    /// Report of the simulation.
     pub report: Report,
-    /// Its wall time.
-    pub whole: Duration,
-    /// The part of it that the deciders took.
-    pub deciders: Duration,
-    /// Most memory that this process has had by now, in MB; 0 where the system does not tell.
-    pub memory_mb: f64,
+    /// Wall time of the run.
+    pub wall_time: Duration,
+    /// Part of the wall time spent in the deciders.
+    pub decider_time: Duration,
+    /// Peak resident memory of this process so far, in MB; 0 if the system does not report it.
+    pub peak_memory_mb: f64,
 }
 
-/// A decider whose time is counted.
-struct Timed {
+/// Decider wrapped to measure the time spent in it.
+struct TimedDecider {
     inner: Box<dyn Decider>,
     spent: Rc<Cell<Duration>>,
 }
 
-impl Timed {
-    fn time<T>(&mut self, work: impl FnOnce(&mut dyn Decider) -> T) -> T {
-        let from = Instant::now();
-        let done = work(self.inner.as_mut());
-        self.spent.set(self.spent.get() + from.elapsed());
-        done
+impl TimedDecider {
+    fn measure<T>(&mut self, work: impl FnOnce(&mut dyn Decider) -> T) -> T {
+        let started = Instant::now();
+        let result = work(self.inner.as_mut());
+        self.spent.set(self.spent.get() + started.elapsed());
+        result
     }
 }
 
-impl Decider for Timed {
+impl Decider for TimedDecider {
     fn advance_to(&mut self, now: Duration) {
         self.inner.advance_to(now);
     }
     fn handle(&mut self, input: Input) {
-        self.time(|inner| inner.handle(input));
+        self.measure(|inner| inner.handle(input));
     }
     fn may_send_request(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
-        let from = Instant::now();
+        let started = Instant::now();
         let may_send_request = self.inner.may_send_request(id, attempt, now);
-        self.spent.set(self.spent.get() + from.elapsed());
+        self.spent.set(self.spent.get() + started.elapsed());
         may_send_request
     }
     fn apply_rules(&mut self, driver: &mut dyn Driver) {
-        self.time(|inner| inner.apply_rules(driver));
+        self.measure(|inner| inner.apply_rules(driver));
     }
     fn wants_capacity(&self) -> bool {
         self.inner.wants_capacity()
@@ -61,41 +61,46 @@
     }
 }
 
-fn peak_mb() -> f64 {
+fn read_peak_memory_mb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     let kb = peak.and_then(|text| text.trim().trim_end_matches(" kB").trim().parse::<f64>().ok());
     kb.unwrap_or(0.0) / 1024.0
 }
 
-/// Plays one run on this thread.
-pub fn measure(planned: &Planned, run: &Run) -> Cost {
+/// Simulates one run on this thread and measures its cost.
+pub fn measure(plan: &ExperimentPlan, run: &Run) -> Cost {
     let spent = Rc::new(Cell::new(Duration::ZERO));
-    let make = |start: &Start| {
-        let inner = baselines::make(run.decider, &planned.of.baselines, start);
-        Box::new(Timed { inner, spent: spent.clone() }) as Box<dyn Decider>
+    let create_decider = |start: &Start| {
+        let inner = baselines::create_decider(run.decider, &plan.definition.baselines, start);
+        Box::new(TimedDecider { inner, spent: spent.clone() }) as Box<dyn Decider>
     };
-    let from = Instant::now();
-    let report = Simulation::run(&run.variant.day, run.seed, &make, |_, _| {});
-    Cost { report, whole: from.elapsed(), deciders: spent.get(), memory_mb: peak_mb() }
+    let started = Instant::now();
+    let report = Simulation::run(&run.variant.scenario, run.seed, &create_decider, |_, _| {});
+    Cost {
+        report,
+        wall_time: started.elapsed(),
+        decider_time: spent.get(),
+        peak_memory_mb: read_peak_memory_mb(),
+    }
 }
 
 impl Cost {
-    /// One line for a terminal.
-    pub fn line(&self, run: &Run) -> String {
-        let (whole, deciders) = (self.whole.as_secs_f64(), self.deciders.as_secs_f64());
+    /// Returns a one-line summary for the terminal.
+    pub fn summary(&self, run: &Run) -> String {
+        let (wall_time_s, decider_time_s) = (self.wall_time.as_secs_f64(), self.decider_time.as_secs_f64());
         let messages = self.report.tally.submitted.max(1) as f64;
         format!(
-            "{} {}, seed {}: {messages} notices in {whole:.2} s, {:.0} a second; deciders {:.2} us each, the emulator \
-             {:.2} us each; {} events; at most {:.0} MB; breaches {}",
+            "{} {}, seed {}: {messages} messages in {wall_time_s:.2} s, {:.0} per second; deciders {:.2} us and simulator \
+             {:.2} us per message; {} events; peak memory {:.0} MB; breaches {}",
             run.variant.name,
-            run.decider.word(),
+            run.decider.name(),
             run.seed,
-            messages / whole,
-            deciders * 1e6 / messages,
-            (whole - deciders) * 1e6 / messages,
+            messages / wall_time_s,
+            decider_time_s * 1e6 / messages,
+            (wall_time_s - decider_time_s) * 1e6 / messages,
             self.report.events,
-            self.memory_mb,
+            self.peak_memory_mb,
             self.report.breaches.len(),
         )
     }
--- a/crates/quillhub-experiments/src/experiment.rs
+++ b/crates/quillhub-experiments/src/experiment.rs
@@ -1,6 +1,6 @@
-//! Experiment files: reading them, and saying in one line what is wrong with one.
+//! Experiment files: parsing, variants of the scenario, and error messages with line and column.
 
-use crate::baselines::{Baselines, Named};
+use crate::baselines::{BaselineSettings, DeciderKind};
 use quillhub_scale::plan::position;
 use quillhub_simulator::Scenario;
 use serde::{Deserialize, Serialize};
@@ -9,234 +9,246 @@
 use toml::Value;
 use toml::de::{DeTable, DeValue};
 
-/// The version of the format.
-const FORMAT: u32 = 1;
-/// Runs of one experiment beyond which it is taken for a mistake.
-const MOST_RUNS: usize = 100_000;
+/// Version of the file format that this build reads.
+const FORMAT_VERSION: u32 = 1;
+/// Maximum number of runs of one experiment; a larger number is treated as a mistake in the file.
+const MAX_RUNS: usize = 100_000;
 
-/// An experiment as written.
+/// Contents of an experiment file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// The version of the format.
+    /// Version of the file format.
     pub format: u32,
-    /// What is asked, in one paragraph, and what was found.
+    /// Question that the experiment answers, in one paragraph; part of [`ExperimentPlan::text_hash`].
     pub question: String,
-    /// What was found, as text for the report.
+    /// Findings, as text for the report; empty until there are any.
     #[serde(default)]
     pub found: String,
-    /// The seeds that each variant is played with.
+    /// Seeds with which each variant is run; the first seed also records time series.
     pub seeds: Vec<u64>,
-    /// The deciders that are compared.
-    pub deciders: Vec<Named>,
-    /// The baselines' figures.
+    /// Deciders to compare; each runs every variant with every seed.
+    pub deciders: Vec<DeciderKind>,
+    /// Settings of the baselines; defaults apply to those that the file omits.
     #[serde(default)]
-    pub baselines: Baselines,
-    /// Places of the scenario ("instances.count", "faults.0.what.slow.factor") and the values each takes; all with all.
+    pub baselines: BaselineSettings,
+    /// Values to try by path in the scenario, such as "destinations.0.workers" or "faults.0.what.slow.factor"; all
+    /// combinations are run.
     #[serde(default)]
     pub sweep: BTreeMap<String, Vec<Value>>,
-    /// Named sets of values that belong together; each with all of the sweep.
+    /// Named sets of values that are applied together; each is combined with every combination of the sweep.
     #[serde(default)]
     pub points: Vec<Point>,
-    /// The scenario, before anything is varied.
-    pub day: Value,
+    /// Scenario before points and sweep are applied.
+    #[serde(rename = "day")]
+    pub scenario: Value,
 }
 
-/// A named variant of the scenario.
+/// Named set of changes to the scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Point {
-    /// Its name.
+    /// Name of the point, with which the names of its variants start.
     pub name: String,
-    /// What it sets, by path.
+    /// Values to set, by path in the scenario.
     #[serde(default)]
     pub set: BTreeMap<String, Value>,
 }
 
-/// One day of an experiment, with the name that tells it from the others.
+/// Scenario of an experiment after points and sweep are applied.
 #[derive(Clone, Debug)]
 pub struct Variant {
-    /// Its name; empty if nothing is varied.
+    /// Name made of the point and the swept values; empty if the experiment varies nothing.
     pub name: String,
-    /// Its scenario.
-    pub day: Scenario,
+    /// Checked scenario to simulate.
+    pub scenario: Scenario,
 }
 
-/// A read experiment: its text, and all its days.
-pub struct Planned {
-    /// The experiment's name.
+/// Parsed and checked experiment: the file's text, its contents, and the variants to run.
+pub struct ExperimentPlan {
+    /// Name of the experiment: the file name without its extension.
     pub name: String,
-    /// Its file, as written.
+    /// Text of the experiment file.
     pub text: String,
-    /// What the file says.
-    pub of: Experiment,
-    /// The scenarios that are played.
+    /// Contents of the experiment file.
+    pub definition: Experiment,
+    /// Variants to run, in the order of the points and of the sweep.
     pub variants: Vec<Variant>,
 }
 
-/// Where a place like `faults[2].whom.kind` stands in the text: it, or the nearest thing round it.
-fn find(text: &str, place: &str) -> usize {
+/// Returns the byte offset in `text` of a place such as `faults[2].whom.kind`, or of the innermost enclosing value that
+/// exists.
+fn locate(text: &str, place: &str) -> usize {
     let Ok(table) = DeTable::parse(text) else { return 0 };
-    let mut at = table.span().start;
+    let mut offset = table.span().start;
     let mut value = DeValue::Table(table.into_inner());
-    let words = place.replace('[', ".").replace(']', "");
-    for word in words.split('.') {
+    let keys = place.replace('[', ".").replace(']', "");
+    for key in keys.split('.') {
         let next = match &value {
             DeValue::Table(table) => {
-                let found = table.iter().find(|(key, _)| key.get_ref().as_ref() == word);
-                found.map(|(key, value)| (key.span().start, value.get_ref().clone()))
+                let found = table.iter().find(|(name, _)| name.get_ref().as_ref() == key);
+                found.map(|(name, value)| (name.span().start, value.get_ref().clone()))
             }
             DeValue::Array(rows) => {
-                let row = word.parse().ok().and_then(|nth: usize| rows.get(nth));
+                let row = key.parse().ok().and_then(|nth: usize| rows.get(nth));
                 row.map(|row| (row.span().start, row.get_ref().clone()))
             }
             _ => None,
         };
         let Some((start, found)) = next else { break };
-        (at, value) = (start, found);
+        (offset, value) = (start, found);
     }
-    at
+    offset
 }
 
-/// Puts `new` at a place of the scenario. The place, or the table it stands in, must be there.
-fn put(day: &mut Value, place: &str, new: &Value) -> Result<(), String> {
-    let mut at = day;
-    let mut words = place.split('.').peekable();
-    while let Some(word) = words.next() {
-        let missing = || format!("expected a place of the day, found no '{word}' of '{place}'");
-        if words.peek().is_none()
-            && let Value::Table(table) = at
+/// Sets the value at a path of the scenario. The path, or the table that contains its last key, must exist.
+fn set_value(scenario: &mut Value, path: &str, new: &Value) -> Result<(), String> {
+    let mut target = scenario;
+    let mut keys = path.split('.').peekable();
+    while let Some(key) = keys.next() {
+        let missing = || format!("expected a path of the scenario, found no '{key}' of '{path}'");
+        if keys.peek().is_none()
+            && let Value::Table(table) = target
         {
-            table.insert(word.into(), new.clone());
+            table.insert(key.into(), new.clone());
             return Ok(());
         }
-        at = match at {
-            Value::Table(table) => table.get_mut(word).ok_or_else(missing)?,
+        target = match target {
+            Value::Table(table) => table.get_mut(key).ok_or_else(missing)?,
             Value::Array(rows) => {
-                word.parse().ok().and_then(|nth: usize| rows.get_mut(nth)).ok_or_else(missing)?
+                key.parse().ok().and_then(|nth: usize| rows.get_mut(nth)).ok_or_else(missing)?
             }
             _ => return Err(missing()),
         };
     }
-    *at = new.clone();
+    *target = new.clone();
     Ok(())
 }
 
-fn one_line(text: &str) -> String {
+fn join_lines(text: &str) -> String {
     text.lines().map(str::trim).collect::<Vec<_>>().join("; ")
 }
 
-impl Planned {
+impl ExperimentPlan {
     /// Reads an experiment file.
     ///
     /// # Errors
     ///
-    /// In one line: what is wrong with it, and where.
+    /// Returns a one-line message with path, line and column if the file cannot be read or is invalid.
     pub fn read(path: &Path) -> Result<Self, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let name = path.file_stem().map_or(String::new(), |stem| stem.to_string_lossy().into());
-        Self::parse(&name, &text).map_err(|(at, what)| {
-            let (line, column) = position(&text, at);
-            format!("{}:{line}:{column}: {what}", path.display())
+        Self::parse(&name, &text).map_err(|(offset, message)| {
+            let (line, column) = position(&text, offset);
+            format!("{}:{line}:{column}: {message}", path.display())
         })
     }
 
-    /// The experiment in `text`.
+    /// Parses the experiment in `text` and checks all its variants.
     ///
     /// # Errors
     ///
-    /// What is wrong with it, and at which byte.
+    /// Returns the byte offset of the first mistake and a message.
     pub fn parse(name: &str, text: &str) -> Result<Self, (usize, String)> {
-        let of: Experiment = toml::from_str(text).map_err(malformed)?;
-        check_frame(&of, text)?;
+        let definition: Experiment = toml::from_str(text).map_err(toml_error)?;
+        check_header(&definition, text)?;
         check_first_scenario(text)?;
-        let points = with_points(&of, text)?;
-        let varied = with_sweep(&of, text, points)?;
-        let variants = varied.into_iter().map(|varied| read_variant(&of, text, varied));
+        let points = apply_points(&definition, text)?;
+        let draft = apply_sweep(&definition, text, points)?;
+        let variants = draft.into_iter().map(|draft| parse_variant(&definition, text, draft));
         let variants = variants.collect::<Result<_, _>>()?;
-        Ok(Self { name: name.into(), text: text.into(), of, variants })
+        Ok(Self { name: name.into(), text: text.into(), definition, variants })
     }
 }
 
-/// What is wrong with an experiment, and at which byte of its text.
-type Wrong = (usize, String);
+/// Byte offset of a mistake in the experiment's text, and a message.
+type ParseError = (usize, String);
 
-fn malformed(error: toml::de::Error) -> Wrong {
-    (error.span().map_or(0, |span| span.start), one_line(error.message()))
+fn toml_error(error: toml::de::Error) -> ParseError {
+    (error.span().map_or(0, |span| span.start), join_lines(error.message()))
 }
 
-/// Checks all that is no scenario.
-fn check_frame(of: &Experiment, text: &str) -> Result<(), Wrong> {
-    let at = |place: &str, what: String| Err((find(text, place), what));
-    if of.format != FORMAT {
-        return at("format", format!("format: expected {FORMAT}, found {}", of.format));
+/// Checks everything except the scenario: format, required lists and the number of runs.
+fn check_header(definition: &Experiment, text: &str) -> Result<(), ParseError> {
+    let error_at = |place: &str, message: String| Err((locate(text, place), message));
+    if definition.format != FORMAT_VERSION {
+        return error_at("format", format!("format: expected {FORMAT_VERSION}, found {}", definition.format));
     }
     for (place, empty) in [
-        ("seeds", of.seeds.is_empty()),
-        ("deciders", of.deciders.is_empty()),
-        ("question", of.question.trim().is_empty()),
+        ("seeds", definition.seeds.is_empty()),
+        ("deciders", definition.deciders.is_empty()),
+        ("question", definition.question.trim().is_empty()),
     ] {
         if empty {
-            return at(place, format!("{place}: expected one at least, found none"));
+            return error_at(place, format!("{place}: expected at least one, found none"));
         }
     }
-    let each = of.sweep.values().map(Vec::len).product::<usize>() * of.points.len().max(1);
-    let runs = each * of.seeds.len() * of.deciders.len();
-    if runs == 0 || runs > MOST_RUNS {
-        return at("sweep", format!("sweep: expected 1 to {MOST_RUNS} runs in all, found {runs}"));
+    let variants =
+        definition.sweep.values().map(Vec::len).product::<usize>() * definition.points.len().max(1);
+    let runs = variants * definition.seeds.len() * definition.deciders.len();
+    if runs == 0 || runs > MAX_RUNS {
+        return error_at("sweep", format!("sweep: expected 1 to {MAX_RUNS} runs in total, found {runs}"));
     }
     Ok(())
 }
 
-/// Checks the scenario as it stands first, so that its faults are reported at their own places.
-fn check_first_scenario(text: &str) -> Result<(), Wrong> {
+/// Checks the scenario before points and sweep are applied, so that its mistakes are reported at their own places.
+fn check_first_scenario(text: &str) -> Result<(), ParseError> {
     #[derive(Deserialize)]
-    struct Only {
-        day: Scenario,
+    struct ScenarioOnly {
+        #[serde(rename = "day")]
+        scenario: Scenario,
     }
-    let Only { day } = toml::from_str(text).map_err(malformed)?;
-    day.check().map_err(|invalid| {
-        let place = find(text, &format!("day.{}", invalid.place));
+    let ScenarioOnly { scenario } = toml::from_str(text).map_err(toml_error)?;
+    scenario.check().map_err(|invalid| {
+        let place = locate(text, &format!("day.{}", invalid.place));
         (place, format!("day.{invalid}"))
     })
 }
 
-/// A scenario before it is read, and the name of its variant.
-struct Varied {
+/// Scenario of a variant before it is parsed and checked.
+struct VariantDraft {
     name: String,
     scenario: Value,
 }
 
-/// The variants that the experiment's points make; one without a name if there are none.
-fn with_points(of: &Experiment, text: &str) -> Result<Vec<Varied>, Wrong> {
-    if of.points.is_empty() {
-        return Ok(vec![Varied { name: String::new(), scenario: of.day.clone() }]);
+/// Returns a draft for each point, or a single draft without a name if there are no points.
+fn apply_points(definition: &Experiment, text: &str) -> Result<Vec<VariantDraft>, ParseError> {
+    if definition.points.is_empty() {
+        return Ok(vec![VariantDraft { name: String::new(), scenario: definition.scenario.clone() }]);
     }
     let vary = |(nth, point): (usize, &Point)| {
         let place = format!("points[{nth}]");
-        let mut scenario = of.day.clone();
+        let mut scenario = definition.scenario.clone();
         for (path, value) in &point.set {
-            put(&mut scenario, path, value)
-                .map_err(|what| (find(text, &place), format!("{place}.set: {what}")))?;
+            set_value(&mut scenario, path, value)
+                .map_err(|message| (locate(text, &place), format!("{place}.set: {message}")))?;
         }
-        Ok(Varied { name: point.name.clone(), scenario })
+        Ok(VariantDraft { name: point.name.clone(), scenario })
     };
-    of.points.iter().enumerate().map(vary).collect()
+    definition.points.iter().enumerate().map(vary).collect()
 }
 
-/// Crosses the variants with each value that the experiment sweeps over.
-fn with_sweep(of: &Experiment, text: &str, mut variants: Vec<Varied>) -> Result<Vec<Varied>, Wrong> {
-    for (path, values) in &of.sweep {
+/// Combines the drafts with each value of the sweep.
+fn apply_sweep(
+    definition: &Experiment,
+    text: &str,
+    mut variants: Vec<VariantDraft>,
+) -> Result<Vec<VariantDraft>, ParseError> {
+    for (path, values) in &definition.sweep {
         let mut crossed = Vec::new();
-        for Varied { name, scenario } in &variants {
+        for VariantDraft { name, scenario } in &variants {
             for value in values {
                 let mut scenario = scenario.clone();
-                put(&mut scenario, path, value)
-                    .map_err(|what| (find(text, "sweep"), format!("sweep: {what}")))?;
-                let short = path.rsplit('.').next().unwrap_or(path);
-                let word = value.as_str().map_or_else(|| value.to_string(), String::from);
-                let join = if name.is_empty() { "" } else { " " };
-                crossed.push(Varied { name: format!("{name}{join}{short}={word}"), scenario });
+                set_value(&mut scenario, path, value)
+                    .map_err(|message| (locate(text, "sweep"), format!("sweep: {message}")))?;
+                let last_key = path.rsplit('.').next().unwrap_or(path);
+                let value_text = value.as_str().map_or_else(|| value.to_string(), String::from);
+                let separator = if name.is_empty() { "" } else { " " };
+                crossed.push(VariantDraft {
+                    name: format!("{name}{separator}{last_key}={value_text}"),
+                    scenario,
+                });
             }
         }
         variants = crossed;
@@ -244,15 +256,16 @@
     Ok(variants)
 }
 
-/// Reads a variant's scenario. What is wrong with it is reported at the points where they are all there is, otherwise
-/// at the sweep that is crossed with them.
-fn read_variant(of: &Experiment, text: &str, varied: Varied) -> Result<Variant, Wrong> {
-    let Varied { name, scenario } = varied;
-    let place = if of.sweep.is_empty() { "points" } else { "sweep" };
-    let wrong = |what: String| (find(text, place), format!("{place}: with {name}, {what}"));
-    let day: Scenario = scenario.try_into().map_err(|e: toml::de::Error| wrong(one_line(e.message())))?;
-    day.check().map_err(|e| wrong(e.to_string()))?;
-    Ok(Variant { name, day })
+/// Parses and checks the scenario of a variant. Mistakes are reported at the sweep, or at the points if the experiment
+/// has no sweep.
+fn parse_variant(definition: &Experiment, text: &str, draft: VariantDraft) -> Result<Variant, ParseError> {
+    let VariantDraft { name, scenario } = draft;
+    let place = if definition.sweep.is_empty() { "points" } else { "sweep" };
+    let wrong = |message: String| (locate(text, place), format!("{place}: with {name}, {message}"));
+    let scenario: Scenario =
+        scenario.try_into().map_err(|e: toml::de::Error| wrong(join_lines(e.message())))?;
+    scenario.check().map_err(|e| wrong(e.to_string()))?;
+    Ok(Variant { name, scenario })
 }
 
 #[cfg(test)]
--- a/crates/quillhub-experiments/src/experiment_tests.rs
+++ b/crates/quillhub-experiments/src/experiment_tests.rs
@@ -1,4 +1,4 @@
-//! Reading an experiment: variants, and what is wrong with a file.
+//! Parsing of experiment files: the variants, and error messages with their lines.
 
 use super::*;
 
@@ -33,16 +33,16 @@
 "#;
 
 #[test]
-fn points_and_sweep_are_crossed() {
-    let planned = Planned::parse("x", TEXT).unwrap_or_else(|e| panic!("{e:?}"));
-    let names: Vec<_> = planned.variants.iter().map(|v| v.name.as_str()).collect();
+fn every_point_is_combined_with_every_swept_value() {
+    let plan = ExperimentPlan::parse("x", TEXT).unwrap_or_else(|e| panic!("{e:?}"));
+    let names: Vec<_> = plan.variants.iter().map(|v| v.name.as_str()).collect();
     assert_eq!(names, ["calm count=1", "calm count=2", "slow count=1", "slow count=2"]);
-    assert_eq!(planned.variants[3].day.destinations[0].service.mean.as_millis(), 90);
+    assert_eq!(plan.variants[3].scenario.destinations[0].service.mean.as_millis(), 90);
 }
 
 #[test]
-fn what_is_wrong_is_told_with_its_line() {
-    for (old, new, line, told) in [
+fn a_mistake_is_reported_with_its_line() {
+    for (old, new, line, expected) in [
         ("\"refuse\"", "\"refuze\"", 28, "unknown variant `refuze`, expected"),
         ("\"refuse\"", "{ errors = { share = 2.0 } }", 28, "a share from 0 to 1, found 2"),
         ("\"single\"", "\"none\"", 4, "unknown variant `none`"),
@@ -55,8 +55,9 @@
         ("length = \"5 s\"", "length = ", 13, ""),
     ] {
         let text = TEXT.replace(old, new);
-        let (at, what) = Planned::parse("x", &text).err().unwrap_or_else(|| panic!("{new} is taken"));
-        assert!(what.contains(told), "{what}");
-        assert_eq!(position(&text, at).0, line, "{what}");
+        let (offset, message) =
+            ExperimentPlan::parse("x", &text).err().unwrap_or_else(|| panic!("{new} is accepted"));
+        assert!(message.contains(expected), "{message}");
+        assert_eq!(position(&text, offset).0, line, "{message}");
     }
 }
--- a/crates/quillhub-experiments/src/lib.rs
+++ b/crates/quillhub-experiments/src/lib.rs
@@ -1,8 +1,9 @@
-//! The experiments: experiments with instances in the simulation, deciders to compare the dispatcher with, and what is
-//! kept of their runs as tables and charts.
+//! Experiments with gateway instances in the simulator and on loopback, baselines to compare the dispatcher with, and
+//! reports on the results.
 //!
-//! An [`experiment::Experiment`] is a file: a question, a day, and what is varied. [`sweep::run`] plays every run of
-//! it over all cores and keeps each as one JSON line as soon as it has ended; [`report`] and [`compare`] read these.
+//! An [`experiment::Experiment`] is a file with a question, a scenario and the values to vary. [`sweep::run`] simulates
+//! all its runs in parallel and writes each result as one JSON line as soon as it is available; [`report`] and
+//! [`compare`] read these lines.
 
 pub mod baselines;
 pub mod capacity;
--- a/crates/quillhub-experiments/src/main.rs
+++ b/crates/quillhub-experiments/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `quillhub-experiment`.
+//! Entry point of the program `quillhub-experiment`.
 
 fn main() -> std::process::ExitCode {
     quillhub_experiments::command::main()
--- a/crates/quillhub-experiments/src/report.rs
+++ b/crates/quillhub-experiments/src/report.rs
@@ -1,13 +1,13 @@
-//! Tables and charts of an experiment's runs: a table for the terminal, CSV, SVG, and one page with all of them.
+//! Tables and charts of an experiment's runs: a table for the terminal, CSV, SVG, and one HTML page with all of them.
 
-use crate::chart::{self, Line};
-use crate::results::{Kept, mean, round};
+use crate::chart::{self, Series};
+use crate::results::{RunRecord, mean_and_deviation, round};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
 
-/// The figures of the short table, in its order.
-const SHORT: [&str; 8] = [
+/// Figures of the short table, in order.
+const TABLE_FIGURES: [&str; 8] = [
     "earned",
     "worst 10 s",
     "worst grade",
@@ -18,18 +18,18 @@
     "p99 s",
 ];
 
-/// Runs that differ only in their seed.
-pub struct Group<'a> {
-    /// The variant.
+/// Runs that differ only in the seed.
+struct Group<'a> {
+    /// Name of the variant.
     pub variant: &'a str,
-    /// The decider.
+    /// Name of the decider.
     pub decider: &'a str,
-    /// Its runs, by seed.
-    pub runs: Vec<&'a Kept>,
+    /// Runs of the group, one per seed.
+    pub runs: Vec<&'a RunRecord>,
 }
 
 impl Group<'_> {
-    /// A figure of each run that has it.
+    /// Returns the value of a figure in each run that has it.
     pub fn values(&self, figure: &str) -> Vec<f64> {
         self.runs.iter().filter_map(|run| run.figures.get(figure)).copied().collect()
     }
@@ -39,8 +39,8 @@
     }
 }
 
-/// The runs, those of one variant and decider together, in the order of their first.
-pub fn groups(runs: &[Kept]) -> Vec<Group<'_>> {
+/// Groups the runs by variant and decider, in the order in which each group first appears.
+fn group_runs(runs: &[RunRecord]) -> Vec<Group<'_>> {
     let mut groups: Vec<Group> = Vec::new();
     for run in runs {
         match groups.iter_mut().find(|g| (g.variant, g.decider) == (&run.variant, &run.decider)) {
@@ -51,51 +51,58 @@
     groups
 }
 
-/// The short table, for a terminal.
-pub fn table(runs: &[Kept]) -> String {
-    let groups = groups(runs);
-    let wide =
-        |of: &dyn Fn(&Group) -> usize, least: usize| groups.iter().map(of).max().unwrap_or(0).max(least);
-    let (variant, decider) = (wide(&|g| g.variant.chars().count(), 4), wide(&|g| g.decider.len(), 7));
+/// Returns the short table for the terminal.
+pub fn table(runs: &[RunRecord]) -> String {
+    let groups = group_runs(runs);
+    let column_width =
+        |length: &dyn Fn(&Group) -> usize, min: usize| groups.iter().map(length).max().unwrap_or(0).max(min);
+    let (variant, decider) =
+        (column_width(&|g| g.variant.chars().count(), 4), column_width(&|g| g.decider.len(), 7));
     let mut text = format!("{:variant$}  {:decider$}  seeds", "days", "decider");
-    SHORT.iter().for_each(|name| write!(text, "  {name:>10}").expect("a string takes all"));
+    TABLE_FIGURES
+        .iter()
+        .for_each(|name| write!(text, "  {name:>10}").expect("writing to a string cannot fail"));
     text.push_str("  breaches\n");
     for group in &groups {
         write!(text, "{:variant$}  {:decider$}  {:5}", group.variant, group.decider, group.runs.len())
-            .expect("a string takes all");
-        for name in SHORT {
-            let value = mean(&group.values(name)).0;
-            let wide = name.len().max(10);
-            write!(text, "  {value:>wide$.3}").expect("a string takes all");
+            .expect("writing to a string cannot fail");
+        for name in TABLE_FIGURES {
+            let value = mean_and_deviation(&group.values(name)).0;
+            let width = name.len().max(10);
+            write!(text, "  {value:>width$.3}").expect("writing to a string cannot fail");
         }
-        writeln!(text, "  {:8}", group.breaches()).expect("a string takes all");
+        writeln!(text, "  {:8}", group.breaches()).expect("writing to a string cannot fail");
     }
     text
 }
 
-/// All figures, with the deviation over seeds, as comma-separated rows.
-pub fn csv(runs: &[Kept]) -> String {
+/// Returns the mean and the standard deviation over seeds of all figures as CSV.
+fn csv(runs: &[RunRecord]) -> String {
     let names: Vec<_> = runs.first().map(|run| run.figures.keys().cloned().collect()).unwrap_or_default();
     let mut text = "days,decider,seeds,breaches".to_string();
-    names.iter().for_each(|name| write!(text, ",{name},{name} sd").expect("a string takes all"));
+    names.iter().for_each(|name| write!(text, ",{name},{name} sd").expect("writing to a string cannot fail"));
     text.push('\n');
-    for group in groups(runs) {
+    for group in group_runs(runs) {
         let days = group.variant.replace('"', "\"\"");
         write!(text, "\"{days}\",{},{},{}", group.decider, group.runs.len(), group.breaches())
-            .expect("a string takes all");
+            .expect("writing to a string cannot fail");
         for name in &names {
-            let (mean, sd) = mean(&group.values(name));
-            write!(text, ",{},{}", round(mean), round(sd)).expect("a string takes all");
+            let (mean, sd) = mean_and_deviation(&group.values(name));
+            write!(text, ",{},{}", round(mean), round(sd)).expect("writing to a string cannot fail");
         }
         text.push('\n');
     }
     text
 }
 
-/// The charts, by file name: what was earned where days vary, then the course of the first seed's runs.
-pub fn charts(runs: &[Kept]) -> Result<BTreeMap<String, String>, String> {
+/// Draws the charts, by file name: figures by variant if there are several, and the time series of the first seed's runs.
+///
+/// # Errors
+///
+/// Returns a message if a chart cannot be drawn.
+fn charts(runs: &[RunRecord]) -> Result<BTreeMap<String, String>, String> {
     let mut charts = BTreeMap::new();
-    let groups = groups(runs);
+    let groups = group_runs(runs);
     let mut variants: Vec<&str> = Vec::new();
     for group in &groups {
         if !variants.contains(&group.variant) {
@@ -104,35 +111,35 @@
     }
     if variants.len() > 1 {
         for (file, figure) in [("earned", "earned"), ("sends", "sends each"), ("p99", "p99 s")] {
-            let mut lines: Vec<Line> = Vec::new();
+            let mut lines: Vec<Series> = Vec::new();
             for group in &groups {
                 let x = variants.iter().position(|v| *v == group.variant).unwrap_or(0) as f64;
-                let point = (x, mean(&group.values(figure)).0);
+                let point = (x, mean_and_deviation(&group.values(figure)).0);
                 match lines.iter_mut().find(|line| line.name == group.decider) {
                     Some(line) => line.points.push(point),
-                    None => lines.push(Line { name: group.decider.into(), points: vec![point] }),
+                    None => lines.push(Series { name: group.decider.into(), points: vec![point] }),
                 }
             }
             charts.insert(format!("{file}.svg"), chart::over_names(figure, &variants, &lines)?);
         }
     }
-    for (at, variant) in variants.iter().enumerate() {
+    for (index, variant) in variants.iter().enumerate() {
         for (file, rows) in
             [("sends", &["first sends", "repeats"][..]), ("held", &["held"]), ("handled", &["handled"])]
         {
             let mut lines = Vec::new();
             for group in groups.iter().filter(|g| g.variant == *variant) {
-                let Some(course) = group.runs.first().map(|run| &run.course) else { continue };
-                let Some(times) = course.get("at s") else { continue };
-                let rows: Vec<_> = rows.iter().filter_map(|name| course.get(*name)).collect();
-                let sum = |nth: usize| rows.iter().filter_map(|row| row.get(nth)).sum::<f64>();
-                let points = times.iter().enumerate().map(|(nth, at)| (*at, sum(nth))).collect();
-                lines.push(Line { name: group.decider.into(), points });
+                let Some(series) = group.runs.first().map(|run| &run.time_series) else { continue };
+                let Some(times) = series.get("at s") else { continue };
+                let rows: Vec<_> = rows.iter().filter_map(|name| series.get(*name)).collect();
+                let row_sum = |row: usize| rows.iter().filter_map(|values| values.get(row)).sum::<f64>();
+                let points = times.iter().enumerate().map(|(row, start)| (*start, row_sum(row))).collect();
+                lines.push(Series { name: group.decider.into(), points });
             }
-            if lines.iter().any(|line: &Line| !line.points.is_empty()) {
+            if lines.iter().any(|line: &Series| !line.points.is_empty()) {
                 let title = format!("{file} a second, {variant}").replace("held a second", "held");
                 charts.insert(
-                    format!("{file}-{}.svg", at + 1),
+                    format!("{file}-{}.svg", index + 1),
                     chart::over_time(title.trim_end_matches(", "), &lines)?,
                 );
             }
@@ -141,67 +148,87 @@
     Ok(charts)
 }
 
-fn escaped(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// One page with the question, the tables and the charts, which needs nothing beside it.
-pub fn page(name: &str, text: &str, question: &str, found: &str, runs: &[Kept]) -> Result<String, String> {
+/// Returns a self-contained HTML page with the question, the findings, the table, the charts and the experiment file.
+///
+/// # Errors
+///
+/// Returns a message if a chart cannot be drawn.
+pub fn page(
+    name: &str,
+    text: &str,
+    question: &str,
+    found: &str,
+    runs: &[RunRecord],
+) -> Result<String, String> {
     let mut body = String::new();
-    let mut put = |line: &str| {
+    let mut push_line = |line: &str| {
         body.push_str(line);
         body.push('\n');
     };
-    put(&format!("<h1>{}</h1>", escaped(name)));
-    put(&format!("<p>{}</p>", escaped(question)));
+    push_line(&format!("<h1>{}</h1>", escape_html(name)));
+    push_line(&format!("<p>{}</p>", escape_html(question)));
     if !found.trim().is_empty() {
-        put(&format!("<p><b>Found:</b> {}</p>", escaped(found)));
+        push_line(&format!("<p><b>Found:</b> {}</p>", escape_html(found)));
     }
-    put("<p>All figures are simulated: means over seeds, and their standard deviation in brackets.</p>");
-    put("<table><tr><th>days</th><th>decider</th><th>seeds</th>");
-    SHORT.iter().for_each(|name| put(&format!("<th>{name}</th>")));
-    put("<th>breaches</th></tr>");
-    for group in groups(runs) {
-        put(&format!("<tr><td>{}</td><td>{}</td>", escaped(group.variant), group.decider));
-        put(&format!("<td>{}</td>", group.runs.len()));
-        for name in SHORT {
-            let (mean, sd) = mean(&group.values(name));
-            put(&format!("<td>{} ({})</td>", round(mean), round(sd)));
+    push_line(
+        "<p>All figures are simulated: means over seeds, with the standard deviation in parentheses.</p>",
+    );
+    push_line("<table><tr><th>days</th><th>decider</th><th>seeds</th>");
+    TABLE_FIGURES.iter().for_each(|name| push_line(&format!("<th>{name}</th>")));
+    push_line("<th>breaches</th></tr>");
+    for group in group_runs(runs) {
+        push_line(&format!("<tr><td>{}</td><td>{}</td>", escape_html(group.variant), group.decider));
+        push_line(&format!("<td>{}</td>", group.runs.len()));
+        for name in TABLE_FIGURES {
+            let (mean, sd) = mean_and_deviation(&group.values(name));
+            push_line(&format!("<td>{} ({})</td>", round(mean), round(sd)));
         }
-        put(&format!("<td>{}</td></tr>", group.breaches()));
+        push_line(&format!("<td>{}</td></tr>", group.breaches()));
     }
-    put("</table>");
-    let broken: Vec<_> = runs.iter().filter(|run| run.breaches > 0).collect();
-    if !broken.is_empty() {
-        put("<h2>Broken rules</h2><ul>");
-        for run in broken {
+    push_line("</table>");
+    let runs_with_breaches: Vec<_> = runs.iter().filter(|run| run.breaches > 0).collect();
+    if !runs_with_breaches.is_empty() {
+        push_line("<h2>Breaches of the rules</h2><ul>");
+        for run in runs_with_breaches {
             let first = run.first_breach.as_deref().unwrap_or_default();
             let (variant, decider, seed) = run.key();
-            put(&format!("<li>{} {decider}, seed {seed}: {}</li>", escaped(variant), escaped(first)));
+            push_line(&format!(
+                "<li>{} {decider}, seed {seed}: {}</li>",
+                escape_html(variant),
+                escape_html(first)
+            ));
         }
-        put("</ul>");
+        push_line("</ul>");
     }
     for svg in charts(runs)?.into_values() {
-        put(&svg);
+        push_line(&svg);
     }
     let version = runs.first().map_or("", |run| &run.version);
-    put(&format!("<h2>The experiment, version {version}</h2><pre>{}</pre>", escaped(text)));
+    push_line(&format!("<h2>The experiment, version {version}</h2><pre>{}</pre>", escape_html(text)));
     let style = "body{font:15px sans-serif;max-width:70em;margin:2em auto}td,th{padding:.2em .6em;text-align:right}\
                  td:nth-child(-n+2){text-align:left}tr:nth-child(even){background:#eee}svg{max-width:100%}";
     Ok(format!(
         "<!doctype html>\n<html lang=\"en\"><meta charset=\"utf-8\"><title>{}</title><style>{style}</style>\n{body}</html>\n",
-        escaped(name)
+        escape_html(name)
     ))
 }
 
-/// Writes the table, the charts and nothing else into the state directory of the runs.
-pub fn write(folder: &Path, runs: &[Kept]) -> Result<(), String> {
-    let at = |path: &Path, error: std::io::Error| format!("{}: {error}", path.display());
+/// Writes the table and the charts into the results directory of the runs.
+///
+/// # Errors
+///
+/// Returns a message if a chart cannot be drawn or a file cannot be written.
+pub fn write(folder: &Path, runs: &[RunRecord]) -> Result<(), String> {
+    let error_at = |path: &Path, error: std::io::Error| format!("{}: {error}", path.display());
     let path = folder.join("table.csv");
-    std::fs::write(&path, csv(runs)).map_err(|e| at(&path, e))?;
+    std::fs::write(&path, csv(runs)).map_err(|e| error_at(&path, e))?;
     for (name, svg) in charts(runs)? {
         let path = folder.join(name);
-        std::fs::write(&path, svg).map_err(|e| at(&path, e))?;
+        std::fs::write(&path, svg).map_err(|e| error_at(&path, e))?;
     }
     Ok(())
 }
--- a/crates/quillhub-experiments/src/results.rs
+++ b/crates/quillhub-experiments/src/results.rs
@@ -1,70 +1,70 @@
-//! What is kept of a run: one JSON line, for people and programs. Reading them back passes over a last line that was
-//! cut off.
+//! Results of a run, kept as one JSON line each. When the lines are read back, an incomplete last line is skipped.
 
 use quillhub_simulator::{Breach, Report};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Rows of a run's course that are kept at most.
-const COURSE: usize = 120;
+/// Maximum number of rows of a run's time series.
+const MAX_TIME_SERIES_ROWS: usize = 120;
 
-/// One run.
+/// Results of one run, as a line of `runs.jsonl`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
-    /// The name of the experiment.
+pub struct RunRecord {
+    /// Name of the experiment.
     pub experiment: String,
-    /// Of the program, and of the experiment's text: runs of another are not taken for this one's.
+    /// Version of the program that ran it. Runs of another version are not reused.
     pub version: String,
-    /// The digest of the experiment's file.
+    /// Hash of the experiment file without its findings, in hexadecimal digits. Runs with another hash are not reused.
     pub text: String,
-    /// The variant.
+    /// Name of the variant; empty if the experiment varies nothing.
     pub variant: String,
-    /// The decider.
+    /// Name of the decider, such as `module` or `oracle`.
     pub decider: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Of all facts of the run.
+    /// Hash of all facts of the run, in hexadecimal digits: equal runs have equal hashes.
     pub hash: String,
-    /// How often a rule was broken.
+    /// Number of breaches of the six rules.
     pub breaches: usize,
-    /// The first breach, in words.
+    /// Text of the first breach; absent if there was none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub first_breach: Option<String>,
-    /// By name; shares from 0 to 1, times in seconds.
+    /// Figures by name; shares are from 0 to 1, times in seconds.
     pub figures: BTreeMap<String, f64>,
-    /// Of the first seed: seconds of each row, then by name what came in each.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub course: BTreeMap<String, Vec<f64>>,
+    /// Time series by name, with one value per row, for the first seed only; `at s` holds the start of each row in
+    /// seconds.
+    #[serde(rename = "course", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub time_series: BTreeMap<String, Vec<f64>>,
 }
 
-impl Kept {
-    /// What tells a run from the others of its experiment.
+impl RunRecord {
+    /// Returns variant, decider and seed, which identify the run within its experiment.
     pub fn key(&self) -> (&str, &str, u64) {
         (&self.variant, &self.decider, self.seed)
     }
 }
 
-/// The figures of a run, by name.
+/// Returns the figures of a run by name.
 pub fn figures(report: &Report) -> BTreeMap<String, f64> {
     let tally = &report.tally;
-    let asked = tally.submitted.max(1) as f64;
-    let time = |quantile: f64| tally.latency.value_at_quantile(quantile) as f64 / 1e6;
+    let submitted = tally.submitted.max(1) as f64;
+    let quantile_s = |quantile: f64| tally.latency.value_at_quantile(quantile) as f64 / 1e6;
     [
         ("earned", tally.share()),
         ("worst 10 s", tally.worst_ten()),
         ("worst grade", tally.worst_service_class()),
-        ("handled", tally.delivered as f64 / asked),
-        ("in contract", tally.within_soft_deadline as f64 / asked),
+        ("handled", tally.delivered as f64 / submitted),
+        ("in contract", tally.within_soft_deadline as f64 / submitted),
         ("sends each", tally.attempts_each()),
-        ("repeats each", tally.retries as f64 / asked),
-        ("turned away each", tally.rejected_calls as f64 / asked),
-        ("connections each", tally.connections as f64 / asked),
-        ("ran each", tally.executed as f64 / asked),
+        ("repeats each", tally.retries as f64 / submitted),
+        ("turned away each", tally.rejected_calls as f64 / submitted),
+        ("connections each", tally.connections as f64 / submitted),
+        ("ran each", tally.executed as f64 / submitted),
         ("doubled", tally.duplicate_effects as f64),
-        ("p50 s", time(0.5)),
-        ("p99 s", time(0.99)),
-        ("p99.9 s", time(0.999)),
+        ("p50 s", quantile_s(0.5)),
+        ("p99 s", quantile_s(0.99)),
+        ("p99.9 s", quantile_s(0.999)),
         ("most held", tally.max_pending as f64),
         ("notices", tally.submitted as f64),
     ]
@@ -72,7 +72,7 @@
     .into()
 }
 
-/// Five figures are more than any of these is sure of.
+/// Rounds to five significant digits.
 pub fn round(value: f64) -> f64 {
     if value == 0.0 || !value.is_finite() {
         return value;
@@ -81,60 +81,67 @@
     (value * scale).round() / scale
 }
 
-/// The course of a run, in rows of whole seconds.
-pub fn course(report: &Report) -> BTreeMap<String, Vec<f64>> {
+/// Returns the time series of a run, averaged over rows of equal length.
+pub fn time_series(report: &Report) -> BTreeMap<String, Vec<f64>> {
     let seconds = &report.tally.seconds;
-    let each = seconds.len().div_ceil(COURSE).max(1);
-    let rows = seconds.chunks(each);
-    let sum = |of: &dyn Fn(&quillhub_simulator::Second) -> f64| {
+    let entries_per_row = seconds.len().div_ceil(MAX_TIME_SERIES_ROWS).max(1);
+    let rows = seconds.chunks(entries_per_row);
+    let rates = |count: &dyn Fn(&quillhub_simulator::Second) -> f64| {
         rows.clone()
-            .map(|row| round(row.iter().map(of).sum::<f64>() / row.len() as f64 / report.tally.row_s as f64))
+            .map(|row| {
+                round(row.iter().map(count).sum::<f64>() / row.len() as f64 / report.tally.row_s as f64)
+            })
             .collect()
     };
-    let at = (0..rows.len()).map(|row| (row * each) as f64 * report.tally.row_s as f64).collect();
+    let starts =
+        (0..rows.len()).map(|row| (row * entries_per_row) as f64 * report.tally.row_s as f64).collect();
     [
-        ("at s", at),
-        ("asked", sum(&|s| f64::from(s.submitted))),
-        ("first sends", sum(&|s| f64::from(s.first_attempts))),
-        ("repeats", sum(&|s| f64::from(s.retries))),
-        ("handled", sum(&|s| f64::from(s.delivered))),
-        ("denied", sum(&|s| f64::from(s.rejected + s.abandoned))),
-        ("held", sum(&|s| s.pending as f64 * report.tally.row_s as f64)),
+        ("at s", starts),
+        ("asked", rates(&|s| f64::from(s.submitted))),
+        ("first sends", rates(&|s| f64::from(s.first_attempts))),
+        ("repeats", rates(&|s| f64::from(s.retries))),
+        ("handled", rates(&|s| f64::from(s.delivered))),
+        ("denied", rates(&|s| f64::from(s.rejected + s.abandoned))),
+        ("held", rates(&|s| s.pending as f64 * report.tally.row_s as f64)),
     ]
     .map(|(name, row): (&str, Vec<f64>)| (name.into(), row))
     .into()
 }
 
-/// The first breach in words, if there is one.
-pub fn first(breaches: &[Breach]) -> Option<String> {
+/// Returns the text of the first breach, if any.
+pub fn first_breach(breaches: &[Breach]) -> Option<String> {
     breaches.first().map(Breach::to_string)
 }
 
-/// The runs in a state directory's `runs.jsonl`, in order; none if there is no such file.
-pub fn read(folder: &Path) -> Result<Vec<Kept>, String> {
+/// Reads the runs of a results directory from `runs.jsonl`, in order; returns none if there is no such file.
+///
+/// # Errors
+///
+/// Returns a message if the file cannot be read, or if a line other than an incomplete last one is invalid.
+pub fn read(folder: &Path) -> Result<Vec<RunRecord>, String> {
     let path = folder.join("runs.jsonl");
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(Vec::new()),
         Err(e) => return Err(format!("{}: {e}", path.display())),
     };
-    let mut kept = Vec::new();
-    let lines = text.lines().count();
-    for (at, line) in text.lines().enumerate() {
+    let mut records = Vec::new();
+    let line_count = text.lines().count();
+    for (index, line) in text.lines().enumerate() {
         match serde_json::from_str(line) {
-            Ok(run) => kept.push(run),
-            // A sweep that was stopped while it wrote: the run is played again.
-            Err(_) if at + 1 == lines && !text.ends_with('\n') => {}
+            Ok(run) => records.push(run),
+            // A sweep was interrupted while it wrote this line; the run will be repeated.
+            Err(_) if index + 1 == line_count && !text.ends_with('\n') => {}
             Err(e) => {
-                return Err(format!("{}:{}: expected a run as JSON, found {e}", path.display(), at + 1));
+                return Err(format!("{}:{}: expected a run as JSON, found {e}", path.display(), index + 1));
             }
         }
     }
-    Ok(kept)
+    Ok(records)
 }
 
-/// Mean and standard deviation of a figure.
-pub fn mean(values: &[f64]) -> (f64, f64) {
+/// Returns the mean and the standard deviation of a figure.
+pub fn mean_and_deviation(values: &[f64]) -> (f64, f64) {
     let count = values.len().max(1) as f64;
     let mean = values.iter().sum::<f64>() / count;
     let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / (count - 1.0).max(1.0);
--- a/crates/quillhub-experiments/src/scale.rs
+++ b/crates/quillhub-experiments/src/scale.rs
@@ -1,6 +1,7 @@
-//! Slopes: how an instance's cost grows with one size, played on loopback by `quillhub-scale`, as table, CSV and charts.
+//! Scale tests: growth of an instance's cost with one size, measured on loopback by `quillhub-scale`, as table, CSV and
+//! charts.
 
-use crate::chart::{self, Line};
+use crate::chart::{self, Series};
 use crate::results::round;
 use quillhub_scale::bounds;
 use quillhub_scale::fit::{self, Fit, HeldOut};
@@ -11,24 +12,24 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Points of a fitted line in a chart, from one size to the next.
-const STEPS: usize = 20;
+/// Number of points with which a chart draws a fitted curve, per measured size.
+const CURVE_POINTS_PER_SIZE: usize = 20;
 
-/// One figure of a slope: its means by size, its fit, and the largest size held out.
+/// One figure of a scale test: means by size, fit, and prediction for the held-out largest size.
 pub struct Row {
     /// Name of the figure, with unit.
     pub name: String,
-    /// Size, mean, and half of the range over the mean.
+    /// Size, mean, and half of the range relative to the mean.
     pub means: Vec<(f64, f64, f64)>,
-    /// Nothing with too few sizes.
+    /// Fit over all sizes; `None` with too few sizes.
     pub fit: Option<Fit>,
-    /// Nothing with too few sizes.
+    /// Prediction for the largest size from the smaller ones; `None` with too few sizes.
     pub held_out: Option<HeldOut>,
 }
 
 impl Row {
-    /// Of the figure `name` in these points; nothing if none has it.
-    pub fn of(points: &[Point], name: &str) -> Option<Self> {
+    /// Creates the row of the figure `name`; returns `None` if no point has that figure.
+    fn from_points(points: &[Point], name: &str) -> Option<Self> {
         let samples = results::samples(points, name);
         if samples.is_empty() {
             return None;
@@ -38,28 +39,28 @@
     }
 }
 
-/// A row for each figure of these points.
+/// Returns a row for each figure of these points.
 pub fn rows(points: &[Point]) -> Vec<Row> {
-    results::names(points).iter().filter_map(|name| Row::of(points, name)).collect()
+    results::names(points).iter().filter_map(|name| Row::from_points(points, name)).collect()
 }
 
-/// Refuses what would go over the bounds of this machine, before anything starts.
+/// Checks before anything starts that all sizes fit the limits of this machine.
 fn check(plan: &Plan, path: &Path) -> Result<(), String> {
     let limits = machine::limits();
-    for (nth, (_, sizes)) in plan.points().enumerate() {
-        let place = format!("{}: sizes[{nth}]", path.display());
+    for (index, (_, sizes)) in plan.points().enumerate() {
+        let place = format!("{}: sizes[{index}]", path.display());
         bounds::check(&place, &bounds::need(&sizes, &plan.load), &limits).map_err(|e| e.to_string())?;
     }
     Ok(())
 }
 
-/// Plays all sizes of `plan`; a size that breaks before its load was measured is the last.
-fn play_all(plan: &Plan, experiment: &str, program: &Path, folder: &Path) -> Result<Vec<Point>, String> {
+/// Measures all sizes of `plan`. Stops after a size that breaks before its load was measured.
+fn run_all(plan: &Plan, experiment: &str, program: &Path, folder: &Path) -> Result<Vec<Point>, String> {
     let machine = machine::here();
-    let (mut points, all) = (Vec::new(), plan.sizes.len() * plan.plays as usize);
+    let (mut points, total) = (Vec::new(), plan.sizes.len() * plan.plays as usize);
     for (size, sizes) in plan.points() {
         for number in 1..=plan.plays {
-            eprintln!("{experiment}: {} of {all}: {size} {}", points.len() + 1, plan.slope.counts());
+            eprintln!("{experiment}: {} of {total}: {size} {}", points.len() + 1, plan.slope.counts());
             let before = machine::load_average();
             let seed = plan.seed + u64::from(number);
             let Played { figures, breaks } = play(plan, &sizes, seed, program)?;
@@ -91,27 +92,31 @@
     std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Plays the experiment at `path` with the instance's `program`, keeps what came of it in `state directory`, and prints a table.
+/// Runs the scale test at `path` with the instance's `program`, writes the results into `folder`, and prints a table.
+///
+/// # Errors
+///
+/// Returns a message if the file is invalid, exceeds the limits of this machine, or the test or a write fails.
 pub fn run(path: &Path, program: &Path, folder: &Path) -> Result<(), String> {
     let plan = Plan::read(path)?;
     check(&plan, path)?;
     std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let experiment = path.file_stem().map_or(String::new(), |stem| stem.to_string_lossy().into());
-    let points = play_all(&plan, &experiment, program, folder)?;
+    let points = run_all(&plan, &experiment, program, folder)?;
     write(folder, "points.csv", &csv(&points))?;
     for row in rows(&points) {
-        let name = format!("{}.svg", file_name(&row.name));
-        write(folder, &name, &drawn(plan.slope, &row)?)?;
+        let name = format!("{}.svg", file_stem(&row.name));
+        write(folder, &name, &draw_chart(plan.slope, &row)?)?;
     }
     println!("{experiment} (on sockets)\n\n{}", table(&points));
-    println!("in {}", folder.display());
+    println!("results in {}", folder.display());
     Ok(())
 }
 
-/// A figure's name as a file's.
-fn file_name(name: &str) -> String {
-    let plain = |letter: char| if letter.is_ascii_alphanumeric() { letter } else { '-' };
-    let words: String = name.chars().map(plain).collect();
+/// Returns the name of a figure as a file name without extension: letters and digits, joined by hyphens.
+fn file_stem(name: &str) -> String {
+    let to_ascii = |letter: char| if letter.is_ascii_alphanumeric() { letter } else { '-' };
+    let words: String = name.chars().map(to_ascii).collect();
     words.split('-').filter(|word| !word.is_empty()).collect::<Vec<_>>().join("-")
 }
 
@@ -119,28 +124,28 @@
     let names = results::names(points);
     let mut csv = format!("size,play,breaks,{}\n", names.join(",").replace(", ", "; "));
     for point in points {
-        let broke = point.breaks.as_deref().unwrap_or_default().replace(',', ";");
+        let breaks = point.breaks.as_deref().unwrap_or_default().replace(',', ";");
         let values = names.iter().map(|name| point.figures.get(name).map_or(String::new(), f64::to_string));
         let _ =
-            writeln!(csv, "{},{},{broke},{}", point.size, point.play, values.collect::<Vec<_>>().join(","));
+            writeln!(csv, "{},{},{breaks},{}", point.size, point.play, values.collect::<Vec<_>>().join(","));
     }
     csv
 }
 
-fn drawn(slope: Slope, row: &Row) -> Result<String, String> {
+fn draw_chart(slope: Slope, row: &Row) -> Result<String, String> {
     let measured = row.means.iter().map(|(size, mean, _)| (*size, *mean)).collect();
-    let mut lines = vec![Line { name: "measured".into(), points: measured }];
+    let mut lines = vec![Series { name: "measured".into(), points: measured }];
     if let (Some(fit), Some(first), Some(last)) = (row.fit, row.means.first(), row.means.last()) {
-        let steps = STEPS * row.means.len();
-        let by = (last.0 / first.0).powf(1.0 / steps as f64);
-        let sizes = (0..=steps).map(|step| first.0 * by.powi(step as i32));
+        let steps = CURVE_POINTS_PER_SIZE * row.means.len();
+        let factor = (last.0 / first.0).powf(1.0 / steps as f64);
+        let sizes = (0..=steps).map(|step| first.0 * factor.powi(step as i32));
         let points = sizes.map(|size| (size, fit.at(size))).collect();
-        lines.push(Line { name: format!("{} fit", fit.shape.name()), points });
+        lines.push(Series { name: format!("{} fit", fit.shape.name()), points });
     }
     chart::over_sizes(&row.name, slope.counts(), &lines)
 }
 
-/// A number with as many digits as it is sure of.
+/// Formats a number with a precision that depends on its magnitude.
 pub fn short(value: f64) -> String {
     match value.abs() {
         0.0 => "0".into(),
@@ -153,7 +158,7 @@
     }
 }
 
-/// What a fit says, in words.
+/// Formats a fit as a formula in the size N.
 pub fn formula(fit: &Fit) -> String {
     let (fixed, slope) = (short(fit.fixed), short(fit.slope));
     match fit.shape {
@@ -165,8 +170,8 @@
     }
 }
 
-/// The table for a terminal.
-pub fn table(points: &[Point]) -> String {
+/// Returns the table for the terminal.
+fn table(points: &[Point]) -> String {
     let mut table = String::new();
     for row in rows(points) {
         let _ = writeln!(table, "{}", row.name);
@@ -182,14 +187,14 @@
                 fit.spread * 100.0
             );
         }
-        if let Some(held) = row.held_out {
+        if let Some(held_out) = row.held_out {
             let _ = writeln!(
                 table,
                 "    held out: predicted {} ({}), measured {}: {:+.1}%",
-                short(held.predicted),
-                held.fit.shape.name(),
-                short(held.measured),
-                held.difference() * 100.0
+                short(held_out.predicted),
+                held_out.fit.shape.name(),
+                short(held_out.measured),
+                held_out.difference() * 100.0
             );
         }
     }
--- a/crates/quillhub-experiments/tests/article.rs
+++ b/crates/quillhub-experiments/tests/article.rs
@@ -1,13 +1,19 @@
 //! The source's worked examples, played in the simulation by the baselines. Minutes are counted as the article does: what
 //! is new in a minute is first repeated in the next, so its messages come in each minute's second half.
 
-use quillhub_experiments::baselines::{Baselines, ideal_gap};
-use quillhub_experiments::experiment::Planned;
+use quillhub_experiments::baselines::{BaselineSettings, exponential_delay};
+use quillhub_experiments::experiment::ExperimentPlan;
 use quillhub_simulator::{Fact, Report};
 use std::time::Duration;
 
 /// A day with one destination, one instance without bounds and a network that takes no time.
-fn plan(decider: &str, [length, limit]: [&str; 2], arrivals: &str, baselines: &str, more: &str) -> Planned {
+fn plan(
+    decider: &str,
+    [length, limit]: [&str; 2],
+    arrivals: &str,
+    baselines: &str,
+    more: &str,
+) -> ExperimentPlan {
     let text = format!(
         "format = 1
 question = 'Does the emulator give the article its figures?'
@@ -47,17 +53,17 @@
 ",
         if more.contains("'14'") { 14 } else { 1_000_000 },
     );
-    Planned::parse("article", &text).unwrap_or_else(|e| panic!("{e:?}"))
+    ExperimentPlan::parse("article", &text).unwrap_or_else(|e| panic!("{e:?}"))
 }
 
-fn play(planned: &Planned, seen: impl FnMut(Duration, &Fact)) -> Report {
-    planned.play(&planned.runs()[0], seen)
+fn play(plan: &ExperimentPlan, seen: impl FnMut(Duration, &Fact)) -> Report {
+    plan.simulate(&plan.runs()[0], seen)
 }
 
 /// Instants of all attempts.
-fn sends(planned: &Planned) -> Vec<Duration> {
+fn sends(plan: &ExperimentPlan) -> Vec<Duration> {
     let mut at = Vec::new();
-    play(planned, |now, fact| {
+    play(plan, |now, fact| {
         if matches!(fact, Fact::AttemptStarted { .. }) {
             at.push(now);
         }
@@ -83,8 +89,8 @@
 fn storm(pattern: &str) -> Vec<u64> {
     let arrivals = format!("per_s = 10.0\npattern = {pattern}");
     let baselines = "every = '30 s'\ntimeout = '5 s'";
-    let planned = plan("fixed", ["11 min", "11 min"], &arrivals, baselines, &outage("hang", "10 min"));
-    per(&sends(&planned), 60, 11)
+    let plan = plan("fixed", ["11 min", "11 min"], &arrivals, baselines, &outage("hang", "10 min"));
+    per(&sends(&plan), 60, 11)
 }
 
 #[test]
@@ -109,14 +115,14 @@
 fn schedule(cap: &str) -> Vec<u64> {
     let baselines = format!("base = '30 s'\nmultiplier = 3.0\ncap = '{cap}'");
     let more = format!("{}\n# '14'", outage("refuse", "2 years"));
-    let planned = plan(
+    let plan = plan(
         "exponential",
         ["2 years", "2 years"],
         "per_s = 1.0\npattern = { law = 'even' }\nuntil = '0 s'",
         &baselines,
         &more,
     );
-    sends(&planned)
+    sends(&plan)
         .iter()
         .map(|at| {
             assert_eq!(at.subsec_nanos(), 0);
@@ -145,9 +151,9 @@
 /// A thousand that fail within the same second.
 fn herd(decider: &str) -> Vec<u64> {
     let arrivals = "per_s = 1000.0\npattern = { law = 'even' }\nuntil = '999 ms'";
-    let planned =
+    let plan =
         plan(decider, ["1 min", "2 min"], arrivals, "base = '30 s'\ncap = '3 h'", &outage("refuse", "1 s"));
-    per(&sends(&planned), 1, 33)
+    per(&sends(&plan), 1, 33)
 }
 
 #[test]
@@ -169,8 +175,8 @@
 fn the_capped_tail_of_six_thousand_is_33_a_minute() {
     let arrivals = "per_s = 0.5555555\npattern = { law = 'even' }\nuntil = '3 h'";
     let baselines = "base = '30 s'\ncap = '3 h'";
-    let planned = plan("exponential", ["27 h", "30 h"], arrivals, baselines, &outage("refuse", "30 h"));
-    let minutes = per(&sends(&planned), 60, 27 * 60);
+    let plan = plan("exponential", ["27 h", "30 h"], arrivals, baselines, &outage("refuse", "30 h"));
+    let minutes = per(&sends(&plan), 60, 27 * 60);
     let tail = &minutes[24 * 60..];
     let mean = tail.iter().sum::<u64>() as f64 / tail.len() as f64;
     assert!((33.0..33.7).contains(&mean) && tail.iter().all(|count| (33..=34).contains(count)), "{mean}");
@@ -182,9 +188,9 @@
 fn full_jitter_halves_the_time_until_all_tries_are_used() {
     let arrivals = "per_s = 1000.0\npattern = { law = 'even' }\nuntil = '399 ms'";
     let more = format!("{}\n# '14'", outage("refuse", "2 years"));
-    let planned = plan("jitter", ["2 years", "2 years"], arrivals, "base = '30 s'\ncap = '3 h'", &more);
+    let plan = plan("jitter", ["2 years", "2 years"], arrivals, "base = '30 s'\ncap = '3 h'", &more);
     let mut last = std::collections::BTreeMap::new();
-    play(&planned, |now, fact| {
+    play(&plan, |now, fact| {
         if let Fact::AttemptStarted { message_id: notice, .. } = fact {
             last.insert(*notice, now.as_secs_f64());
         }
@@ -196,22 +202,25 @@
 #[test]
 fn a_budget_of_a_tenth_bounds_the_sum_however_deep_the_backlog() {
     let arrivals = "per_s = 10.0\npattern = { law = 'even' }";
-    let planned = plan(
+    let plan = plan(
         "budget",
         ["10 min", "10 min"],
         arrivals,
         "share = 0.1\ntimeout = '5 s'",
         &outage("hang", "10 min"),
     );
-    let minutes = per(&sends(&planned), 60, 10);
+    let minutes = per(&sends(&plan), 60, 10);
     // From the second on: 600 first attempts, and a tenth; one more where a span's ends fall into a minute.
     assert!(minutes[1..].iter().all(|count| (650..=662).contains(count)), "{minutes:?}");
 }
 
 #[test]
 fn gaps_are_the_articles_formula() {
-    let of =
-        Baselines { base: Duration::from_secs(30), cap: Duration::from_secs(10_800), ..Baselines::default() };
-    let gaps: Vec<_> = (1..=8).map(|k| ideal_gap(&of, k).as_secs()).collect();
+    let of = BaselineSettings {
+        base_delay: Duration::from_secs(30),
+        max_delay: Duration::from_secs(10_800),
+        ..BaselineSettings::default()
+    };
+    let gaps: Vec<_> = (1..=8).map(|k| exponential_delay(&of, k).as_secs()).collect();
     assert_eq!(gaps, [30, 90, 270, 810, 2_430, 7_290, 10_800, 10_800]);
 }
--- a/crates/quillhub-experiments/tests/digests.rs
+++ b/crates/quillhub-experiments/tests/digests.rs
@@ -1,7 +1,7 @@
 //! Three short experiments: the digest of each run and the table, as recorded, with one thread and with four.
 
-use quillhub_experiments::experiment::Planned;
-use quillhub_experiments::results::Kept;
+use quillhub_experiments::experiment::ExperimentPlan;
+use quillhub_experiments::results::RunRecord;
 use quillhub_experiments::{report, sweep};
 use quillhub_fakes::scratch::Folder;
 
@@ -17,8 +17,8 @@
 const THREADS: [usize; 2] = [1, 4];
 
 /// A line for each run with its digest, an empty line, and the table that is printed.
-fn record(runs: &[Kept]) -> String {
-    let line = |run: &Kept| {
+fn record(runs: &[RunRecord]) -> String {
+    let line = |run: &RunRecord| {
         let (variant, decider, seed) = run.key();
         let variant = if variant.is_empty() { "-" } else { variant };
         format!("{variant} {decider} seed {seed}: {}, breaches {}\n", run.hash, run.breaches)
@@ -29,7 +29,7 @@
 
 fn run(name: &str, text: &str, threads: usize) -> String {
     let folder = Folder::new();
-    let experiment = Planned::parse(name, text).unwrap_or_else(|e| panic!("{name}: {e:?}"));
+    let experiment = ExperimentPlan::parse(name, text).unwrap_or_else(|e| panic!("{name}: {e:?}"));
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("a pool can be made");
     let runs = pool.install(|| sweep::run(&experiment, &folder.0, false)).expect("the runs are kept");
     record(&runs)
--- a/crates/quillhub-experiments/tests/fleet.rs
+++ b/crates/quillhub-experiments/tests/fleet.rs
@@ -1,13 +1,13 @@
 //! The fleet's scenarios in small: thirty instances instead of three hundred, the same faults, fixed seeds. What each
 //! instance does alone must not add up to a broken rule, nor to less value than a single attempt for each message.
 
-use quillhub_experiments::experiment::Planned;
-use quillhub_experiments::results::{Kept, mean};
+use quillhub_experiments::experiment::ExperimentPlan;
+use quillhub_experiments::results::{RunRecord, mean_and_deviation};
 use quillhub_experiments::sweep;
 use quillhub_fakes::scratch::Folder;
 use std::path::Path;
 
-fn small(kind: &str) -> Vec<Kept> {
+fn small(kind: &str) -> Vec<RunRecord> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../../experiments/fleet-{kind}.toml"));
     let mut text = std::fs::read_to_string(&path).unwrap();
     for (large, little) in [
@@ -21,8 +21,8 @@
         assert!(text.contains(large), "{kind}: {large}");
         text = text.replace(large, little);
     }
-    let planned = Planned::parse(kind, &text).unwrap_or_else(|e| panic!("{e:?}"));
-    sweep::run(&planned, &Folder::new().0, false).unwrap()
+    let plan = ExperimentPlan::parse(kind, &text).unwrap_or_else(|e| panic!("{e:?}"));
+    sweep::run(&plan, &Folder::new().0, false).unwrap()
 }
 
 fn assert_keeps_all_rules_and_beats_single_attempts(kind: &str) {
@@ -31,7 +31,7 @@
         let of: Vec<f64> =
             runs.iter().filter(|r| r.decider == decider).map(|r| r.figures["earned"]).collect();
         assert_eq!(of.len(), 2);
-        mean(&of).0
+        mean_and_deviation(&of).0
     };
     for run in runs.iter().filter(|run| run.decider == "module") {
         assert_eq!(run.breaches, 0, "{kind}, seed {}", run.seed);
--- a/crates/quillhub-experiments/tests/simulation.rs
+++ b/crates/quillhub-experiments/tests/simulation.rs
@@ -1,12 +1,12 @@
 //! What the simulator must be trusted for: queues as theory has them, and the same run from the same seed.
 
-use quillhub_experiments::experiment::Planned;
-use quillhub_experiments::results::{Kept, mean};
+use quillhub_experiments::experiment::ExperimentPlan;
+use quillhub_experiments::results::{RunRecord, mean_and_deviation};
 use quillhub_experiments::{explain, report, sweep};
 use quillhub_fakes::scratch::Folder;
 
 /// A queue of `workers` with calls of 20 ms on average, `rate` of them a second.
-fn queue(workers: usize, rate: f64) -> Planned {
+fn queue(workers: usize, rate: f64) -> ExperimentPlan {
     let text = format!(
         "format = 1
 question = 'Are waits those of theory?'
@@ -36,7 +36,7 @@
 ",
         (1..=20).map(|n| n.to_string()).collect::<Vec<_>>().join(", "),
     );
-    Planned::parse("queue", &text).unwrap_or_else(|e| panic!("{e:?}"))
+    ExperimentPlan::parse("queue", &text).unwrap_or_else(|e| panic!("{e:?}"))
 }
 
 /// The mean wait in a queue by Erlang's C formula.
@@ -53,10 +53,10 @@
 
 /// Whether the mean wait over 20 seeds lies within 99% confidence of theory's.
 fn agrees(workers: usize, rate: f64) {
-    let planned = queue(workers, rate);
+    let plan = queue(workers, rate);
     let waits: Vec<_> =
-        planned.runs().iter().map(|run| planned.play(run, |_, _| {}).tally.queueing.mean() / 1e6).collect();
-    let (mean, deviation) = mean(&waits);
+        plan.runs().iter().map(|run| plan.simulate(run, |_, _| {}).tally.queueing.mean() / 1e6).collect();
+    let (mean, deviation) = mean_and_deviation(&waits);
     let expected = erlang_wait(workers, rate, 0.02);
     let margin = 2.861 * deviation / (waits.len() as f64).sqrt(); // Student's t, 19 degrees of freedom
     assert!(
@@ -114,10 +114,10 @@
 whom = { endpoints = 1 }
 ";
 
-fn swept(threads: usize, folder: &Folder) -> Vec<Kept> {
-    let planned = Planned::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
+fn swept(threads: usize, folder: &Folder) -> Vec<RunRecord> {
+    let plan = ExperimentPlan::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().unwrap();
-    pool.install(|| sweep::run(&planned, &folder.0, false)).unwrap()
+    pool.install(|| sweep::run(&plan, &folder.0, false)).unwrap()
 }
 
 #[test]
@@ -135,10 +135,10 @@
 /// The hash of a baseline's run: what changes it changes the simulation, not the dispatcher.
 #[test]
 fn a_baseline_run_has_the_recorded_digest() {
-    let planned = Planned::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
-    let runs = planned.runs();
-    let run = runs.iter().find(|run| run.decider.word() == "single").unwrap();
-    assert_eq!(format!("{:016x}", planned.play(run, |_, _| {}).hash), RECORDED_DIGEST);
+    let plan = ExperimentPlan::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
+    let runs = plan.runs();
+    let run = runs.iter().find(|run| run.decider.name() == "single").unwrap();
+    assert_eq!(format!("{:016x}", plan.simulate(run, |_, _| {}).hash), RECORDED_DIGEST);
 }
 
 const RECORDED_DIGEST: &str = "d52993388ef44c66";
@@ -159,13 +159,13 @@
 fn a_message_is_explained_from_acceptance_to_final_outcome_and_pages_stand_alone() {
     let folder = Folder::new();
     let runs = swept(4, &folder);
-    let planned = Planned::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
-    let lines = explain::explain(&planned, &runs[0], 1).unwrap();
+    let plan = ExperimentPlan::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
+    let lines = explain::explain(&plan, &runs[0], 1).unwrap();
     assert!(
         lines[0].contains("accepts message") && lines.iter().any(|line| line.contains("Delivered")),
         "{lines:?}"
     );
-    assert!(explain::explain(&planned, &runs[0], 99_999_999).is_err());
+    assert!(explain::explain(&plan, &runs[0], 99_999_999).is_err());
     report::write(&folder.0, &runs).unwrap();
     let page = report::page("days", SCENARIOS, "why", "", &runs).unwrap();
     assert!(page.contains("<svg") && !page.contains("href=") && !page.contains("src="));
