--- a/crates/quillhub-experiments/src/capacity/tables.rs
+++ b/crates/quillhub-experiments/src/capacity/tables.rs
@@ -1,6 +1,6 @@
-//! The tables of the capacity page, as Markdown.
+//! Tables of the capacity page, as Markdown.
 
-use super::evidence::{Evidence, experiment};
+use super::evidence::{Evidence, experiment_name};
 use super::needs::{Need, Status};
 use crate::scale::{self, Row, formula, short};
 use quillhub_scale::plan::Slope;
@@ -8,10 +8,10 @@
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
-/// The machines that the runs were made on, and what else ran there.
+/// Returns a table of the machines that the scale tests ran on, with their load averages.
 pub fn machine(evidence: &Evidence) -> Result<String, String> {
     let mut text =
-        String::from("| experiment | cores | memory MB | kernel | plays | load average, least to most |\n");
+        String::from("| experiment | cores | memory MB | kernel | plays | load average, min to max |\n");
     text.push_str("| --- | --- | --- | --- | --- | --- |\n");
     for slope in Slope::ALL {
         let points = evidence.points(slope);
@@ -19,34 +19,34 @@
             .iter()
             .map(|point| (point.machine.cores, point.machine.memory_mb, point.machine.kernel.as_str()))
             .collect();
-        let loads = || points.iter().flat_map(|point| point.load_average);
-        let (least, most) = (loads().fold(f64::MAX, f64::min), loads().fold(0.0, f64::max));
+        let load_averages = || points.iter().flat_map(|point| point.load_average);
+        let (min, max) = (load_averages().fold(f64::MAX, f64::min), load_averages().fold(0.0, f64::max));
         for (cores, memory, kernel) in machines {
-            let (name, plays) = (experiment(slope), points.len());
+            let (name, plays) = (experiment_name(slope), points.len());
             let _ = writeln!(
                 text,
-                "| `{name}` | {cores} | {memory} | {kernel} | {plays} | {least:.1} to {most:.1} |"
+                "| `{name}` | {cores} | {memory} | {kernel} | {plays} | {min:.1} to {max:.1} |"
             );
         }
     }
     Ok(text)
 }
 
-/// What was measured, its fit, and the largest size held out.
+/// Returns the tables of a slope: means by size, fits with predictions for the held-out size, and sizes that broke.
 pub fn slope(slope: Slope, points: &[Point]) -> String {
     let sizes: BTreeSet<u64> = points.iter().map(|point| point.size).collect();
-    let head: Vec<String> = sizes.iter().map(u64::to_string).collect();
+    let headings: Vec<String> = sizes.iter().map(u64::to_string).collect();
     let mut text = format!("Means by {} (half of the range between plays):\n\n", slope.counts());
-    let _ = writeln!(text, "| figure | {} |", head.join(" | "));
+    let _ = writeln!(text, "| figure | {} |", headings.join(" | "));
     let _ = writeln!(text, "| --- |{}", " --- |".repeat(sizes.len()));
     let rows = scale::rows(points);
     for row in &rows {
         let _ = writeln!(text, "| {} | {} |", row.name, cells(row, &sizes).join(" | "));
     }
-    text.push_str("\nFits, each also made without the largest size that has the figure:\n\n");
+    text.push_str("\nFits, each repeated without the largest size that has the figure:\n\n");
     text.push_str("| figure | shape | fit | spread | predicted | measured | difference | |\n");
     text.push_str("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
-    rows.iter().for_each(|row| text.push_str(&fitted(row)));
+    rows.iter().for_each(|row| text.push_str(&fit_row(row)));
     let breaks: BTreeSet<String> = points
         .iter()
         .filter_map(|point| Some(format!("- Breaks at {}: {}.\n", point.size, point.breaks.as_ref()?)))
@@ -66,14 +66,14 @@
     sizes.iter().map(cell).collect()
 }
 
-fn fitted(row: &Row) -> String {
-    let (Some(fit), Some(held)) = (row.fit, row.held_out) else {
+fn fit_row(row: &Row) -> String {
+    let (Some(fit), Some(held_out)) = (row.fit, row.held_out) else {
         return format!("| {} | too few sizes | | | | | | no extrapolation |\n", row.name);
     };
-    let verdict = match held.holds() {
-        true if held.carries(&fit) => "holds",
-        true => "holds by another shape: no extrapolation rests on it",
-        false => "misses: no extrapolation rests on it",
+    let verdict = match held_out.holds() {
+        true if held_out.carries(&fit) => "holds",
+        true => "holds with another shape: not used to extrapolate",
+        false => "misses: not used to extrapolate",
     };
     format!(
         "| {} | {} | {} | {:.0}% | {} ({}) | {} | {:+.1}% | {verdict} |\n",
@@ -81,16 +81,16 @@
         fit.shape.name(),
         formula(&fit),
         fit.spread * 100.0,
-        short(held.predicted),
-        held.fit.shape.name(),
-        short(held.measured),
-        held.difference() * 100.0
+        short(held_out.predicted),
+        held_out.fit.shape.name(),
+        short(held_out.measured),
+        held_out.difference() * 100.0
     )
 }
 
 fn ratio(need: &Need) -> String {
-    let mark = if need.firm { "" } else { "at least " };
-    need.ratio().map_or("-".into(), |ratio| format!("{mark}{}", short(ratio)))
+    let prefix = if need.is_conclusive { "" } else { "at least " };
+    need.ratio().map_or("-".into(), |ratio| format!("{prefix}{}", short(ratio)))
 }
 
 fn limit(need: &Need) -> String {
@@ -100,13 +100,14 @@
 }
 
 fn status(need: &Need) -> String {
-    let runs: BTreeSet<&str> = need.runs.iter().map(String::as_str).collect();
-    let runs: Vec<String> = runs.into_iter().map(|run| format!("`{run}`")).collect();
-    let from = if runs.is_empty() { "arithmetic on the target".into() } else { runs.join(", ") };
-    format!("{} ({from})", need.status().name())
+    let experiments: BTreeSet<&str> = need.experiments.iter().map(String::as_str).collect();
+    let experiments: Vec<String> = experiments.into_iter().map(|name| format!("`{name}`")).collect();
+    let source =
+        if experiments.is_empty() { "arithmetic on the target".into() } else { experiments.join(", ") };
+    format!("{} ({source})", need.status().name())
 }
 
-/// Needs of one role.
+/// Returns a table of needs.
 pub fn needs<'a>(needs: impl Iterator<Item = &'a Need>) -> String {
     let mut text = String::from("| what | steps | need | limit | ratio | mechanism | status |\n");
     text.push_str("| --- | --- | --- | --- | --- | --- | --- |\n");
@@ -114,10 +115,10 @@
         let _ = writeln!(
             text,
             "| {} | {} | {}{} | {} | {} | {} | {} |",
-            need.what,
+            need.quantity,
             need.steps,
-            if need.firm { "" } else { "at least " },
-            short(need.need),
+            if need.is_conclusive { "" } else { "at least " },
+            short(need.value),
             limit(need),
             ratio(need),
             if need.mechanism.is_empty() { "-" } else { need.mechanism },
@@ -127,10 +128,10 @@
     text
 }
 
-/// What is over its limit or not shown to be within it, by ratio.
+/// Returns a table of the needs that exceed their limit or are not shown to be within it, largest ratio first.
 pub fn missing(needs: &[Need]) -> String {
-    let open = |need: &&Need| matches!(need.status(), Status::Missing | Status::NotShown);
-    let mut rows: Vec<&Need> = needs.iter().filter(open).collect();
+    let is_open = |need: &&Need| matches!(need.status(), Status::Missing | Status::NotShown);
+    let mut rows: Vec<&Need> = needs.iter().filter(is_open).collect();
     rows.sort_by(|one, other| other.ratio().unwrap_or(0.0).total_cmp(&one.ratio().unwrap_or(0.0)));
     let mut text = String::from("| ratio | role | what | need | limit | mechanism | status |\n");
     text.push_str("| --- | --- | --- | --- | --- | --- | --- |\n");
@@ -140,8 +141,8 @@
             "| {} | {} | {} | {} | {} | {} | {} |",
             ratio(need),
             need.role.block(),
-            need.what,
-            short(need.need),
+            need.quantity,
+            short(need.value),
             limit(need),
             need.mechanism,
             need.status().name()
--- a/crates/quillhub-experiments/src/capacity/target.rs
+++ b/crates/quillhub-experiments/src/capacity/target.rs
@@ -1,47 +1,48 @@
-//! The operators' target, and plain arithmetic on it. Everything else on the page is measured or called an estimate.
+//! Target of the operators for the whole system, and arithmetic on it. Everything else on the capacity page is measured
+//! or marked as an estimate.
 
-/// Instances of the whole system.
-pub const COURIERS: f64 = 1_300.0;
-/// Messages a second of the whole system.
+/// Number of gateway instances of the whole system.
+pub const INSTANCES: f64 = 1_300.0;
+/// Messages per second of the whole system.
 pub const MESSAGES_PER_S: f64 = 550_000.0;
-/// Destinations.
+/// Number of destinations.
 pub const DESTINATIONS: f64 = 320_000.0;
-/// Share of the destinations that is down at any time.
-pub const DOWN: f64 = 0.011;
-/// Messages of the full backlog.
-pub const BACKLOG: f64 = 6.6e9;
-/// Zones, over two regions.
+/// Share of the destinations that are down at any time.
+pub const DOWN_SHARE: f64 = 0.011;
+/// Number of messages in the full backlog of the whole system.
+pub const BACKLOG_MESSAGES: f64 = 6.6e9;
+/// Number of zones, in two regions.
 pub const ZONES: f64 = 7.0;
-/// Changes of the configuration a day.
+/// Number of configuration changes per day.
 pub const CHANGES_PER_DAY: f64 = 1_700.0;
-/// Within which a change is in force everywhere, in seconds.
-pub const IN_FORCE_S: f64 = 16.0;
-/// What an instance may spend on control, as a share of a core in percent.
-pub const CONTROL_CPU_PERCENT: f64 = 4.7;
-/// What it may spend of memory on control, in MB.
-pub const CONTROL_MEMORY_MB: f64 = 32.0;
-/// What it may spend of the network on control, in bytes a second.
-pub const CONTROL_BYTES_PER_S: f64 = 6_000.0;
-/// Machines set aside for control.
+/// Maximum time until a change is in force at all instances, in seconds.
+pub const MAX_PROPAGATION_S: f64 = 16.0;
+/// Maximum processor time of an instance for control traffic, in percent of a core.
+pub const MAX_CONTROL_CPU_PERCENT: f64 = 4.7;
+/// Maximum memory of an instance for control traffic, in MB.
+pub const MAX_CONTROL_MEMORY_MB: f64 = 32.0;
+/// Maximum control traffic of an instance, in bytes per second.
+pub const MAX_CONTROL_BYTES_PER_S: f64 = 6_000.0;
+/// Number of machines reserved for discovery and other control services.
 pub const CONTROL_MACHINES: f64 = 20.0;
-/// Machines that fail on an ordinary day.
-pub const MACHINES_DOWN: f64 = 3.0;
-/// Within which a restarted instance is ready, in seconds.
-pub const READY_S: f64 = 10.0;
-/// Destinations that an instance serves where they are divided: the largest share that the page plans with.
-pub const SHARE: f64 = 740.0;
+/// Number of machines that are down on an ordinary day.
+pub const FAILED_MACHINES: f64 = 3.0;
+/// Maximum time until a restarted instance is ready, in seconds.
+pub const MAX_READY_S: f64 = 10.0;
+/// Largest number of destinations that the page assigns to one instance if destinations are divided among instances.
+pub const DESTINATIONS_PER_INSTANCE: f64 = 740.0;
 
-/// Seconds of a day.
-pub const DAY_S: f64 = 86_400.0;
-/// Hours of a day.
-pub const DAY_H: f64 = 24.0;
+/// Number of seconds per day.
+pub const SECONDS_PER_DAY: f64 = 86_400.0;
+/// Number of hours per day.
+pub const HOURS_PER_DAY: f64 = 24.0;
 
-/// Messages a second of one instance when `instances` share all.
-pub fn rate(couriers: f64) -> f64 {
-    MESSAGES_PER_S / couriers
+/// Returns the messages per second of one instance if `instances` share the load of the whole system.
+pub fn messages_per_s_each(instances: f64) -> f64 {
+    MESSAGES_PER_S / instances
 }
 
-/// Messages of the full backlog at one instance.
-pub fn backlog_each() -> f64 {
-    BACKLOG / COURIERS
+/// Returns the number of messages of the full backlog at one instance.
+pub fn backlog_per_instance() -> f64 {
+    BACKLOG_MESSAGES / INSTANCES
 }
