--- a/crates/quillhub-experiments/tests/digests.rs
+++ b/crates/quillhub-experiments/tests/digests.rs
@@ -1,4 +1,5 @@
-//! Three short experiments: the digest of each run and the table, as recorded, with one thread and with four.
+//! Digests of all runs and the table of three short experiments, compared with recorded ones. Guards against changes of
+//! behaviour, and against results that depend on the number of threads.
 
 use quillhub_experiments::experiment::ExperimentPlan;
 use quillhub_experiments::results::RunRecord;
@@ -13,10 +14,10 @@
 const ZONE_CUT_RECORD: &str = include_str!("experiments/short-zone-cut.txt");
 const DISCOVERY_LOST_RECORD: &str = include_str!("experiments/short-register-lost.txt");
 
-/// Numbers of threads that must give the same runs.
+/// Numbers of threads with which the runs must be equal.
 const THREADS: [usize; 2] = [1, 4];
 
-/// A line for each run with its digest, an empty line, and the table that is printed.
+/// Returns a line with the digest of each run, an empty line, and the printed table.
 fn record(runs: &[RunRecord]) -> String {
     let line = |run: &RunRecord| {
         let (variant, decider, seed) = run.key();
@@ -30,15 +31,17 @@
 fn run(name: &str, text: &str, threads: usize) -> String {
     let folder = Folder::new();
     let experiment = ExperimentPlan::parse(name, text).unwrap_or_else(|e| panic!("{name}: {e:?}"));
-    let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("a pool can be made");
-    let runs = pool.install(|| sweep::run(&experiment, &folder.0, false)).expect("the runs are kept");
+    let pool =
+        rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("the thread pool can be created");
+    let runs =
+        pool.install(|| sweep::run(&experiment, &folder.0, false)).expect("the results can be written");
     record(&runs)
 }
 
-fn assert_runs_as_recorded(name: &str, text: &str, recorded: &str) {
+fn assert_runs_as_recorded(name: &str, text: &str, expected: &str) {
     for threads in THREADS {
         let found = run(name, text, threads);
-        assert!(found == recorded, "{name} with {threads} threads, found:\n{found}expected:\n{recorded}");
+        assert!(found == expected, "{name} with {threads} threads, found:\n{found}expected:\n{expected}");
     }
 }
 
