--- a/crates/quillhub-experiments/tests/simulation.rs
+++ b/crates/quillhub-experiments/tests/simulation.rs
@@ -1,15 +1,16 @@
-//! What the simulator must be trusted for: queues as theory has them, and the same run from the same seed.
+//! Properties of the simulator on which the experiments rely: queueing times agree with theory, and the same seed gives the
+//! same run.
 
 use quillhub_experiments::experiment::ExperimentPlan;
 use quillhub_experiments::results::{RunRecord, mean_and_deviation};
 use quillhub_experiments::{explain, report, sweep};
 use quillhub_fakes::scratch::Folder;
 
-/// A queue of `workers` with calls of 20 ms on average, `rate` of them a second.
-fn queue(workers: usize, rate: f64) -> ExperimentPlan {
+/// Returns an experiment with one queue of `workers`, calls of 20 ms on average and `rate` calls per second.
+fn queue_plan(workers: usize, rate: f64) -> ExperimentPlan {
     let text = format!(
         "format = 1
-question = 'Are waits those of theory?'
+question = 'Do queueing times agree with theory?'
 seeds = [{}]
 deciders = ['single']
 [day]
@@ -39,7 +40,7 @@
     ExperimentPlan::parse("queue", &text).unwrap_or_else(|e| panic!("{e:?}"))
 }
 
-/// The mean wait in a queue by Erlang's C formula.
+/// Returns the mean queueing time in seconds by Erlang's C formula.
 fn erlang_wait(workers: usize, rate: f64, mean_s: f64) -> f64 {
     let load = rate * mean_s;
     let (mut term, mut sum) = (1.0, 1.0);
@@ -51,9 +52,9 @@
     last / (sum + last) / (workers as f64 / mean_s - rate)
 }
 
-/// Whether the mean wait over 20 seeds lies within 99% confidence of theory's.
-fn agrees(workers: usize, rate: f64) {
-    let plan = queue(workers, rate);
+/// Asserts that the mean queueing time over 20 seeds agrees with theory at 99% confidence.
+fn assert_mean_wait_agrees_with_theory(workers: usize, rate: f64) {
+    let plan = queue_plan(workers, rate);
     let waits: Vec<_> =
         plan.runs().iter().map(|run| plan.simulate(run, |_, _| {}).tally.queueing.mean() / 1e6).collect();
     let (mean, deviation) = mean_and_deviation(&waits);
@@ -63,18 +64,18 @@
         (mean - expected).abs() <= margin,
         "{workers} workers: {mean} s, theory {expected} s, margin {margin} s"
     );
-    assert!(margin < 0.1 * expected, "the margin says too little: {margin} of {expected} s");
+    assert!(margin < 0.1 * expected, "the margin is too wide: {margin} s of {expected} s");
 }
 
 #[test]
-fn waits_of_one_worker_are_those_of_m_m_1() {
+fn queueing_times_of_one_worker_agree_with_m_m_1() {
     assert!((erlang_wait(1, 30.0, 0.02) - 0.03).abs() < 1e-12); // rho / (mu - lambda)
-    agrees(1, 30.0);
+    assert_mean_wait_agrees_with_theory(1, 30.0);
 }
 
 #[test]
-fn waits_of_four_workers_are_those_of_m_m_c() {
-    agrees(4, 150.0);
+fn queueing_times_of_four_workers_agree_with_m_m_c() {
+    assert_mean_wait_agrees_with_theory(4, 150.0);
 }
 
 const SCENARIOS: &str = "format = 1
@@ -114,7 +115,7 @@
 whom = { endpoints = 1 }
 ";
 
-fn swept(threads: usize, folder: &Folder) -> Vec<RunRecord> {
+fn run_sweep(threads: usize, folder: &Folder) -> Vec<RunRecord> {
     let plan = ExperimentPlan::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().unwrap();
     pool.install(|| sweep::run(&plan, &folder.0, false)).unwrap()
@@ -122,17 +123,17 @@
 
 #[test]
 fn one_thread_and_four_give_the_same_runs() {
-    let (one, four) = (Folder::new(), Folder::new());
-    let (one, four) = (swept(1, &one), swept(4, &four));
+    let (one_folder, four_folder) = (Folder::new(), Folder::new());
+    let (one, four) = (run_sweep(1, &one_folder), run_sweep(4, &four_folder));
     assert_eq!(one, four);
     let mut hashes: Vec<_> = one.iter().map(|run| &run.hash).collect();
     hashes.sort();
     hashes.dedup();
-    assert_eq!(hashes.len(), 8); // another seed, another run
+    assert_eq!(hashes.len(), 8); // runs with different seeds differ
     assert!(one.iter().all(|run| run.decider != "module" || run.breaches == 0));
 }
 
-/// The hash of a baseline's run: what changes it changes the simulation, not the dispatcher.
+/// Guards against unintended changes of the simulation: a baseline's run does not depend on the dispatcher.
 #[test]
 fn a_baseline_run_has_the_recorded_digest() {
     let plan = ExperimentPlan::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
@@ -141,24 +142,26 @@
     assert_eq!(format!("{:016x}", plan.simulate(run, |_, _| {}).hash), RECORDED_DIGEST);
 }
 
+/// Hash of the first run of the baseline `single`.
 const RECORDED_DIGEST: &str = "d52993388ef44c66";
 
+/// The program may be stopped while it writes a result, which leaves an incomplete last line.
 #[test]
-fn a_sweep_that_was_cut_off_goes_on_from_there() {
+fn an_interrupted_sweep_is_resumed() {
     let folder = Folder::new();
-    let whole = swept(2, &folder);
+    let complete = run_sweep(2, &folder);
     let path = folder.0.join("runs.jsonl");
     let text = std::fs::read_to_string(&path).unwrap();
-    let cut = text.match_indices('\n').nth(4).unwrap().0 + 40;
-    std::fs::write(&path, &text[..cut]).unwrap();
-    assert_eq!(swept(2, &folder), whole);
+    let cut_offset = text.match_indices('\n').nth(4).unwrap().0 + 40;
+    std::fs::write(&path, &text[..cut_offset]).unwrap();
+    assert_eq!(run_sweep(2, &folder), complete);
     assert_eq!(std::fs::read_to_string(&path).unwrap(), text);
 }
 
 #[test]
-fn a_message_is_explained_from_acceptance_to_final_outcome_and_pages_stand_alone() {
+fn a_message_is_explained_up_to_its_final_outcome_and_the_page_is_self_contained() {
     let folder = Folder::new();
-    let runs = swept(4, &folder);
+    let runs = run_sweep(4, &folder);
     let plan = ExperimentPlan::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
     let lines = explain::explain(&plan, &runs[0], 1).unwrap();
     assert!(
