--- a/crates/quillhub-experiments/src/baselines.rs
+++ b/crates/quillhub-experiments/src/baselines.rs
@@ -114,7 +114,7 @@
         rng: Pcg64Mcg::seed_from_u64(start.seed),
         now: Duration::ZERO,
         slots: scenario.instances.slots,
-        capacity: scenario.instances.capacity,
+        queue_capacity: scenario.instances.capacity,
         max_attempts: if kind == DeciderKind::Single { 1 } else { scenario.instances.max_attempts },
         service_classes: scenario
             .service_classes
@@ -140,7 +140,7 @@
     state: EndpointState,
     in_flight: usize,
     /// Free capacity when the oracle last observed it; 0 for the other baselines.
-    capacity: usize,
+    free_capacity: usize,
 }
 
 struct PendingMessage {
@@ -183,7 +183,7 @@
     rng: Pcg64Mcg,
     now: Duration,
     slots: usize,
-    capacity: usize,
+    queue_capacity: usize,
     max_attempts: u32,
     service_classes: Vec<(String, ServiceClass)>,
     endpoints: BTreeMap<String, KnownEndpoint>,
@@ -241,10 +241,11 @@
         let names = self.by_destination.get(&pending.destination)?;
         let available = names.iter().map(|name| (name, &self.endpoints[name])).filter(|(_, known)| {
             known.state == EndpointState::Available
-                && (!oracle || known.capacity > 0)
+                && (!oracle || known.free_capacity > 0)
                 && self.may_attempt(pending, &known.zone)
         });
-        let load = |known: &KnownEndpoint| if oracle { usize::MAX - known.capacity } else { known.in_flight };
+        let load =
+            |known: &KnownEndpoint| if oracle { usize::MAX - known.free_capacity } else { known.in_flight };
         let min_load = available.clone().map(|(_, known)| load(known)).min()?;
         let best: Vec<_> =
             available.filter(|(_, known)| load(known) == min_load).map(|(name, _)| name).collect();
@@ -296,7 +297,7 @@
         let EndpointUpdate { name, zone, destination, state, .. } = update;
         self.by_destination.entry(destination).or_default().insert(name.into());
         let new_endpoint =
-            || KnownEndpoint { zone: zone.into(), destination, state, in_flight: 0, capacity: 0 };
+            || KnownEndpoint { zone: zone.into(), destination, state, in_flight: 0, free_capacity: 0 };
         self.endpoints.entry(name.into()).or_insert_with(new_endpoint).state = state;
     }
 
@@ -335,7 +336,7 @@
         self.pending.insert(id, pending);
         self.due.insert((now, id));
         self.deadlines.insert((deadline, id));
-        if self.pending.len() > self.capacity {
+        if self.pending.len() > self.queue_capacity {
             self.to_finish.push(id);
         }
     }
@@ -454,7 +455,7 @@
             }
             let known = self.endpoints.get_mut(&name).expect("the endpoint was just chosen");
             known.in_flight += 1;
-            known.capacity = known.capacity.saturating_sub(1);
+            known.free_capacity = known.free_capacity.saturating_sub(1);
             let pending = self.pending.get_mut(&id).expect("the message is pending");
             self.due.remove(&(pending.due, id));
             (pending.attempts, pending.started, pending.endpoint) = (attempts + 1, now, name);
@@ -478,7 +479,7 @@
         for destination in due {
             for name in self.by_destination.get(&destination).into_iter().flatten() {
                 if let Some(known) = self.endpoints.get_mut(name) {
-                    known.capacity = capacity(name);
+                    known.free_capacity = capacity(name);
                 }
             }
         }
--- a/crates/quillhub-experiments/src/capacity/needs.rs
+++ b/crates/quillhub-experiments/src/capacity/needs.rs
@@ -123,14 +123,14 @@
 }
 
 impl Need {
-    fn from_figure(role: Role, quantity: &'static str, found: Figure) -> Self {
+    fn new(role: Role, quantity: &'static str, found: Figure) -> Self {
         let Figure { value, steps, is_conclusive, experiment } = found;
         let experiments = if experiment.is_empty() { Vec::new() } else { vec![experiment] };
         Self { role, quantity, steps, value, is_conclusive, limit: None, mechanism: "", experiments }
     }
 
     fn computed(role: Role, quantity: &'static str, need: f64, steps: String) -> Self {
-        Self::from_figure(
+        Self::new(
             role,
             quantity,
             Figure { value: need, steps, is_conclusive: true, experiment: String::new() },
@@ -138,7 +138,7 @@
     }
 
     /// Multiplies the value by `factor` and adds the step, described by `description`.
-    fn multiplied_by(mut self, factor: f64, description: &str) -> Self {
+    fn times(mut self, factor: f64, description: &str) -> Self {
         self.value *= factor;
         self.steps = format!("{}; x {description} = {}", self.steps, short(self.value));
         self
@@ -152,12 +152,12 @@
         self
     }
 
-    fn with_limit(mut self, limit: Limit) -> Self {
+    fn limit(mut self, limit: Limit) -> Self {
         self.limit = Some(limit);
         self
     }
 
-    fn with_mechanism(mut self, mechanism: &'static str) -> Self {
+    fn mechanism(mut self, mechanism: &'static str) -> Self {
         self.mechanism = mechanism;
         self
     }
@@ -213,74 +213,69 @@
 ) -> Result<Need, String> {
     let found = evidence.figure_at(slope, figure::MESSAGE_US, size)?;
     let description = format!("{} messages a second / 1e6 us", short(rate));
-    Ok(Need::from_figure(role, quantity, found)
-        .multiplied_by(rate / US_PER_S, &description)
-        .with_limit(ONE_CORE))
+    Ok(Need::new(role, quantity, found).times(rate / US_PER_S, &description).limit(ONE_CORE))
 }
 
 fn instance(evidence: &Evidence) -> Result<Vec<Need>, String> {
     let (role, rate) = (Role::Instance, target::messages_per_s_each(INSTANCES));
     let at = |slope, name, size| evidence.figure_at(slope, name, size);
-    let need = |quantity, slope, name, size| {
-        Ok::<_, String>(Need::from_figure(role, quantity, at(slope, name, size)?))
-    };
+    let need =
+        |quantity, slope, name, size| Ok::<_, String>(Need::new(role, quantity, at(slope, name, size)?));
     let control = |quantity, size| {
         Ok::<_, String>(
-            need(quantity, Destinations, figure::MEMORY_MB, size)?
-                .with_limit(operators(MAX_CONTROL_MEMORY_MB)),
+            need(quantity, Destinations, figure::MEMORY_MB, size)?.limit(operators(MAX_CONTROL_MEMORY_MB)),
         )
     };
     let idle = |quantity, slope, size| {
         let found = need(quantity, slope, figure::IDLE_PERCENT, size)?;
-        Ok::<_, String>(found.with_limit(operators(MAX_CONTROL_CPU_PERCENT)))
+        Ok::<_, String>(found.limit(operators(MAX_CONTROL_CPU_PERCENT)))
     };
     let change_bytes = evidence.slope_per_unit(Changes, figure::CONTROL_BYTES)?;
     let changes_per_hour = CHANGES_PER_DAY / HOURS_PER_DAY;
     Ok(vec![
         cores(evidence, role, "processor, all destinations known, cores", Destinations, DESTINATIONS, rate)?
-            .with_mechanism(PLACEMENT),
+            .mechanism(PLACEMENT),
         cores(
             evidence,
             role,
             "processor, a share of 740 known, cores",
             Destinations,
-            DESTINATIONS_PER_INSTANCE,
+            DESTINATIONS_EACH,
             rate,
         )?
-        .with_mechanism(DISPATCHER),
-        control("memory, all destinations known, MB", DESTINATIONS)?.with_mechanism(PLACEMENT),
-        control("memory, a share of 740 known, MB", DESTINATIONS_PER_INSTANCE)?.with_mechanism(DISPATCHER),
+        .mechanism(DISPATCHER),
+        control("memory, all destinations known, MB", DESTINATIONS)?.mechanism(PLACEMENT),
+        control("memory, a share of 740 known, MB", DESTINATIONS_EACH)?.mechanism(DISPATCHER),
         idle("idle processor, all destinations known, % of a core", Destinations, DESTINATIONS)?
-            .with_mechanism(PLACEMENT),
-        idle("idle processor, a share of 740 known, % of a core", Destinations, DESTINATIONS_PER_INSTANCE)?
-            .with_mechanism(DISPATCHER),
+            .mechanism(PLACEMENT),
+        idle("idle processor, a share of 740 known, % of a core", Destinations, DESTINATIONS_EACH)?
+            .mechanism(DISPATCHER),
         idle("idle processor beside 1,300 instances, % of a core", Couriers, INSTANCES)?
-            .with_mechanism(DISPATCHER),
+            .mechanism(DISPATCHER),
         need("control, bytes a second", Couriers, figure::CONTROL_BYTES, INSTANCES)?
             .plus(change_bytes, changes_per_hour, "71 changes an hour")
-            .with_limit(operators(MAX_CONTROL_BYTES_PER_S))
-            .with_mechanism(WATCH),
-        need("control, packets a second", Couriers, figure::CONTROL_PACKETS, INSTANCES)?
-            .with_mechanism(WATCH),
+            .limit(operators(MAX_CONTROL_BYTES_PER_S))
+            .mechanism(WATCH),
+        need("control, packets a second", Couriers, figure::CONTROL_PACKETS, INSTANCES)?.mechanism(WATCH),
         need("the whole list, bytes of one line", Destinations, figure::LIST_BYTES, DESTINATIONS)?
-            .with_limit(Limit { value: MAX_LIST_BYTES as f64, source: "discovery.rs, MAX_LIST_BYTES" })
-            .with_mechanism(PLACEMENT),
+            .limit(Limit { value: MAX_LIST_BYTES as f64, source: "discovery.rs, MAX_LIST_BYTES" })
+            .mechanism(PLACEMENT),
         need("the whole list, s of its control bytes", Destinations, figure::LIST_BYTES, DESTINATIONS)?
-            .multiplied_by(1.0 / MAX_CONTROL_BYTES_PER_S, "1 / 6,000 bytes a second")
-            .with_limit(operators(MAX_PROPAGATION_S))
-            .with_mechanism(PLACEMENT),
+            .times(1.0 / MAX_CONTROL_BYTES_PER_S, "1 / 6,000 bytes a second")
+            .limit(operators(MAX_PROPAGATION_S))
+            .mechanism(PLACEMENT),
         need(
             "the list of a share of 740, s of its control bytes",
             Destinations,
             figure::LIST_BYTES,
-            DESTINATIONS_PER_INSTANCE,
+            DESTINATIONS_EACH,
         )?
-        .multiplied_by(1.0 / MAX_CONTROL_BYTES_PER_S, "1 / 6,000 bytes a second")
-        .with_limit(operators(MAX_PROPAGATION_S))
-        .with_mechanism("a list in parts, or by differences"),
+        .times(1.0 / MAX_CONTROL_BYTES_PER_S, "1 / 6,000 bytes a second")
+        .limit(operators(MAX_PROPAGATION_S))
+        .mechanism("a list in parts, or by differences"),
         need("ready, all destinations known, s", Destinations, figure::READY_S, DESTINATIONS)?
-            .with_limit(operators(MAX_READY_S))
-            .with_mechanism(PLACEMENT),
+            .limit(operators(MAX_READY_S))
+            .mechanism(PLACEMENT),
     ])
 }
 
@@ -288,7 +283,7 @@
     let (role, backlog, rate) =
         (Role::Instance, target::backlog_per_instance(), target::messages_per_s_each(INSTANCES));
     let need = |quantity, name| {
-        Ok::<_, String>(Need::from_figure(role, quantity, evidence.figure_at(Backlog, name, backlog)?))
+        Ok::<_, String>(Need::new(role, quantity, evidence.figure_at(Backlog, name, backlog)?))
     };
     let sustained = evidence.largest_size_with(Backlog, figure::DELIVERED, MIN_DELIVERED_SHARE * rate)?;
     let steps = format!("6.6e9 / 1,300 = {}; {}", short(backlog), sustained.steps);
@@ -297,58 +292,58 @@
     messages.experiments.push(sustained.experiment);
     let limit = Limit { value: sustained.value, source: "the largest size sustained" };
     Ok(vec![
-        messages.with_limit(limit).with_mechanism(DURABLE_BACKLOG),
+        messages.limit(limit).mechanism(DURABLE_BACKLOG),
         cores(evidence, role, "processor beside the full backlog, cores", Backlog, backlog, rate)?
-            .with_mechanism(DURABLE_BACKLOG),
+            .mechanism(DURABLE_BACKLOG),
         need("submitting a message of the full backlog, cores", figure::FILL_US)?
-            .multiplied_by(rate / US_PER_S, "423 messages a second / 1e6 us")
-            .with_limit(ONE_CORE)
-            .with_mechanism(DURABLE_BACKLOG),
+            .times(rate / US_PER_S, "423 messages a second / 1e6 us")
+            .limit(ONE_CORE)
+            .mechanism(DURABLE_BACKLOG),
         need("memory with the full backlog, MB", figure::MEMORY_MB)?
-            .with_limit(estimate(MEMORY_MB, "estimate: 4 GB a core, as usual machines have"))
-            .with_mechanism(DURABLE_BACKLOG),
+            .limit(estimate(MEMORY_MB, "estimate: 4 GB a core, as usual machines have"))
+            .mechanism(DURABLE_BACKLOG),
         need("idle processor with the full backlog, % of a core", figure::IDLE_PERCENT)?
-            .with_limit(estimate(100.0, "one thread"))
-            .with_mechanism(DURABLE_BACKLOG),
+            .limit(estimate(100.0, "one thread"))
+            .mechanism(DURABLE_BACKLOG),
         need("ready after a kill with the full backlog, s", figure::READY_AGAIN_S)?
-            .with_limit(operators(MAX_READY_S))
-            .with_mechanism(DURABLE_BACKLOG),
-        need("state directory with the full backlog, MB", figure::STATE_MB)?.with_mechanism(DURABLE_BACKLOG),
+            .limit(operators(MAX_READY_S))
+            .mechanism(DURABLE_BACKLOG),
+        need("state directory with the full backlog, MB", figure::STATE_MB)?.mechanism(DURABLE_BACKLOG),
     ])
 }
 
 fn control(evidence: &Evidence) -> Result<Vec<Need>, String> {
     let role = Role::Control;
     let need = |quantity, name| {
-        Ok::<_, String>(Need::from_figure(role, quantity, evidence.figure_at(Couriers, name, INSTANCES)?))
+        Ok::<_, String>(Need::new(role, quantity, evidence.figure_at(Couriers, name, INSTANCES)?))
     };
     let changes_per_s = CHANGES_PER_DAY / SECONDS_PER_DAY;
     let machines = || Limit { value: CONTROL_MACHINES, source: "operators: machines, taken as a core each" };
     Ok(vec![
         need("connections of discovery", figure::CONNECTIONS)?
-            .with_limit(estimate(CONTROL_MACHINES * 20_000.0, "estimate: 20,000 descriptors a machine"))
-            .with_mechanism(WATCH),
+            .limit(estimate(CONTROL_MACHINES * 20_000.0, "estimate: 20,000 descriptors a machine"))
+            .mechanism(WATCH),
         need("bytes a second while nothing changes", figure::DISCOVERY_BYTES)?
-            .with_limit(estimate(CONTROL_MACHINES * NETWORK_BYTES_PER_S, "estimate: 10 Gbit/s a machine"))
-            .with_mechanism(WATCH),
+            .limit(estimate(CONTROL_MACHINES * NETWORK_BYTES_PER_S, "estimate: 10 Gbit/s a machine"))
+            .mechanism(WATCH),
         need("processor while nothing changes, cores", figure::DISCOVERY_US)?
-            .multiplied_by(1.0 / US_PER_S, "1 / 1e6 us")
-            .with_limit(machines())
-            .with_mechanism(WATCH),
+            .times(1.0 / US_PER_S, "1 / 1e6 us")
+            .limit(machines())
+            .mechanism(WATCH),
         need("bytes of the day's changes sent to all instances, a second", figure::CHANGE_BYTES)?
-            .multiplied_by(changes_per_s, "1,700 / 86,400 changes a second")
-            .with_limit(estimate(CONTROL_MACHINES * NETWORK_BYTES_PER_S, "estimate: 10 Gbit/s a machine"))
-            .with_mechanism(WATCH),
+            .times(changes_per_s, "1,700 / 86,400 changes a second")
+            .limit(estimate(CONTROL_MACHINES * NETWORK_BYTES_PER_S, "estimate: 10 Gbit/s a machine"))
+            .mechanism(WATCH),
         need("processor of the day's changes, cores", figure::CHANGE_MS)?
-            .multiplied_by(changes_per_s / 1e3, "1,700 / 86,400 changes a second / 1e3 ms")
-            .with_limit(machines())
-            .with_mechanism(WATCH),
+            .times(changes_per_s / 1e3, "1,700 / 86,400 changes a second / 1e3 ms")
+            .limit(machines())
+            .mechanism(WATCH),
         need("a change in force at the last instance, s", figure::CALM_WORST_S)?
-            .with_limit(operators(MAX_PROPAGATION_S))
-            .with_mechanism(WATCH),
+            .limit(operators(MAX_PROPAGATION_S))
+            .mechanism(WATCH),
         need("a change in force at the last instance while a tenth restarts, s", figure::RESTARTING_WORST_S)?
-            .with_limit(operators(MAX_PROPAGATION_S))
-            .with_mechanism(WATCH),
+            .limit(operators(MAX_PROPAGATION_S))
+            .mechanism(WATCH),
     ])
 }
 
@@ -369,18 +364,18 @@
             outcomes,
             steps,
         )
-        .with_mechanism("calls of up to 64 outcomes each"),
-        Need::from_figure(role, "bytes a second, one outcome a call", bytes)
-            .multiplied_by(outcomes / INSTANCES, "6,050 outcomes a second / 1,300 in the run")
-            .with_limit(estimate(NETWORK_BYTES_PER_S, "estimate: 10 Gbit/s, one machine"))
-            .with_mechanism("calls of up to 64 outcomes each"),
+        .mechanism("calls of up to 64 outcomes each"),
+        Need::new(role, "bytes a second, one outcome a call", bytes)
+            .times(outcomes / INSTANCES, "6,050 outcomes a second / 1,300 in the run")
+            .limit(estimate(NETWORK_BYTES_PER_S, "estimate: 10 Gbit/s, one machine"))
+            .mechanism("calls of up to 64 outcomes each"),
     ])
 }
 
 fn endpoints(_: &Evidence) -> Result<Vec<Need>, String> {
     let role = Role::Endpoints;
     let each = MESSAGES_PER_S / DESTINATIONS;
-    let share = INSTANCES * DESTINATIONS_PER_INSTANCE / DESTINATIONS;
+    let share = INSTANCES * DESTINATIONS_EACH / DESTINATIONS;
     let max_idle = (DESCRIPTORS - 64.0) / 4.0;
     Ok(vec![
         Need::computed(
@@ -395,22 +390,22 @@
             INSTANCES,
             "1,300 instances x 1 connection".into(),
         )
-        .with_mechanism(PLACEMENT),
+        .mechanism(PLACEMENT),
         Need::computed(
             role,
             "connections to one destination, shares of 740",
             share,
             format!("1,300 x 740 / 320,000 = {}", short(share)),
         )
-        .with_mechanism(PLACEMENT),
+        .mechanism(PLACEMENT),
         Need::computed(
             role,
             "idle connections of an instance, shares of 740",
-            DESTINATIONS_PER_INSTANCE,
+            DESTINATIONS_EACH,
             format!("740; limit (4,096 - 64) / 4 = {}", short(max_idle)),
         )
-        .with_limit(Limit { value: max_idle, source: "architecture.md, Bounds, with 4,096 descriptors" })
-        .with_mechanism("`limits.sockets` of the configuration; the oldest idle connection is closed"),
+        .limit(Limit { value: max_idle, source: "architecture.md, Bounds, with 4,096 descriptors" })
+        .mechanism("`limits.sockets` of the configuration; the oldest idle connection is closed"),
     ])
 }
 
@@ -420,9 +415,9 @@
     let submitted = |quantity, instances: f64| {
         let rate = target::messages_per_s_each(instances);
         let steps = format!("550,000 / {} = {}; {}", short(instances), short(rate), sustained.steps);
-        let mut need = Need::computed(role, quantity, rate, steps).with_mechanism(DISPATCHER);
+        let mut need = Need::computed(role, quantity, rate, steps).mechanism(DISPATCHER);
         need.experiments.push(sustained.experiment.clone());
-        need.with_limit(Limit { value: sustained.value, source: "the highest rate sustained" })
+        need.limit(Limit { value: sustained.value, source: "the highest rate sustained" })
     };
     Ok(vec![
         submitted("messages a second of one instance", INSTANCES),
@@ -435,7 +430,7 @@
     let lines = INSTANCES;
     Ok(vec![
         Need::computed(role, "logs to be read together", lines, "1,300 instances x 1 log".into())
-            .with_mechanism("a view over all instances, which does not exist"),
+            .mechanism("a view over all instances, which does not exist"),
     ])
 }
 
@@ -447,40 +442,36 @@
             role,
             quantity,
             Destinations,
-            DESTINATIONS_PER_INSTANCE,
+            DESTINATIONS_EACH,
             target::messages_per_s_each(instances),
         )?;
-        Ok::<_, String>(need.with_mechanism(DISPATCHER))
+        Ok::<_, String>(need.mechanism(DISPATCHER))
     };
     let need = |quantity, name| {
-        Ok::<_, String>(Need::from_figure(role, quantity, evidence.figure_at(Couriers, name, INSTANCES)?))
+        Ok::<_, String>(Need::new(role, quantity, evidence.figure_at(Couriers, name, INSTANCES)?))
     };
     let list = evidence.figure_at(Destinations, figure::LIST_BYTES, DESTINATIONS)?;
     let drained = target::messages_per_s_each(INSTANCES) + target::backlog_per_instance() / SECONDS_PER_DAY;
-    let message = evidence.figure_at(Destinations, figure::MESSAGE_US, DESTINATIONS_PER_INSTANCE)?;
+    let message = evidence.figure_at(Destinations, figure::MESSAGE_US, DESTINATIONS_EACH)?;
     Ok(vec![
         share("3 machines down, 424 a second each, cores", INSTANCES - FAILED_MACHINES)?,
         share("one zone down, 494 a second each, cores", INSTANCES * (ZONES - 1.0) / ZONES)?,
         share("a region cut off, 846 a second each, cores", INSTANCES / 2.0)?,
-        Need::from_figure(
-            role,
-            "draining the full backlog within a day besides new messages, cores",
-            message,
-        )
-        .multiplied_by(drained / US_PER_S, "(423 + 5.077e6 / 86,400 s) a second / 1e6 us")
-        .with_limit(ONE_CORE)
-        .with_mechanism(DISPATCHER),
+        Need::new(role, "draining the full backlog within a day besides new messages, cores", message)
+            .times(drained / US_PER_S, "(423 + 5.077e6 / 86,400 s) a second / 1e6 us")
+            .limit(ONE_CORE)
+            .mechanism(DISPATCHER),
         need("restart of all at once, 20 destinations, s", figure::RESTART_S)?
-            .with_limit(operators(MAX_READY_S))
-            .with_mechanism(WATCH),
+            .limit(operators(MAX_READY_S))
+            .mechanism(WATCH),
         need("restart of all at once, control processor, core seconds", figure::RESTART_CPU_S)?
-            .with_limit(estimate(CONTROL_MACHINES * MAX_READY_S, "operators: 20 machines for 10 s"))
-            .with_mechanism(WATCH),
-        Need::from_figure(role, "restart of all at once, the whole list to each, s of the network", list)
-            .multiplied_by(
+            .limit(estimate(CONTROL_MACHINES * MAX_READY_S, "operators: 20 machines for 10 s"))
+            .mechanism(WATCH),
+        Need::new(role, "restart of all at once, the whole list to each, s of the network", list)
+            .times(
                 INSTANCES / (CONTROL_MACHINES * NETWORK_BYTES_PER_S),
                 "1,300 / (20 x 1.25e9 bytes a second)",
             )
-            .with_mechanism(PLACEMENT),
+            .mechanism(PLACEMENT),
     ])
 }
--- a/crates/quillhub-experiments/src/capacity/target.rs
+++ b/crates/quillhub-experiments/src/capacity/target.rs
@@ -30,7 +30,7 @@
 /// Maximum time until a restarted instance is ready, in seconds.
 pub const MAX_READY_S: f64 = 10.0;
 /// Largest number of destinations that the page assigns to one instance if destinations are divided among instances.
-pub const DESTINATIONS_PER_INSTANCE: f64 = 740.0;
+pub const DESTINATIONS_EACH: f64 = 740.0;
 
 /// Number of seconds per day.
 pub const SECONDS_PER_DAY: f64 = 86_400.0;
--- a/crates/quillhub-experiments/src/experiment.rs
+++ b/crates/quillhub-experiments/src/experiment.rs
@@ -90,7 +90,7 @@
                 found.map(|(name, value)| (name.span().start, value.get_ref().clone()))
             }
             DeValue::Array(rows) => {
-                let row = key.parse().ok().and_then(|nth: usize| rows.get(nth));
+                let row = key.parse().ok().and_then(|index: usize| rows.get(index));
                 row.map(|row| (row.span().start, row.get_ref().clone()))
             }
             _ => None,
@@ -116,7 +116,7 @@
         target = match target {
             Value::Table(table) => table.get_mut(key).ok_or_else(missing)?,
             Value::Array(rows) => {
-                key.parse().ok().and_then(|nth: usize| rows.get_mut(nth)).ok_or_else(missing)?
+                key.parse().ok().and_then(|index: usize| rows.get_mut(index)).ok_or_else(missing)?
             }
             _ => return Err(missing()),
         };
@@ -152,10 +152,10 @@
     pub fn parse(name: &str, text: &str) -> Result<Self, (usize, String)> {
         let definition: Experiment = toml::from_str(text).map_err(toml_error)?;
         check_header(&definition, text)?;
-        check_first_scenario(text)?;
+        check_base_scenario(text)?;
         let points = apply_points(&definition, text)?;
-        let draft = apply_sweep(&definition, text, points)?;
-        let variants = draft.into_iter().map(|draft| parse_variant(&definition, text, draft));
+        let drafts = apply_sweep(&definition, text, points)?;
+        let variants = drafts.into_iter().map(|draft| parse_variant(&definition, text, draft));
         let variants = variants.collect::<Result<_, _>>()?;
         Ok(Self { name: name.into(), text: text.into(), definition, variants })
     }
@@ -193,7 +193,7 @@
 }
 
 /// Checks the scenario before points and sweep are applied, so that its mistakes are reported at their own places.
-fn check_first_scenario(text: &str) -> Result<(), ParseError> {
+fn check_base_scenario(text: &str) -> Result<(), ParseError> {
     #[derive(Deserialize)]
     struct ScenarioOnly {
         #[serde(rename = "day")]
@@ -217,8 +217,8 @@
     if definition.points.is_empty() {
         return Ok(vec![VariantDraft { name: String::new(), scenario: definition.scenario.clone() }]);
     }
-    let vary = |(nth, point): (usize, &Point)| {
-        let place = format!("points[{nth}]");
+    let vary = |(index, point): (usize, &Point)| {
+        let place = format!("points[{index}]");
         let mut scenario = definition.scenario.clone();
         for (path, value) in &point.set {
             set_value(&mut scenario, path, value)
@@ -233,11 +233,11 @@
 fn apply_sweep(
     definition: &Experiment,
     text: &str,
-    mut variants: Vec<VariantDraft>,
+    mut drafts: Vec<VariantDraft>,
 ) -> Result<Vec<VariantDraft>, ParseError> {
     for (path, values) in &definition.sweep {
         let mut crossed = Vec::new();
-        for VariantDraft { name, scenario } in &variants {
+        for VariantDraft { name, scenario } in &drafts {
             for value in values {
                 let mut scenario = scenario.clone();
                 set_value(&mut scenario, path, value)
@@ -251,9 +251,9 @@
                 });
             }
         }
-        variants = crossed;
+        drafts = crossed;
     }
-    Ok(variants)
+    Ok(drafts)
 }
 
 /// Parses and checks the scenario of a variant. Mistakes are reported at the sweep, or at the points if the experiment
@@ -261,10 +261,10 @@
 fn parse_variant(definition: &Experiment, text: &str, draft: VariantDraft) -> Result<Variant, ParseError> {
     let VariantDraft { name, scenario } = draft;
     let place = if definition.sweep.is_empty() { "points" } else { "sweep" };
-    let wrong = |message: String| (locate(text, place), format!("{place}: with {name}, {message}"));
+    let error = |message: String| (locate(text, place), format!("{place}: with {name}, {message}"));
     let scenario: Scenario =
-        scenario.try_into().map_err(|e: toml::de::Error| wrong(join_lines(e.message())))?;
-    scenario.check().map_err(|e| wrong(e.to_string()))?;
+        scenario.try_into().map_err(|e: toml::de::Error| error(join_lines(e.message())))?;
+    scenario.check().map_err(|e| error(e.to_string()))?;
     Ok(Variant { name, scenario })
 }
 
