--- a/crates/quillhub-experiments/src/capacity/evidence.rs
+++ b/crates/quillhub-experiments/src/capacity/evidence.rs
@@ -131,7 +131,8 @@
         let means = fit::by_size(&results::samples(self.points(slope), name));
         let sizes = means.iter().filter(|(_, mean, _)| *mean >= min).map(|(size, ..)| *size);
         let value = sizes.reduce(f64::max);
-        let value = value.ok_or_else(|| format!("{experiment}: expected '{name}' of {min}, found less"))?;
+        let value =
+            value.ok_or_else(|| format!("{experiment}: expected '{name}' of at least {min}, found less"))?;
         let steps = format!("{value:.0} is the largest size with {name} of at least {}", short(min));
         Ok(Figure { value, steps, is_conclusive: true, experiment })
     }
--- a/crates/quillhub-experiments/src/capacity/target.rs
+++ b/crates/quillhub-experiments/src/capacity/target.rs
@@ -29,7 +29,7 @@
 pub const FAILED_MACHINES: f64 = 3.0;
 /// Maximum time until a restarted instance is ready, in seconds.
 pub const MAX_READY_S: f64 = 10.0;
-/// Largest number of destinations that the page assigns to one instance if destinations are divided among instances.
+/// Number of destinations per instance, if destinations are divided among instances; the largest that the page assumes.
 pub const DESTINATIONS_EACH: f64 = 740.0;
 
 /// Number of seconds per day.
--- a/crates/quillhub-experiments/src/command.rs
+++ b/crates/quillhub-experiments/src/command.rs
@@ -7,7 +7,8 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Runs experiments with quillhub instances, in the simulator or on loopback. Figures of the simulator are simulated.
+/// Runs experiments with quillhub instances, in the simulator or on loopback. Figures from the simulator are simulated,
+/// not measured.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -385,7 +385,8 @@
             *(if measure(middle)? { &mut sustained } else { &mut exceeded }) = middle;
         }
         println!(
-            "knee between {sustained:.0} and {exceeded:.0} messages per second, for a share of {MIN_ON_TIME_SHARE} delivered by the soft deadline"
+            "knee between {sustained:.0} and {exceeded:.0} messages per second, for a share of \
+             {MIN_ON_TIME_SHARE} delivered by the soft deadline"
         );
     } else {
         for rate in rates {
