--- a/crates/quillhub-experiments/tests/article.rs
+++ b/crates/quillhub-experiments/tests/article.rs
@@ -1,5 +1,6 @@
-//! Worked examples of the article on retries on which the design is based, simulated with the baselines. The article counts
-//! the first retry of a message in the minute after its first attempt, so messages arrive in the second half of each minute.
+//! Worked examples of the article on retries on which the design is based, simulated with the baselines. The article
+//! counts the first retry of a message in the minute after its first attempt, so messages arrive in the second half of
+//! each minute.
 
 use quillhub_experiments::baselines::{BaselineSettings, exponential_delay};
 use quillhub_experiments::experiment::ExperimentPlan;
--- a/crates/quillhub-experiments/tests/capacity.rs
+++ b/crates/quillhub-experiments/tests/capacity.rs
@@ -1,4 +1,5 @@
-//! The capacity page must agree with the kept results. Also the error messages of the subcommands `scale` and `capacity`.
+//! The capacity page must agree with the kept results. Also the error messages of the subcommands `scale` and
+//! `capacity`.
 
 use quillhub_experiments::capacity::evidence::Evidence;
 use quillhub_experiments::capacity::{self, needs};
@@ -41,11 +42,13 @@
     Evidence::from_points(sizes.map(|size| point(slope, size, name, value(size as f64))))
 }
 
+/// Fails if the page or the kept results are changed without the other.
 #[test]
 fn the_page_agrees_with_the_kept_results() {
     capacity::check(&page(), &results()).unwrap_or_else(|message| panic!("{message}"));
 }
 
+/// Guards against figures edited by hand: a figure that no run produced must not pass the check.
 #[test]
 fn a_figure_on_the_page_that_differs_from_the_kept_results_is_reported_with_its_line() {
     let (folder, text) = (Folder::new(), std::fs::read_to_string(page()).unwrap());
@@ -58,6 +61,7 @@
     assert_eq!(std::fs::read_to_string(&changed).unwrap(), text, "rewriting the page restores it");
 }
 
+/// Without its results, a block must not be written with the remaining figures only.
 #[test]
 fn missing_results_are_reported() {
     let folder = Folder::new();
@@ -68,6 +72,7 @@
     assert!(message.starts_with("1: scale-") && message.ends_with("found none"), "{message}");
 }
 
+/// Text outside the blocks is written by hand, so each of its numbers needs a source.
 #[test]
 fn a_number_outside_the_blocks_without_a_source_is_reported() {
     let block = "<!-- capacity:machine -->\n| 8 cores |\n<!-- end -->\n";
@@ -80,6 +85,7 @@
     );
 }
 
+/// A misspelled name or a missing end would otherwise leave an outdated table on the page.
 #[test]
 fn an_unknown_or_unterminated_block_is_reported_with_its_line() {
     let empty = Evidence::from_points([]);
@@ -92,6 +98,7 @@
     assert_eq!(message, "1: expected '<!-- end -->' after block 'slope-changes', found none");
 }
 
+/// A fit that misses the held-out size would give a wrong figure at the target.
 #[test]
 fn only_a_fit_that_predicts_the_held_out_size_is_extrapolated() {
     let evidence = evidence_of(Slope::Backlog, figure::MEMORY_MB, |size| 4.0 + 0.001 * size);
@@ -114,6 +121,7 @@
     assert!(evidence.figure_at(Slope::Backlog, figure::MEMORY_MB, 100.0).is_err());
 }
 
+/// Guards against a need that exceeds its limit but is listed as satisfied, or without a way to reduce it.
 #[test]
 fn every_need_over_its_limit_is_missing_and_names_a_mechanism() {
     let evidence = Evidence::read(&results()).unwrap();
@@ -160,6 +168,7 @@
     assert!(!folder.0.join("out").exists());
 }
 
+/// A scale test takes long, so mistakes and excessive sizes must be reported before anything starts.
 #[test]
 fn an_invalid_scale_test_is_rejected_with_one_line() {
     let text = std::fs::read_to_string(root().join("experiments/scale-destinations.toml")).unwrap();
--- a/crates/quillhub-experiments/tests/fleet.rs
+++ b/crates/quillhub-experiments/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! Scenarios of the experiments `fleet-*.toml` with 30 instead of 300 instances, the same faults and fixed seeds. Guards
-//! against decisions that are right for each instance alone, but together break a rule or earn less value than a single
-//! attempt per message.
+//! Scenarios of the experiments `fleet-*.toml` with 30 instead of 300 instances, the same faults and fixed seeds.
+//! Guards against decisions that are right for each instance alone, but together break a rule or earn less value than a
+//! single attempt per message.
 
 use quillhub_experiments::experiment::ExperimentPlan;
 use quillhub_experiments::results::{RunRecord, mean_and_deviation};
@@ -47,21 +47,21 @@
 }
 
 #[test]
-fn a_rolling_restart_while_endpoints_are_replaced_breaks_no_rule() {
+fn a_rolling_restart_while_endpoints_are_replaced_keeps_all_rules_and_beats_single_attempts() {
     assert_keeps_all_rules_and_beats_single_attempts("roll");
 }
 
 #[test]
-fn killing_most_instances_at_once_breaks_no_rule() {
+fn killing_most_instances_at_once_keeps_all_rules_and_beats_single_attempts() {
     assert_keeps_all_rules_and_beats_single_attempts("herd");
 }
 
 #[test]
-fn destinations_that_recover_cold_for_all_instances_break_no_rule() {
+fn destinations_that_recover_cold_for_all_instances_keep_all_rules_and_beat_single_attempts() {
     assert_keeps_all_rules_and_beats_single_attempts("zone");
 }
 
 #[test]
-fn a_zone_cut_off_together_with_discovery_breaks_no_rule() {
+fn a_zone_cut_off_together_with_discovery_keeps_all_rules_and_beats_single_attempts() {
     assert_keeps_all_rules_and_beats_single_attempts("split");
 }
--- a/crates/quillhub-experiments/tests/simulation.rs
+++ b/crates/quillhub-experiments/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Properties of the simulator on which the experiments rely: queueing times agree with theory, and the same seed gives the
-//! same run.
+//! Properties of the simulator on which the experiments rely: queueing times agree with theory, and the same seed gives
+//! the same run.
 
 use quillhub_experiments::experiment::ExperimentPlan;
 use quillhub_experiments::results::{RunRecord, mean_and_deviation};
@@ -121,6 +121,7 @@
     pool.install(|| sweep::run(&plan, &folder.0, false)).unwrap()
 }
 
+/// Guards against results that depend on the order in which threads finish their runs.
 #[test]
 fn one_thread_and_four_give_the_same_runs() {
     let (one_folder, four_folder) = (Folder::new(), Folder::new());
@@ -158,6 +159,7 @@
     assert_eq!(std::fs::read_to_string(&path).unwrap(), text);
 }
 
+/// The page must not refer to other files, so that it can be read without them.
 #[test]
 fn a_message_is_explained_up_to_its_final_outcome_and_the_page_is_self_contained() {
     let folder = Folder::new();
