--- a/crates/quillhub-experiments/src/baselines.rs
+++ b/crates/quillhub-experiments/src/baselines.rs
@@ -1,5 +1,5 @@
-//! Baselines that the dispatcher is compared with: simple retry strategies, and an oracle that knows the free capacity of
-//! every endpoint. They serve experiments only.
+//! Baselines that the dispatcher is compared with: simple retry strategies, and an oracle that knows the free capacity
+//! of every endpoint. They serve experiments only.
 
 use quillhub::{
     AttemptOutcome, AttemptResult, DestinationId, Driver, EndpointState, EndpointUpdate, MessageId,
--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -1,5 +1,6 @@
 //! Open-loop load test of a real instance on loopback, in steps of one rate each. Endpoints, discovery, platform and
-//! clients are fakes; arrivals and faults are those of the experiment's scenario. The figures are measured, not simulated.
+//! clients are fakes; arrivals and faults are those of the experiment's scenario. The figures are measured, not
+//! simulated.
 
 use crate::chart::{self, Series};
 use crate::experiment::ExperimentPlan;
--- a/crates/quillhub-experiments/src/report.rs
+++ b/crates/quillhub-experiments/src/report.rs
@@ -95,7 +95,8 @@
     text
 }
 
-/// Draws the charts, by file name: figures by variant if there are several, and the time series of the first seed's runs.
+/// Draws the charts, by file name: figures by variant if there are several, and the time series of the first seed's
+/// runs.
 ///
 /// # Errors
 ///
--- a/crates/quillhub-experiments/src/sweep.rs
+++ b/crates/quillhub-experiments/src/sweep.rs
@@ -1,5 +1,5 @@
-//! Runs all simulations of an experiment in parallel and writes each result as it ends, so that an interrupted sweep can
-//! be resumed.
+//! Runs all simulations of an experiment in parallel and writes each result as it ends, so that an interrupted sweep
+//! can be resumed.
 
 use crate::baselines::{self, DeciderKind};
 use crate::experiment::{ExperimentPlan, Variant};
@@ -44,8 +44,8 @@
         runs
     }
 
-    /// Returns the hash of the experiment without its findings, in hexadecimal digits. Results with another hash are not
-    /// reused.
+    /// Returns the hash of the experiment without its findings, in hexadecimal digits. Results with another hash are
+    /// not reused.
     pub fn text_hash(&self) -> String {
         let mut definition = self.definition.clone();
         definition.found.clear();
