--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -168,7 +168,7 @@
     // Kept as long as the process: tasks of the fakes' thread look at it until they end. One for each step.
     let scenario: &'static Scenario = Box::leak(Box::new(scenario));
     let messages = scheduled(scenario, made.seed)?;
-    let directory = scratch::Folder::new();
+    let directory = scratch::ScratchDirectory::new();
     scratch::on_one_thread(async {
         let started = Instant::now() + LEAD;
         let mut others = endpoints(scenario, made.seed, started)?;
--- a/crates/quillhub-experiments/tests/capacity.rs
+++ b/crates/quillhub-experiments/tests/capacity.rs
@@ -3,7 +3,7 @@
 
 use quillhub_experiments::capacity::evidence::Evidence;
 use quillhub_experiments::capacity::{self, needs};
-use quillhub_fakes::scratch::Folder;
+use quillhub_fakes::scratch::ScratchDirectory;
 use quillhub_scale::figure;
 use quillhub_scale::machine::Machine;
 use quillhub_scale::plan::Slope;
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_figure_of_the_page_that_no_run_has_is_found() {
-    let (folder, text) = (Folder::new(), std::fs::read_to_string(page()).unwrap());
+    let (folder, text) = (ScratchDirectory::new(), std::fs::read_to_string(page()).unwrap());
     let changed = folder.0.join("CAPACITY.md");
     let (at, row) = text.lines().enumerate().find(|(_, line)| line.starts_with("| memory MB |")).unwrap();
     std::fs::write(&changed, text.replace(row, &row.replacen("memory MB | ", "memory MB | 9", 1))).unwrap();
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_run_that_is_gone_is_found() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let told = capacity::check(&page(), &folder.0).unwrap_err();
     assert!(told.contains("scale-destinations/points.jsonl"), "{told}");
     let empty = Evidence::of([]);
@@ -143,7 +143,7 @@
 
 /// A rejected run: one line, status 2, and nothing made.
 fn refused(text: &str, told: &str) {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     std::fs::write(folder.0.join("scale-bad.toml"), text).unwrap();
     let arguments =
         ["scale", "scale-bad.toml", "--out", "out", "--courier", env!("CARGO_BIN_EXE_quillhub-experiment")];
@@ -177,7 +177,7 @@
 
 #[test]
 fn a_page_that_differs_ends_with_status_2_and_its_line() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     std::fs::write(folder.0.join("page.md"), "it takes 72 us\n").unwrap();
     let results = results();
     let arguments = ["capacity", "--check", "--page", "page.md", "--results", results.to_str().unwrap()];
--- a/crates/quillhub-experiments/tests/digests.rs
+++ b/crates/quillhub-experiments/tests/digests.rs
@@ -3,7 +3,7 @@
 use quillhub_experiments::experiment::Planned;
 use quillhub_experiments::results::Kept;
 use quillhub_experiments::{report, sweep};
-use quillhub_fakes::scratch::Folder;
+use quillhub_fakes::scratch::ScratchDirectory;
 
 const RETRY_STORM: &str = include_str!("experiments/short-retry-storm.toml");
 const ZONE_CUT: &str = include_str!("experiments/short-zone-cut.toml");
@@ -28,7 +28,7 @@
 }
 
 fn run(name: &str, text: &str, threads: usize) -> String {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let experiment = Planned::parse(name, text).unwrap_or_else(|e| panic!("{name}: {e:?}"));
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("a pool can be made");
     let runs = pool.install(|| sweep::run(&experiment, &folder.0, false)).expect("the runs are kept");
--- a/crates/quillhub-experiments/tests/fleet.rs
+++ b/crates/quillhub-experiments/tests/fleet.rs
@@ -4,7 +4,7 @@
 use quillhub_experiments::experiment::Planned;
 use quillhub_experiments::results::{Kept, mean};
 use quillhub_experiments::sweep;
-use quillhub_fakes::scratch::Folder;
+use quillhub_fakes::scratch::ScratchDirectory;
 use std::path::Path;
 
 fn small(kind: &str) -> Vec<Kept> {
@@ -22,7 +22,7 @@
         text = text.replace(large, little);
     }
     let planned = Planned::parse(kind, &text).unwrap_or_else(|e| panic!("{e:?}"));
-    sweep::run(&planned, &Folder::new().0, false).unwrap()
+    sweep::run(&planned, &ScratchDirectory::new().0, false).unwrap()
 }
 
 fn assert_keeps_all_rules_and_beats_single_attempts(kind: &str) {
--- a/crates/quillhub-experiments/tests/simulation.rs
+++ b/crates/quillhub-experiments/tests/simulation.rs
@@ -3,7 +3,7 @@
 use quillhub_experiments::experiment::Planned;
 use quillhub_experiments::results::{Kept, mean};
 use quillhub_experiments::{explain, report, sweep};
-use quillhub_fakes::scratch::Folder;
+use quillhub_fakes::scratch::ScratchDirectory;
 
 /// A queue of `workers` with calls of 20 ms on average, `rate` of them a second.
 fn queue(workers: usize, rate: f64) -> Planned {
@@ -114,7 +114,7 @@
 whom = { endpoints = 1 }
 ";
 
-fn swept(threads: usize, folder: &Folder) -> Vec<Kept> {
+fn swept(threads: usize, folder: &ScratchDirectory) -> Vec<Kept> {
     let planned = Planned::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().unwrap();
     pool.install(|| sweep::run(&planned, &folder.0, false)).unwrap()
@@ -122,7 +122,7 @@
 
 #[test]
 fn one_thread_and_four_give_the_same_runs() {
-    let (one, four) = (Folder::new(), Folder::new());
+    let (one, four) = (ScratchDirectory::new(), ScratchDirectory::new());
     let (one, four) = (swept(1, &one), swept(4, &four));
     assert_eq!(one, four);
     let mut hashes: Vec<_> = one.iter().map(|run| &run.hash).collect();
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_sweep_that_was_cut_off_goes_on_from_there() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let whole = swept(2, &folder);
     let path = folder.0.join("runs.jsonl");
     let text = std::fs::read_to_string(&path).unwrap();
@@ -157,7 +157,7 @@
 
 #[test]
 fn a_message_is_explained_from_acceptance_to_final_outcome_and_pages_stand_alone() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let runs = swept(4, &folder);
     let planned = Planned::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
     let lines = explain::explain(&planned, &runs[0], 1).unwrap();
--- a/crates/quillhub-fakes/examples/mixed_versions/gossip.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/gossip.rs
@@ -7,7 +7,7 @@
 use crate::instance::{Process, Server, endpoint_list, member, service_class, write_endpoint_list};
 use quillhub_fakes::clients::{ask, command, open, ready};
 use quillhub_fakes::http::Served;
-use quillhub_fakes::scratch::Folder;
+use quillhub_fakes::scratch::ScratchDirectory;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -104,7 +104,7 @@
     relay: Rc<Relay>,
     requests: Vec<Rc<Cell<u32>>>,
     _control: Server,
-    _folders: Vec<Folder>,
+    _folders: Vec<ScratchDirectory>,
 }
 
 /// Delivers, and counts the requests by the instance number at the start of their ids.
@@ -178,7 +178,7 @@
     control.open(move |stream| serve_control(known.clone(), stream)).await?;
     let (mut members, mut folders, mut requests) = (Vec::new(), Vec::new(), Vec::new());
     for (number, program) in programs.iter().enumerate() {
-        let (state, directory) = (Folder::new(), Folder::new());
+        let (state, directory) = (ScratchDirectory::new(), ScratchDirectory::new());
         let listen = Server::closed()?.address;
         let configuration = configuration(listen, control.address, &list, &peers, number);
         let process = Process::start(program, &configuration, &state.0, &directory.0, "instance")?;
--- a/crates/quillhub-fakes/examples/mixed_versions/takeover.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/takeover.rs
@@ -3,7 +3,7 @@
 use crate::instance::{Process, Server, endpoint_list, member, service_class, write_endpoint_list};
 use quillhub_fakes::clients::{ask, command, open, ready};
 use quillhub_fakes::http::{Request, Served};
-use quillhub_fakes::scratch::Folder;
+use quillhub_fakes::scratch::ScratchDirectory;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -258,7 +258,7 @@
 
 /// Kills an instance of `first` under load and lets one of `second` finish its messages.
 pub async fn run(first: &Path, second: &Path) -> Result<(), String> {
-    let (state, directory) = (Folder::new(), Folder::new());
+    let (state, directory) = (ScratchDirectory::new(), ScratchDirectory::new());
     let run = Rc::new(Run::default());
     let failed = |error: io::Error| error.to_string();
     let mut around = start_servers(&run).await.map_err(failed)?;
--- a/crates/quillhub-fakes/src/scratch.rs
+++ b/crates/quillhub-fakes/src/scratch.rs
@@ -6,9 +6,9 @@
 use tokio::task::LocalSet;
 
 /// An empty state directory of its own, removed at the end.
-pub struct Folder(pub PathBuf);
+pub struct ScratchDirectory(pub PathBuf);
 
-impl Folder {
+impl ScratchDirectory {
     /// Makes one.
     pub fn new() -> Self {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
@@ -30,13 +30,13 @@
     files.map(|file| file.unwrap().metadata().unwrap().len().div_ceil(512) * 512).sum()
 }
 
-impl Default for Folder {
+impl Default for ScratchDirectory {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Drop for Folder {
+impl Drop for ScratchDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -6,7 +6,7 @@
 use crate::settings::{self, Addresses};
 use quillhub_fakes::clients::ready;
 use quillhub_fakes::process::InstanceProcess;
-use quillhub_fakes::scratch::{Folder, on_one_thread, size_of};
+use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread, size_of};
 use quillhub_fakes::traffic::Counts;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -164,7 +164,7 @@
     program: &'a Path,
     until: Instant,
     fleet: Fleet,
-    folder: Folder,
+    folder: ScratchDirectory,
     instance: InstanceProcess,
     listen: SocketAddr,
     ready: Duration,
@@ -184,7 +184,7 @@
         if !fleet.ready(until).await {
             return breaks("hollow couriers are not ready within the time of a point");
         }
-        let folder = Folder::new();
+        let folder = ScratchDirectory::new();
         let known = fleet.control.list().await?;
         let listen = free_port()?;
         let configured = configure(&fleet, &folder, "real", listen, sizes, seed, Some(&known))?;
@@ -413,7 +413,7 @@
 /// Writes the configuration and makes the state directory of the real instance `name`.
 fn configure(
     fleet: &Fleet,
-    folder: &Folder,
+    folder: &ScratchDirectory,
     name: &str,
     listen: SocketAddr,
     sizes: &Sizes,
@@ -431,13 +431,13 @@
     Ok(path)
 }
 
-fn state_directory(folder: &Folder, name: &str) -> PathBuf {
+fn state_directory(folder: &ScratchDirectory, name: &str) -> PathBuf {
     folder.0.join(format!("{name}-state"))
 }
 
 fn start(
     program: &Path,
-    folder: &Folder,
+    folder: &ScratchDirectory,
     name: &str,
     configuration: &Path,
 ) -> Result<InstanceProcess, String> {
--- a/crates/quillhub-server/src/test_support.rs
+++ b/crates/quillhub-server/src/test_support.rs
@@ -4,7 +4,7 @@
 use crate::pool::ConnectionPool;
 use crate::wal::{RecoveredMessage, Wal, accepted_payload};
 use quillhub::{EndpointState, EndpointUpdate, MessageId};
-pub use quillhub_fakes::scratch::{Folder as StateDirectory, on_one_thread};
+pub use quillhub_fakes::scratch::{ScratchDirectory as StateDirectory, on_one_thread};
 pub use quillhub_fakes::scripted::{OK, answering, full};
 use serde_json::{Value, json};
 use std::cell::RefCell;
--- a/crates/quillhub-server/tests/configurations.rs
+++ b/crates/quillhub-server/tests/configurations.rs
@@ -3,7 +3,7 @@
 //! `fixtures/complete.json` has every setting that is read. The other two fixtures are changes to it, each of one
 //! value by its JSON pointer; a change without a value takes the setting out.
 
-use quillhub_fakes::scratch::Folder;
+use quillhub_fakes::scratch::ScratchDirectory;
 use serde_json::Value;
 use std::net::{TcpListener, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -80,7 +80,7 @@
     assert_eq!(seen, (Some(status), stdout.into(), stderr.into()), "{command:?}");
 }
 
-fn written(folder: &Folder, octets: impl AsRef<[u8]>) -> PathBuf {
+fn written(folder: &ScratchDirectory, octets: impl AsRef<[u8]>) -> PathBuf {
     let path = folder.0.join("configuration.json");
     std::fs::write(&path, octets).expect("the folder can be written");
     path
@@ -100,21 +100,21 @@
 }
 
 fn assert_check_refuses(octets: &[u8], message: &str) {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let path = written(&folder, octets);
     assert_ended(check(&path), FAILED, "", &format!("quillhub: {message}\n"));
 }
 
 #[test]
 fn the_complete_configuration_is_accepted() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let path = written(&folder, COMPLETE);
     assert_ended(check(&path), 0, ACCEPTED, "");
 }
 
 #[test]
 fn every_harmless_change_of_the_complete_configuration_is_accepted() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let changes = changes(ACCEPTED_CHANGES);
     assert_eq!(changes.len(), 29);
     for change in changes {
@@ -135,8 +135,8 @@
 /// The address to listen on is taken, so that a configuration that should have been refused ends the program too.
 #[test]
 fn serve_refuses_every_unusable_value_with_the_line_of_check() {
-    let folder = Folder::new();
-    let state = Folder::new();
+    let folder = ScratchDirectory::new();
+    let state = ScratchDirectory::new();
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = taken.local_addr().expect("it is bound").to_string();
     for change in changes(REFUSED_CHANGES) {
@@ -173,8 +173,8 @@
 
 #[test]
 fn a_file_that_cannot_be_read_is_refused_with_its_path() {
-    let folder = Folder::new();
-    let state = Folder::new();
+    let folder = ScratchDirectory::new();
+    let state = ScratchDirectory::new();
     let missing = folder.0.join("missing.json");
     let line = format!("quillhub: {}: No such file or directory (os error 2)\n", missing.display());
     assert_ended(check(&missing), FAILED, "", &line);
@@ -198,7 +198,7 @@
 
 #[test]
 fn the_variables_stand_in_for_the_options_and_an_option_goes_first() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let path = written(&folder, COMPLETE);
     let mut by_variable = program(&["check"]);
     by_variable.env(CONFIG_VARIABLE, &path);
@@ -244,7 +244,7 @@
 
 #[test]
 fn serve_refuses_a_state_directory_that_cannot_be_used() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let path = written(&folder, COMPLETE);
     for (state, cause) in [
         (folder.0.join("missing"), "No such file or directory (os error 2)"),
@@ -257,7 +257,7 @@
 
 #[test]
 fn serve_refuses_an_address_that_is_in_use() {
-    let (folder, state) = (Folder::new(), Folder::new());
+    let (folder, state) = (ScratchDirectory::new(), ScratchDirectory::new());
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let mut configuration = complete();
     configuration["listen"] = taken.local_addr().expect("it is bound").to_string().into();
@@ -268,7 +268,7 @@
 
 #[test]
 fn serve_refuses_a_peer_address_that_is_in_use() {
-    let (folder, state) = (Folder::new(), Folder::new());
+    let (folder, state) = (ScratchDirectory::new(), ScratchDirectory::new());
     let taken = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     let mut configuration = complete();
     configuration["peer_listen"] = taken.local_addr().expect("it is bound").to_string().into();
@@ -279,7 +279,7 @@
 
 #[test]
 fn serve_accepts_what_check_accepts_up_to_the_taken_address() {
-    let (folder, state) = (Folder::new(), Folder::new());
+    let (folder, state) = (ScratchDirectory::new(), ScratchDirectory::new());
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     for change in changes(ACCEPTED_CHANGES).iter().filter(|change| change.at != "/listen") {
         let mut configuration = changed(change);
--- a/crates/quillhub-server/tests/instance/mod.rs
+++ b/crates/quillhub-server/tests/instance/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)] // each test uses only a part of this module
 
-use quillhub_fakes::scratch::Folder;
+use quillhub_fakes::scratch::ScratchDirectory;
 use quillhub_server::ServeError;
 use serde_json::{Value, json};
 use std::future::pending;
@@ -91,8 +91,8 @@
 }
 
 /// Returns a copy of the state directory of the first version, so that the fixture stays unchanged.
-pub fn first_version_state_directory() -> Folder {
-    let (fixture, copy) = (Path::new("tests/fixtures/state-directory-v1"), Folder::new());
+pub fn first_version_state_directory() -> ScratchDirectory {
+    let (fixture, copy) = (Path::new("tests/fixtures/state-directory-v1"), ScratchDirectory::new());
     for segment in ["wal-0000000000", "wal-0000000001"] {
         std::fs::write(copy.0.join(segment), std::fs::read(fixture.join(segment)).unwrap()).unwrap();
     }
--- a/crates/quillhub-server/tests/process_signals.rs
+++ b/crates/quillhub-server/tests/process_signals.rs
@@ -5,7 +5,7 @@
 use quillhub_fakes::clients::{ask, command, ready};
 use quillhub_fakes::http::Served;
 use quillhub_fakes::process::InstanceProcess;
-use quillhub_fakes::scratch::{Folder, on_one_thread};
+use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
 use quillhub_fakes::scripted::full;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -119,7 +119,7 @@
 }
 
 /// A process of an instance with its state directory, and with configuration and log in another directory.
-fn start(state: &Folder, beside: &Folder, configuration: &Value) -> InstanceProcess {
+fn start(state: &ScratchDirectory, beside: &ScratchDirectory, configuration: &Value) -> InstanceProcess {
     let [config, log] = ["config", "log"].map(|name| beside.0.join(name));
     std::fs::write(&config, configuration.to_string()).unwrap();
     InstanceProcess::start(Path::new(env!("CARGO_BIN_EXE_quillhub")), &config, &state.0, &log).unwrap()
@@ -153,7 +153,7 @@
 /// Plays one message's life across two processes, and checks that it had one outcome and was executed once at most.
 async fn life(step: Step, class: &str, signal: &str) {
     let what = format!("{step:?}, {class}, {signal}");
-    let (state, beside) = (Folder::new(), Folder::new());
+    let (state, beside) = (ScratchDirectory::new(), ScratchDirectory::new());
     let (full, _queue) = full();
     let surroundings = Rc::new(Surroundings {
         step,
@@ -249,7 +249,7 @@
 #[test]
 fn signals_that_cross_a_start_or_a_stop_end_the_process_as_one_does() {
     let whole = async {
-        let (state, beside) = (Folder::new(), Folder::new());
+        let (state, beside) = (ScratchDirectory::new(), ScratchDirectory::new());
         let (listen, silent) = (own_address(), TcpListener::bind("127.0.0.1:0").await.unwrap());
         let plan = configuration(listen, silent.local_addr().unwrap(), list(1, None));
         // Before it is ready, perhaps before it can catch any.
--- a/crates/quillhub-server/tests/replies.rs
+++ b/crates/quillhub-server/tests/replies.rs
@@ -4,7 +4,7 @@
 
 use instance::{Instance, TEST_TIMEOUT, classes, configuration, endpoint_list};
 use quillhub_fakes::clients::command;
-use quillhub_fakes::scratch::{Folder, on_one_thread};
+use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
 use std::net::SocketAddr;
 use std::path::Path;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -37,7 +37,7 @@
 
 /// Runs `test` with an instance whose endpoint never answers.
 fn with_instance(test: impl AsyncFnOnce(SocketAddr, &Path)) {
-    let state = Folder::new();
+    let state = ScratchDirectory::new();
     let test_run = async {
         let (address, _endpoint) = silent_endpoint().await;
         let instance = instance_with_endpoint(address, &state.0).await;
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_busy_reply_with_the_maximum_retry_delay_has_exactly_these_bytes() {
-    let state = Folder::new();
+    let state = ScratchDirectory::new();
     let test_run = async {
         let (address, endpoint) = silent_endpoint().await;
         let instance = instance_with_endpoint(address, &state.0).await;
--- a/crates/quillhub-server/tests/requests.rs
+++ b/crates/quillhub-server/tests/requests.rs
@@ -7,7 +7,7 @@
     Instance, TEST_TIMEOUT, classes, configuration, endpoint_list, first_version_state_directory,
 };
 use quillhub_fakes::clients::{ask, command};
-use quillhub_fakes::scratch::{Folder, on_one_thread};
+use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -92,7 +92,7 @@
 
 #[test]
 fn a_delivery_request_has_exactly_these_bytes() {
-    let state = Folder::new();
+    let state = ScratchDirectory::new();
     let test = async {
         let (address, mut requests) = recording_server().await;
         let mut configuration = configuration("127.0.0.1:1".parse().unwrap(), 9, &classes());
@@ -118,7 +118,7 @@
 
 #[test]
 fn requests_to_discovery_for_the_list_and_the_watch_have_exactly_these_bytes() {
-    let state = Folder::new();
+    let state = ScratchDirectory::new();
     let test = async {
         let (address, mut requests) = recording_server().await;
         let _instance = Instance::start(configuration(address, 9, &classes()), &state.0).await;
--- a/crates/quillhub-server/tests/restarts.rs
+++ b/crates/quillhub-server/tests/restarts.rs
@@ -4,7 +4,7 @@
 use quillhub_fakes::clients::{ask, command, ready};
 use quillhub_fakes::http::Served;
 use quillhub_fakes::process::InstanceProcess;
-use quillhub_fakes::scratch::{Folder, on_one_thread};
+use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
 use quillhub_fakes::scripted::full;
 use serde_json::{Value, json};
 use std::cell::Cell;
@@ -43,7 +43,7 @@
 }
 
 /// A process that gets no more descriptors than its configuration says.
-fn start(state: &Folder, beside: &Folder, configuration: &Value) -> InstanceProcess {
+fn start(state: &ScratchDirectory, beside: &ScratchDirectory, configuration: &Value) -> InstanceProcess {
     let [config, log, program] = ["config", "log", "limited"].map(|name| beside.0.join(name));
     std::fs::write(&config, configuration.to_string()).unwrap();
     let script =
@@ -88,7 +88,7 @@
 #[test]
 fn discovery_and_endpoints_get_descriptors_while_idle_clients_and_hanging_attempts_want_all() {
     let whole = async {
-        let (state, beside) = (Folder::new(), Folder::new());
+        let (state, beside) = (ScratchDirectory::new(), ScratchDirectory::new());
         let (listen, discovery) = (own_address(1), own_address(2));
         let hanging = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let well = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -152,7 +152,7 @@
 #[test]
 fn an_instance_is_ready_in_time_on_a_full_state_directory_with_discovery_unreachable() {
     let whole = async {
-        let (state, beside) = (Folder::new(), Folder::new());
+        let (state, beside) = (ScratchDirectory::new(), ScratchDirectory::new());
         let (refused, (never_up, _queue)) = (own_address(3), full());
         let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
         // Nobody listens at the endpoint, so that every message stays pending.
--- a/crates/quillhub-server/tests/scenario.rs
+++ b/crates/quillhub-server/tests/scenario.rs
@@ -91,7 +91,7 @@
 
 #[test]
 fn every_message_of_a_short_scenario_has_one_outcome() {
-    let (scenario, state) = (scenario(SCENARIO), scratch::Folder::new());
+    let (scenario, state) = (scenario(SCENARIO), scratch::ScratchDirectory::new());
     endpoints::check_supported(scenario).unwrap();
     scratch::on_one_thread(async {
         let started = Instant::now() + Duration::from_millis(200);
