--- a/crates/quillhub-server/src/attempts/tests.rs
+++ b/crates/quillhub-server/src/attempts/tests.rs
@@ -1,6 +1,6 @@
 use super::response::parse_load_report;
 use super::*;
-use crate::test_support::{LONG, OK, answering, on_one_thread};
+use crate::test_support::{LONG, OK, on_one_thread, scripted_server};
 use quillhub::{AttemptOutcome, LoadReport};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -24,7 +24,7 @@
 /// the connection can be reused.
 fn verdict_on(answer: &'static [u8]) -> (AttemptOutcome, bool, bool) {
     on_one_thread(async {
-        let (address, _requests) = answering(vec![answer]).await;
+        let (address, _requests) = scripted_server(vec![answer]).await;
         let (result, connection) = attempt(None, address, LONG, |_| b"x".to_vec(), || true).await;
         let Verdict { outcome, finished } = Verdict::of(&result, false);
         (outcome, finished, connection.is_some())
@@ -104,7 +104,7 @@
         (waiting, true, true, AttemptOutcome::Rejected { retry_after: Some(Duration::from_millis(9)) }),
     ] {
         on_one_thread(async {
-            let (address, _requests) = answering(vec![answer]).await;
+            let (address, _requests) = scripted_server(vec![answer]).await;
             let connection = if on_new_connection { None } else { HttpConnection::open(address).await.ok() };
             let (result, _) = attempt(connection, address, LONG, |_| b"x".to_vec(), || true).await;
             assert_eq!(Verdict::of(&result, load_reports), Verdict { outcome: expected, finished: false });
--- a/crates/quillhub-server/src/discovery/return_tests.rs
+++ b/crates/quillhub-server/src/discovery/return_tests.rs
@@ -4,7 +4,9 @@
 use super::watch::{MAX_LIST_BYTES, PATH, REQUEST_TIMEOUT, SILENCE_TIMEOUT, request};
 use super::*;
 use crate::connection::ConnectionError;
-use crate::test_support::{StateDirectory, answering, configuration, full, instance_with, on_one_thread};
+use crate::test_support::{
+    StateDirectory, configuration, instance_with, on_one_thread, scripted_server, unconnectable_address,
+};
 use quillhub_fakes::http::Served;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
@@ -192,7 +194,7 @@
 fn a_request_has_one_timeout_for_its_connection_and_its_head() {
     on_one_thread(async {
         tokio::time::pause();
-        let (address, (socket, queued)) = full();
+        let (address, (socket, queued)) = unconnectable_address();
         let started = Instant::now();
         let response = spawn_local(request(address, PATH));
         yield_now().await;
@@ -227,7 +229,7 @@
         on_one_thread(async {
             tokio::time::pause();
             let watched = format!("{CHUNKED}{}", chunk(&format!("{LIST}\n"))).leak().as_bytes();
-            let (address, mut requested) = answering(vec![watched; 2]).await;
+            let (address, mut requested) = scripted_server(vec![watched; 2]).await;
             let instance =
                 instance_with(7, &settings(must_be_polled), &directory, "127.0.0.1:1".parse().unwrap());
             let (_address_sender, address_receiver) = watch_channel::channel(address);
--- a/crates/quillhub-server/src/discovery/tests.rs
+++ b/crates/quillhub-server/src/discovery/tests.rs
@@ -1,7 +1,7 @@
 use super::watch::watch;
 use super::*;
 use crate::connection::ConnectionError;
-use crate::test_support::{StateDirectory, answering, instance, on_one_thread};
+use crate::test_support::{StateDirectory, instance, on_one_thread, scripted_server};
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
 
@@ -68,7 +68,7 @@
         let answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n\
             1f\r\n{\"revision\":7,\"complete\":true,\"\r\n10\r\nmembers\":[]}\n{\"r\r\n\
             26\r\nevision\":8,\"members\":[],\"more\":[null]}\r\n1\r\n\n\r\n0\r\n\r\n";
-        let (address, mut requests) = answering(vec![answer]).await;
+        let (address, mut requests) = scripted_server(vec![answer]).await;
         let instance = instance(&directory, address);
         let revision = Cell::new(Some(6));
         assert!(matches!(watch(&instance, address, &revision).await, Err(ConnectionError::Ended)));
@@ -86,8 +86,8 @@
         let watched = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
         let listed = b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n{\"revision\":2,\"complete\":true,\
             \"members\":[{\"id\":\"f\",\"host_port\":\"127.0.0.1:2\",\"cell\":9,\"phase\":\"up\"}]}";
-        let (old, mut old_requests) = answering(vec![watched]).await;
-        let (new, mut new_requests) = answering(vec![listed, watched]).await;
+        let (old, mut old_requests) = scripted_server(vec![watched]).await;
+        let (new, mut new_requests) = scripted_server(vec![listed, watched]).await;
         let instance = instance(&directory, old);
         let (address, address_receiver) = watch_channel::channel(old);
         spawn_local(follow(instance.clone(), address_receiver, Progress::new(Some(6)), false));
@@ -111,7 +111,7 @@
             answer += &format!("{:x}\r\n{chunk}\r\n", chunk.len());
         }
         answer += if ends { "0\r\n\r\n" } else { "" };
-        let (address, _requests) = answering(vec![answer.leak().as_bytes()]).await;
+        let (address, _requests) = scripted_server(vec![answer.leak().as_bytes()]).await;
         let instance = instance(&directory, address);
         let revision = Cell::new(Some(6));
         let ended = watch(&instance, address, &revision).await;
@@ -173,7 +173,7 @@
         let directory = StateDirectory::new();
         on_one_thread(async {
             tokio::time::pause();
-            let (address, mut requests) = answering(vec![answer; 4]).await;
+            let (address, mut requests) = scripted_server(vec![answer; 4]).await;
             let (_address_sender, address_receiver) = watch_channel::channel(address);
             spawn_local(follow(
                 instance(&directory, address),
--- a/crates/quillhub-server/src/instance/recovery_tests.rs
+++ b/crates/quillhub-server/src/instance/recovery_tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 use crate::instance::{FinalOutcome, SubmitOutcome};
 use crate::test_support::{
-    InstanceBuilder, OK, StateDirectory, answering, configuration, full, instance, log_with, message,
-    on_one_thread, pending_in, silent_endpoint, submit, until_attempts_ended, until_idle,
+    InstanceBuilder, OK, StateDirectory, configuration, instance, log_with, message, on_one_thread,
+    pending_in, scripted_server, silent_endpoint, submit, unconnectable_address, until_attempts_ended,
+    until_idle,
 };
 use crate::wal::FinalResult;
 use std::cell::RefCell;
@@ -27,7 +28,7 @@
 fn messages_in_flight_at_a_crash_are_recovered_and_an_at_most_once_one_is_not_retried() {
     let directory = StateDirectory::new();
     on_one_thread(async {
-        let (address, mut requests) = answering(vec![b"HTTP/1.1 100 Continue\r\n\r\n"; 4]).await;
+        let (address, mut requests) = scripted_server(vec![b"HTTP/1.1 100 Continue\r\n\r\n"; 4]).await;
         let first = instance(&directory, address);
         assert_eq!(submit(&first, "once"), SubmitOutcome::Accepted(1));
         assert_eq!(submit(&first, "free"), SubmitOutcome::Accepted(2));
@@ -104,7 +105,7 @@
 fn an_attempt_not_begun_at_shutdown_is_left_to_the_next_process() {
     let directory = StateDirectory::new();
     on_one_thread(async {
-        let (address, mut requests) = answering(vec![OK, OK]).await;
+        let (address, mut requests) = scripted_server(vec![OK, OK]).await;
         let first = instance(&directory, address);
         assert_eq!(submit(&first, "once"), SubmitOutcome::Accepted(1));
         assert_eq!(first.borrow().attempts_in_flight, 1);
@@ -124,7 +125,7 @@
 fn a_message_whose_connection_was_still_opening_at_a_crash_counts_as_unattempted() {
     let directory = StateDirectory::new();
     on_one_thread(async {
-        let (never_up, _queue) = full();
+        let (never_up, _queue) = unconnectable_address();
         let first = instance(&directory, never_up);
         assert_eq!(submit(&first, "once"), SubmitOutcome::Accepted(1));
         assert_eq!(first.borrow().attempts_in_flight, 1);
@@ -132,7 +133,7 @@
             tokio::task::yield_now().await; // until the attempt's task waits
         }
         drop(first);
-        let (address, mut requests) = answering(vec![OK]).await;
+        let (address, mut requests) = scripted_server(vec![OK]).await;
         let second = restart(&directory, address);
         assert!(second.borrow().outcomes.is_empty(), "not given up");
         assert!(requests.recv().await.unwrap().ends_with("body"));
@@ -206,7 +207,7 @@
     for ago in [700, 1_000, 1_200, 60_000].map(Duration::from_millis) {
         let directory = StateDirectory::new();
         on_one_thread(async {
-            let (address, mut requests) = answering(vec![OK]).await;
+            let (address, mut requests) = scripted_server(vec![OK]).await;
             let instance = restart_after(&directory, address, ago);
             let finished: Vec<_> = instance.borrow().outcomes.iter().map(|end| end.message).collect();
             assert_eq!(finished, [1], "{ago:?}: at once");
@@ -224,7 +225,7 @@
 fn a_deduplication_window_that_fits_an_attempt_after_a_restart_lets_its_message_be_retried_first() {
     let directory = StateDirectory::new();
     on_one_thread(async {
-        let (address, mut requests) = answering(vec![DELIVERED_AND_CLOSED; 2]).await;
+        let (address, mut requests) = scripted_server(vec![DELIVERED_AND_CLOSED; 2]).await;
         let instance = restart_after(&directory, address, Duration::ZERO);
         assert!(instance.borrow().outcomes.is_empty());
         let request = requests.recv().await.unwrap();
--- a/crates/quillhub-server/src/instance/tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -2,8 +2,8 @@
 use super::submission::{InvalidSubmission, SubmitFailure};
 use super::*;
 use crate::test_support::{
-    OK, STATE_BUDGET, StateDirectory, TIME_TO_LIVE, answering, endpoint_in, instance, on_one_thread,
-    pending_in, silent_endpoint, submission, submit, submit_body, until_attempts_ended, until_idle,
+    OK, STATE_BUDGET, StateDirectory, TIME_TO_LIVE, endpoint_in, instance, on_one_thread, pending_in,
+    scripted_server, silent_endpoint, submission, submit, submit_body, until_attempts_ended, until_idle,
 };
 use quillhub::{AttemptOutcome, Driver, EndpointState};
 
@@ -11,7 +11,7 @@
 fn a_message_is_forwarded_unchanged_and_finished_by_a_200() {
     let directory = StateDirectory::new();
     on_one_thread(async {
-        let (address, mut requests) = answering(vec![OK]).await;
+        let (address, mut requests) = scripted_server(vec![OK]).await;
         let instance = instance(&directory, address);
         assert_eq!(submit(&instance, "once"), SubmitOutcome::Accepted(1));
         let request = requests.recv().await.unwrap();
@@ -64,7 +64,7 @@
 fn a_message_that_cannot_be_recorded_is_neither_accepted_nor_sent() {
     let directory = StateDirectory::new();
     on_one_thread(async {
-        let (address, mut requests) = answering(vec![OK, OK, OK]).await;
+        let (address, mut requests) = scripted_server(vec![OK, OK, OK]).await;
         let instance = instance(&directory, address);
         std::fs::remove_dir_all(&directory.0).unwrap();
         let body = vec![0; 60_000]; // one fills a segment, and the next needs a new file
@@ -146,7 +146,7 @@
     for (what, change) in changes {
         let directory = StateDirectory::new();
         on_one_thread(async {
-            let (address, mut requests) = answering(vec![OK; 9]).await;
+            let (address, mut requests) = scripted_server(vec![OK; 9]).await;
             let instance = instance(&directory, address);
             assert_eq!(submit(&instance, "once"), SubmitOutcome::Accepted(1));
             assert_eq!(submit(&instance, "once"), SubmitOutcome::Accepted(2));
--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::reload::follow;
 use crate::test_support::{
-    OK, StateDirectory, answering, configuration, log_with, message, on_one_thread, pending_in,
+    OK, StateDirectory, configuration, log_with, message, on_one_thread, pending_in, scripted_server,
 };
 use quillhub_fakes::clients::command;
 use serde_json::{Value, json};
@@ -87,14 +87,14 @@
     drop(log_with(&directory, &[message("once")]));
     on_one_thread(async {
         tokio::time::pause();
-        let (old, mut old_requests) = answering(vec![OK]).await;
-        let (new, mut new_requests) = answering(vec![OK]).await;
+        let (old, mut old_requests) = scripted_server(vec![OK]).await;
+        let (new, mut new_requests) = scripted_server(vec![OK]).await;
         let member = |id: &str, at: SocketAddr, phase: &str| json!({"id": id, "host_port": at.to_string(), "cell": 9, "phase": phase});
         let rows = [member("e", old, "draining"), member("f", new, "up")];
         let list = format!("{}\n", json!({"revision": 2, "complete": false, "members": rows}));
         let response =
             format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\r\n", list.len());
-        let (discovery, _requests) = answering(vec![response.leak().as_bytes()]).await;
+        let (discovery, _requests) = scripted_server(vec![response.leak().as_bytes()]).await;
         let mut settings = configuration();
         settings["discovery"] = json!(discovery.to_string());
         settings["known"] = json!({"revision": 1, "complete": true, "members": [member("e", old, "up")]});
--- a/crates/quillhub-server/src/outcomes_tests.rs
+++ b/crates/quillhub-server/src/outcomes_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::test_support::{StateDirectory, answering, instance, on_one_thread};
+use crate::test_support::{StateDirectory, instance, on_one_thread, scripted_server};
 use tokio::task::spawn_local;
 
 fn outcome(message: u64, client_id: &str, rejected: bool, retry_after: Option<Duration>) -> FinalOutcome {
@@ -26,7 +26,8 @@
         let unreadable = b"HTTP/1.1 400 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
         let confirmed = b"HTTP/1.1 204 x\r\nConnection: close\r\n\r\n";
         let down = b"HTTP/1.1 500 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-        let (address, mut requests) = answering(vec![b"", down, unreadable, unreadable, confirmed]).await;
+        let (address, mut requests) =
+            scripted_server(vec![b"", down, unreadable, unreadable, confirmed]).await;
         let instance = instance(&directory, address);
         instance.borrow_mut().add_outcome(outcome(1, "a", false, None));
         instance.borrow_mut().add_outcome(outcome(2, "b", false, None));
@@ -50,8 +51,8 @@
 fn unconfirmed_outcomes_are_sent_to_the_new_address_of_the_platform() {
     let directory = StateDirectory::new();
     on_one_thread(async {
-        let (old, mut old_requests) = answering(vec![b"HTTP/1.1 100 Continue\r\n\r\n"]).await;
-        let (new, mut new_requests) = answering(vec![b"HTTP/1.1 204 x\r\n\r\n"]).await;
+        let (old, mut old_requests) = scripted_server(vec![b"HTTP/1.1 100 Continue\r\n\r\n"]).await;
+        let (new, mut new_requests) = scripted_server(vec![b"HTTP/1.1 204 x\r\n\r\n"]).await;
         let instance = instance(&directory, old);
         instance.borrow_mut().add_outcome(outcome(1, "a", false, None));
         let (address_sender, address_receiver) = watch::channel(old);
@@ -75,7 +76,7 @@
         let silence = &b"HTTP/1.1 100 Continue\r\n\r\n"[..];
         let confirmed = b"HTTP/1.1 204 x\r\nConnection: close\r\n\r\n";
         let responses = [vec![silence; 6], vec![confirmed], vec![silence; 2]].concat();
-        let (address, mut requests) = answering(responses).await;
+        let (address, mut requests) = scripted_server(responses).await;
         let instance = instance(&directory, address);
         instance.borrow_mut().add_outcome(outcome(1, "a", false, None));
         let (_platform, address_receiver) = watch::channel(address);
--- a/crates/quillhub-server/src/test_support.rs
+++ b/crates/quillhub-server/src/test_support.rs
@@ -5,7 +5,7 @@
 use crate::wal::{RecoveredMessage, Wal, accepted_payload};
 use quillhub::{EndpointState, EndpointUpdate, MessageId};
 pub use quillhub_fakes::scratch::{ScratchDirectory as StateDirectory, on_one_thread};
-pub use quillhub_fakes::scripted::{OK, answering, full};
+pub use quillhub_fakes::scripted::{OK, scripted_server, unconnectable_address};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/quillhub-server/tests/process_signals.rs
+++ b/crates/quillhub-server/tests/process_signals.rs
@@ -6,7 +6,7 @@
 use quillhub_fakes::http::Served;
 use quillhub_fakes::process::InstanceProcess;
 use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
-use quillhub_fakes::scripted::full;
+use quillhub_fakes::scripted::unconnectable_address;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -154,7 +154,7 @@
 async fn life(step: Step, class: &str, signal: &str) {
     let what = format!("{step:?}, {class}, {signal}");
     let (state, beside) = (ScratchDirectory::new(), ScratchDirectory::new());
-    let (full, _queue) = full();
+    let (full, _queue) = unconnectable_address();
     let surroundings = Rc::new(Surroundings {
         step,
         second: Cell::new(false),
--- a/crates/quillhub-server/tests/restarts.rs
+++ b/crates/quillhub-server/tests/restarts.rs
@@ -5,7 +5,7 @@
 use quillhub_fakes::http::Served;
 use quillhub_fakes::process::InstanceProcess;
 use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
-use quillhub_fakes::scripted::full;
+use quillhub_fakes::scripted::unconnectable_address;
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -153,7 +153,7 @@
 fn an_instance_is_ready_in_time_on_a_full_state_directory_with_discovery_unreachable() {
     let whole = async {
         let (state, beside) = (ScratchDirectory::new(), ScratchDirectory::new());
-        let (refused, (never_up, _queue)) = (own_address(3), full());
+        let (refused, (never_up, _queue)) = (own_address(3), unconnectable_address());
         let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
         // Nobody listens at the endpoint, so that every message stays pending.
         let known = list(1, &[row("e".into(), own_address(4), 9)]);
