--- a/crates/quillhub-fakes/src/accept.rs
+++ b/crates/quillhub-fakes/src/accept.rs
@@ -1,4 +1,4 @@
-//! The accept loop of every fake.
+//! Accept loop shared by all fake servers.
 
 use std::future::Future;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Pause after a failure to accept, such as having no descriptor left for a while.
-const PAUSE: Duration = Duration::from_millis(5);
+/// Delay after a failed accept, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Serves each connection in a local task of its own, without end.
+/// Accepts connections forever and serves each in a local task of its own.
 pub async fn accept_each<F>(listener: TcpListener, serve: impl Fn(TcpStream) -> F)
 where
     F: Future + 'static,
@@ -20,7 +20,7 @@
             Ok((stream, _)) => {
                 spawn_local(serve(stream));
             }
-            Err(_) => sleep(PAUSE).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
--- a/crates/quillhub-fakes/src/lib.rs
+++ b/crates/quillhub-fakes/src/lib.rs
@@ -1,8 +1,8 @@
-//! What an instance talks to, on loopback and nowhere else: endpoints that behave as a scenario of the simulator
-//! says, service discovery and platform, open-loop clients, and an instance's process with what it uses. For test
-//! suites and for load.
+//! The servers and clients around an instance, on loopback, for tests and load experiments: endpoints that follow a
+//! scenario of the simulator, service discovery and platform, and open-loop clients.
 //!
-//! Faults come from the same schedule as the simulator's; what sockets cannot show is refused before anything starts.
+//! The crate also starts an instance's process and measures its resource usage. Faults follow the same schedule as in
+//! the simulator; scenarios with faults that cannot be reproduced with sockets are refused before anything starts.
 
 pub mod accept;
 pub mod clients;
--- a/crates/quillhub-fakes/src/scratch.rs
+++ b/crates/quillhub-fakes/src/scratch.rs
@@ -1,32 +1,34 @@
-//! An empty state directory for a test, and a runtime like the instance's.
+//! Temporary directories for tests, and a runtime like that of an instance.
 
 use std::future::Future;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 use tokio::task::LocalSet;
 
-/// An empty state directory of its own, removed at the end.
+/// Temporary directory with a unique path, empty at first and removed with all its files when this is dropped.
 pub struct ScratchDirectory(pub PathBuf);
 
 impl ScratchDirectory {
-    /// Makes one.
+    /// Creates the directory in the system's directory for temporary files.
     pub fn new() -> Self {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let name = format!("quillhub-{}-{}", std::process::id(), NUMBER.fetch_add(1, Ordering::Relaxed));
         let path = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&path).expect("a folder for a test can be made");
+        std::fs::create_dir_all(&path).expect("a temporary directory can be created");
         Self(path)
     }
 
-    /// What its files take, in whole blocks.
+    /// Returns the size on disk of the files directly in the directory, in bytes. Panics if the directory is missing.
     pub fn size(&self) -> u64 {
-        size_of(&self.0)
+        size_on_disk(&self.0)
     }
 }
 
-/// What the files of a state directory take, in whole blocks.
-pub fn size_of(folder: &Path) -> u64 {
-    let files = std::fs::read_dir(folder).expect("the folder is there");
+/// Returns the size on disk of the files directly in `directory`, in bytes: each file counts in whole blocks.
+///
+/// Panics if `directory` cannot be read.
+pub fn size_on_disk(directory: &Path) -> u64 {
+    let files = std::fs::read_dir(directory).expect("the directory can be read");
     files.map(|file| file.unwrap().metadata().unwrap().len().div_ceil(512) * 512).sum()
 }
 
@@ -42,8 +44,8 @@
     }
 }
 
-/// Runs `test` on a runtime like the instance's.
+/// Runs `test` with its local tasks on the current thread, on a runtime like that of an instance.
 pub fn on_one_thread<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("a runtime can be made").block_on(LocalSet::new().run_until(test))
+    runtime.expect("a runtime can be created").block_on(LocalSet::new().run_until(test))
 }
--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -6,7 +6,7 @@
 use crate::settings::{self, Addresses};
 use quillhub_fakes::clients::ready;
 use quillhub_fakes::process::InstanceProcess;
-use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread, size_of};
+use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread, size_on_disk};
 use quillhub_fakes::traffic::Counts;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -364,7 +364,7 @@
 
     /// Kills the instance with its backlog and starts it anew on the same state directory.
     async fn restarted(&mut self, played: &mut Played) -> Result<(), Stop> {
-        let state = size_of(&state_directory(&self.folder, "real"));
+        let state = size_on_disk(&state_directory(&self.folder, "real"));
         played.put(figure::STATE_MB, state as f64 / (1024.0 * 1024.0));
         let fails = |e: std::io::Error| Stop::Fails(format!("the courier cannot be ended: {e}"));
         self.instance.signal("KILL").map_err(fails)?;
