--- a/crates/quillhub-fakes/src/process.rs
+++ b/crates/quillhub-fakes/src/process.rs
@@ -1,4 +1,4 @@
-//! An instance's process that this one started, and what it uses. It is ended with its owner.
+//! The process of an instance, and the processor time and memory of processes and threads.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -6,25 +6,26 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Clock ticks a second in /proc: what every Linux reports to user space.
-const TICKS: f64 = 100.0;
-/// How often its end is looked for.
-const LOOK: Duration = Duration::from_millis(5);
+/// Clock ticks per second in /proc: Linux reports 100 to user space on every machine.
+const TICKS_PER_SECOND: f64 = 100.0;
+/// Time between two checks for the end of a process.
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The process of an instance.
+/// Running process of an instance, killed when this is dropped.
 pub struct InstanceProcess(Child);
 
-/// What a process has used by now.
+/// Resource usage of a process since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Processor time.
+    /// Processor time used so far, in user and kernel mode, with the resolution of a clock tick.
     pub cpu: Duration,
-    /// Resident memory.
+    /// Resident memory at present, in kilobytes.
     pub memory_kb: u64,
 }
 
 impl InstanceProcess {
-    /// Starts `program` with this configuration, state directory and log file.
+    /// Starts `program serve` with the configuration file `config` and the state directory `state`; its log goes to a
+    /// new file `log`.
     pub fn start(program: &Path, config: &Path, state: &Path, log: &Path) -> io::Result<Self> {
         let log = std::fs::File::create(log)?;
         let mut command = Command::new(program);
@@ -33,56 +34,58 @@
         Ok(Self(command.spawn()?))
     }
 
-    /// Sends a signal, by its name without `SIG`.
+    /// Sends the signal of this name, written without `SIG`; returns `true` if it was sent.
     pub fn signal(&self, name: &str) -> io::Result<bool> {
         let status = Command::new("sh").args(["-c", &format!("kill -{name} {}", self.0.id())]).status();
         status.map(|status| status.success())
     }
 
-    /// How it ended; waits for that.
-    pub async fn end(&mut self) -> io::Result<ExitStatus> {
+    /// Waits for the process to end and returns its exit status.
+    pub async fn wait_for_exit(&mut self) -> io::Result<ExitStatus> {
         loop {
             if let Some(status) = self.0.try_wait()? {
                 return Ok(status);
             }
-            sleep(LOOK).await;
+            sleep(EXIT_CHECK_INTERVAL).await;
         }
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.0.id()
     }
 
-    /// Processor time by now, to the nanosecond: the sum that /proc rounds to ticks as utime and stime, read from
-    /// the scheduler's account of each of its threads. Nothing if it has ended.
+    /// Returns the processor time used so far by the process's present threads, or `None` if the process has ended.
+    ///
+    /// The resolution is a nanosecond, as the time is read from the scheduler's statistics of each thread and not from
+    /// `utime` and `stime`, which /proc rounds to clock ticks.
     pub fn processor_time(&self) -> Option<Duration> {
         let threads = std::fs::read_dir(format!("/proc/{}/task", self.0.id())).ok()?;
-        threads.map(|thread| scheduled(&thread.ok()?.path())).sum()
+        threads.map(|thread| thread_processor_time(&thread.ok()?.path())).sum()
     }
 
-    /// What it has used by now; nothing if it has ended.
+    /// Returns the usage so far, or `None` if the process has ended.
     pub fn usage(&self) -> Option<Usage> {
         let id = self.0.id();
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-        // The name in brackets may hold anything; what is counted comes after it.
+        // The name in brackets may contain spaces and brackets, so fields are counted from its end.
         let fields: Vec<_> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
         let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
         let memory_kb = memory.trim().trim_end_matches(" kB").trim().parse().ok()?;
-        Some(Usage { cpu: Duration::from_secs_f64(ticks / TICKS), memory_kb })
+        Some(Usage { cpu: Duration::from_secs_f64(ticks / TICKS_PER_SECOND), memory_kb })
     }
 }
 
-/// Where /proc tells of the current thread; other threads of this process may read it.
-pub fn this_thread() -> io::Result<PathBuf> {
+/// Returns the /proc directory of the current thread, readable by all threads of this process.
+pub fn current_thread_directory() -> io::Result<PathBuf> {
     Ok(Path::new("/proc").join(std::fs::read_link("/proc/thread-self")?))
 }
 
-/// Processor time of the thread that /proc tells of at `thread`.
-pub fn scheduled(thread: &Path) -> Option<Duration> {
-    let text = std::fs::read_to_string(thread.join("schedstat")).ok()?;
+/// Returns the processor time used by the thread with the /proc directory `directory`, or `None` if it has ended.
+pub fn thread_processor_time(directory: &Path) -> Option<Duration> {
+    let text = std::fs::read_to_string(directory.join("schedstat")).ok()?;
     text.split_whitespace().next()?.parse().ok().map(Duration::from_nanos)
 }
 
--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -368,7 +368,7 @@
         played.put(figure::STATE_MB, state as f64 / (1024.0 * 1024.0));
         let fails = |e: std::io::Error| Stop::Fails(format!("the courier cannot be ended: {e}"));
         self.instance.signal("KILL").map_err(fails)?;
-        self.instance.end().await.map_err(fails)?;
+        self.instance.wait_for_exit().await.map_err(fails)?;
         let begun = Instant::now();
         self.instance = start(self.program, &self.folder, "real", &self.folder.0.join("real.json"))?;
         if !ready(self.listen, self.until.saturating_duration_since(begun)).await {
--- a/crates/quillhub-scale/src/thread.rs
+++ b/crates/quillhub-scale/src/thread.rs
@@ -26,7 +26,8 @@
         let thread = std::thread::spawn(move || {
             on_one_thread(async move {
                 let made = make().await;
-                let _ = tell.send(process::this_thread().and_then(|account| Ok((account, made?))));
+                let _ =
+                    tell.send(process::current_thread_directory().and_then(|account| Ok((account, made?))));
                 let _ = stopped.await;
             });
         });
@@ -37,7 +38,7 @@
 
     /// Processor time that the thread has used by now.
     pub fn processor_time(&self) -> Duration {
-        process::scheduled(&self.account).unwrap_or_default()
+        process::thread_processor_time(&self.account).unwrap_or_default()
     }
 }
 
--- a/crates/quillhub-server/tests/process_signals.rs
+++ b/crates/quillhub-server/tests/process_signals.rs
@@ -179,7 +179,7 @@
         surroundings.seen.notified().await;
     }
     assert!(first.signal(signal).unwrap());
-    let status = first.end().await.unwrap();
+    let status = first.wait_for_exit().await.unwrap();
     assert!(signal == "KILL" || status.success(), "{what}: {status}");
 
     surroundings.second.set(true);
@@ -196,7 +196,7 @@
         surroundings.seen.notified().await;
     }
     assert!(second.signal("TERM").unwrap()); // it ends once nothing is pending
-    assert!(second.end().await.unwrap().success(), "{what}");
+    assert!(second.wait_for_exit().await.unwrap().success(), "{what}");
 
     assert_one_outcome(&surroundings, step, class, signal);
 }
@@ -255,7 +255,7 @@
         // Before it is ready, perhaps before it can catch any.
         let mut early = start(&state, &beside, &plan);
         assert!(early.signal("TERM").unwrap());
-        let ended = early.end().await.unwrap();
+        let ended = early.wait_for_exit().await.unwrap();
         assert!(ended.success() || ended.code().is_none(), "{ended}");
         // With a message pending, so that the stop lasts.
         let mut instance = start(&state, &beside, &plan);
@@ -264,7 +264,7 @@
         for signal in ["TERM", "HUP", "INT", "HUP", "TERM"] {
             assert!(instance.signal(signal).unwrap());
         }
-        assert!(instance.end().await.unwrap().success());
+        assert!(instance.wait_for_exit().await.unwrap().success());
     };
     on_one_thread(async { timeout(LONG, whole).await.expect("it does not end") });
 }
--- a/crates/quillhub-server/tests/restarts.rs
+++ b/crates/quillhub-server/tests/restarts.rs
@@ -168,7 +168,7 @@
         assert!(pending > 1_000, "{pending} pending when the directory was full");
         for discovery in [refused, never_up, silent.local_addr().unwrap()] {
             assert!(instance.signal("KILL").unwrap());
-            instance.end().await.unwrap();
+            instance.wait_for_exit().await.unwrap();
             instance = start(&state, &beside, &configuration(listen, discovery, known.clone()));
             let began = std::time::Instant::now();
             assert!(ready(listen, READY).await, "{pending} pending, discovery at {discovery}");
