--- a/crates/quillhub-fakes/src/http.rs
+++ b/crates/quillhub-fakes/src/http.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 as a server needs it: one request at a time from a connection.
 
-use crate::traffic::{Connection, Traffic};
+use crate::traffic::{ConnectionTraffic, Traffic};
 use std::io;
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -15,7 +15,7 @@
 pub struct Served {
     stream: TcpStream,
     read: Vec<u8>,
-    traffic: Connection,
+    traffic: ConnectionTraffic,
 }
 
 /// One request, with the few headers that a fake goes by.
@@ -46,7 +46,7 @@
     /// One whose traffic is part of `server`'s.
     pub fn counted(stream: TcpStream, server: Arc<Traffic>) -> Self {
         let _ = stream.set_nodelay(true);
-        Self { stream, read: Vec::new(), traffic: Connection::accepted(server) }
+        Self { stream, read: Vec::new(), traffic: ConnectionTraffic::accepted(server) }
     }
 
     /// From now on, and for what it has carried already, it is one of `server`'s.
@@ -59,14 +59,14 @@
         loop {
             if let Some((request, used)) = parse(&self.read)? {
                 self.read.drain(..used);
-                self.traffic.request();
+                self.traffic.add_request();
                 return Ok(Some(request));
             }
             if self.read.len() > MAX_REQUEST_BYTES {
                 return Err(malformed("one that does not end"));
             }
             let length = self.stream.read_buf(&mut self.read).await?;
-            self.traffic.read(length);
+            self.traffic.add_read(length);
             if length == 0 {
                 return Ok(None);
             }
@@ -84,7 +84,7 @@
     /// Writes octets as they are, for responses that go on.
     pub async fn write(&mut self, octets: &[u8]) -> io::Result<()> {
         self.stream.write_all(octets).await?;
-        self.traffic.written(octets.len());
+        self.traffic.add_written(octets.len());
         Ok(())
     }
 
--- a/crates/quillhub-fakes/src/traffic.rs
+++ b/crates/quillhub-fakes/src/traffic.rs
@@ -1,33 +1,33 @@
-//! Counts of what goes over a server's connections. They can be read from another thread while the server runs.
+//! Traffic counts of a server's connections, which other threads can read while the server runs.
 
 use std::ops::Sub;
 use std::sync::Mutex;
 
-/// Bytes of data in one TCP segment over a usual Ethernet: 1,500 less 40 of headers and 12 of timestamps.
-const SEGMENT_BYTES: u64 = 1_448;
+/// Maximum data of a TCP segment over Ethernet, in bytes: 1,500 less 40 of headers and 12 of timestamps.
+const MAX_SEGMENT_BYTES: u64 = 1_448;
 
-/// Totals up to one instant.
+/// Totals since the start of a server or a connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Connections accepted.
+    /// Accepted connections.
     pub connections: u64,
-    /// Requests answered, or begun to be answered.
+    /// Requests read completely.
     pub requests: u64,
     /// Bytes read from the connections.
     pub bytes_in: u64,
     /// Bytes written to the connections.
     pub bytes_out: u64,
-    /// Data segments that the reads and writes take when each goes by itself, over a usual Ethernet.
+    /// Data segments on an Ethernet, if each read and each write starts a new segment.
     pub segments: u64,
 }
 
 impl Counts {
-    /// Bytes in both directions.
+    /// Returns the bytes in both directions.
     pub fn bytes(&self) -> u64 {
         self.bytes_in + self.bytes_out
     }
 
-    /// Data segments and one acknowledgement for each.
+    /// Returns the number of packets, taking one acknowledgement for each data segment.
     pub fn packets(&self) -> u64 {
         self.segments * 2
     }
@@ -55,40 +55,40 @@
     }
 }
 
-/// The counts of one server, and how many of its connections are open.
+/// Traffic of one server: the counts of all its connections, and the number of open ones.
 #[derive(Debug, Default)]
 pub struct Traffic(Mutex<(Counts, u64)>);
 
 impl Traffic {
-    fn change(&self, change: impl FnOnce(&mut Counts, &mut u64)) {
-        let mut inside = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        let (counts, open) = &mut *inside;
+    fn update(&self, change: impl FnOnce(&mut Counts, &mut u64)) {
+        let mut guard = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let (counts, open) = &mut *guard;
         change(counts, open);
     }
 
-    /// Totals by now.
+    /// Returns the totals so far.
     pub fn counts(&self) -> Counts {
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).0
     }
 
-    /// Connections that are open.
-    pub fn open(&self) -> u64 {
+    /// Returns the number of open connections.
+    pub fn open_connections(&self) -> u64 {
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).1
     }
 }
 
-/// The counts of one connection, which are also part of its server's.
+/// Traffic of one connection, which counts for its server, too.
 #[derive(Debug)]
-pub struct Connection {
+pub struct ConnectionTraffic {
     server: std::sync::Arc<Traffic>,
     own: Counts,
 }
 
-impl Connection {
-    /// A connection that `server` has just accepted.
+impl ConnectionTraffic {
+    /// Creates the counts of a connection that `server` has just accepted, and counts it as open.
     pub fn accepted(server: std::sync::Arc<Traffic>) -> Self {
         let own = Counts { connections: 1, ..Counts::default() };
-        server.change(|counts, open| {
+        server.update(|counts, open| {
             counts.add(own);
             *open += 1;
         });
@@ -97,37 +97,43 @@
 
     fn count(&mut self, more: Counts) {
         self.own.add(more);
-        self.server.change(|counts, _| counts.add(more));
+        self.server.update(|counts, _| counts.add(more));
     }
 
-    /// Bytes were read.
-    pub fn read(&mut self, bytes: usize) {
+    /// Counts `bytes` that were read at once.
+    pub fn add_read(&mut self, bytes: usize) {
         let bytes_in = bytes as u64;
-        self.count(Counts { bytes_in, segments: bytes_in.div_ceil(SEGMENT_BYTES), ..Counts::default() });
+        self.count(Counts { bytes_in, segments: bytes_in.div_ceil(MAX_SEGMENT_BYTES), ..Counts::default() });
     }
 
-    /// Bytes were written.
-    pub fn written(&mut self, bytes: usize) {
+    /// Counts `bytes` that were written at once.
+    pub fn add_written(&mut self, bytes: usize) {
         let bytes_out = bytes as u64;
-        self.count(Counts { bytes_out, segments: bytes_out.div_ceil(SEGMENT_BYTES), ..Counts::default() });
+        self.count(Counts {
+            bytes_out,
+            segments: bytes_out.div_ceil(MAX_SEGMENT_BYTES),
+            ..Counts::default()
+        });
     }
 
-    /// One request came whole.
-    pub fn request(&mut self) {
+    /// Counts a request that was read completely.
+    pub fn add_request(&mut self) {
         self.count(Counts { requests: 1, ..Counts::default() });
     }
 
-    /// The connection turns out to belong to `other`: all that it counted moves there.
+    /// Moves the connection with all its counts so far from its server to `other`.
+    ///
+    /// For two servers on one address, where only a request shows which of them the connection is for.
     pub fn move_to(&mut self, other: &std::sync::Arc<Traffic>) {
         if std::sync::Arc::ptr_eq(&self.server, other) {
             return;
         }
         let own = self.own;
-        self.server.change(|counts, open| {
+        self.server.update(|counts, open| {
             *counts = *counts - own;
             *open -= 1;
         });
-        other.change(|counts, open| {
+        other.update(|counts, open| {
             counts.add(own);
             *open += 1;
         });
@@ -135,9 +141,9 @@
     }
 }
 
-impl Drop for Connection {
+impl Drop for ConnectionTraffic {
     fn drop(&mut self) {
-        self.server.change(|_, open| *open -= 1);
+        self.server.update(|_, open| *open -= 1);
     }
 }
 
--- a/crates/quillhub-fakes/src/traffic_tests.rs
+++ b/crates/quillhub-fakes/src/traffic_tests.rs
@@ -4,26 +4,26 @@
 #[test]
 fn a_connection_counts_for_its_server_until_it_moves_to_another() {
     let (discovery, platform) = (Arc::new(Traffic::default()), Arc::new(Traffic::default()));
-    let mut connection = Connection::accepted(discovery.clone());
-    connection.read(100);
-    connection.request();
-    connection.written(1_449);
+    let mut connection = ConnectionTraffic::accepted(discovery.clone());
+    connection.add_read(100);
+    connection.add_request();
+    connection.add_written(1_449);
     let counts = discovery.counts();
     assert_eq!((counts.connections, counts.requests, counts.bytes(), counts.packets()), (1, 1, 1_549, 6));
     connection.move_to(&platform);
-    assert_eq!((discovery.counts(), discovery.open()), (Counts::default(), 0));
-    assert_eq!((platform.counts(), platform.open()), (counts, 1));
+    assert_eq!((discovery.counts(), discovery.open_connections()), (Counts::default(), 0));
+    assert_eq!((platform.counts(), platform.open_connections()), (counts, 1));
     drop(connection);
-    assert_eq!((platform.counts(), platform.open()), (counts, 0));
+    assert_eq!((platform.counts(), platform.open_connections()), (counts, 0));
 }
 
 #[test]
-fn what_came_since_an_earlier_reading_is_their_difference() {
+fn the_traffic_since_an_earlier_count_is_the_difference_of_the_counts() {
     let server = Arc::new(Traffic::default());
-    let mut connection = Connection::accepted(server.clone());
-    connection.read(10);
+    let mut connection = ConnectionTraffic::accepted(server.clone());
+    connection.add_read(10);
     let earlier = server.counts();
-    connection.written(30);
+    connection.add_written(30);
     let since = server.counts() - earlier;
     assert_eq!(since, Counts { bytes_out: 30, segments: 1, ..Counts::default() });
 }
--- a/crates/quillhub-scale/src/fleet.rs
+++ b/crates/quillhub-scale/src/fleet.rs
@@ -125,7 +125,7 @@
             discovery: with.discovery.counts(),
             platform: with.platform.counts(),
             finals: self.control.finals(),
-            open: with.discovery.open(),
+            open: with.discovery.open_connections(),
         }
     }
 
