--- a/crates/quillhub-fakes/examples/mixed_versions/gossip.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/gossip.rs
@@ -6,7 +6,7 @@
 
 use crate::instance::{Process, Server, endpoint_list, member, service_class, write_endpoint_list};
 use quillhub_fakes::clients::{ask, command, open, ready};
-use quillhub_fakes::http::Served;
+use quillhub_fakes::http::ServerConnection;
 use quillhub_fakes::scratch::ScratchDirectory;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -108,7 +108,7 @@
 }
 
 /// Delivers, and counts the requests by the instance number at the start of their ids.
-async fn serve_endpoint(requests: Vec<Rc<Cell<u32>>>, is_down: Rc<Cell<bool>>, mut stream: Served) {
+async fn serve_endpoint(requests: Vec<Rc<Cell<u32>>>, is_down: Rc<Cell<bool>>, mut stream: ServerConnection) {
     while let Ok(Some(request)) = stream.next().await {
         if is_down.get() {
             return stream.reset();
@@ -121,7 +121,7 @@
     }
 }
 
-async fn serve_control(list: Value, mut stream: Served) {
+async fn serve_control(list: Value, mut stream: ServerConnection) {
     while let Ok(Some(request)) = stream.next().await {
         let served = match request.path.as_str() {
             "/v2/finals" => stream.answer(204, "", b"").await,
--- a/crates/quillhub-fakes/examples/mixed_versions/instance.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/instance.rs
@@ -1,7 +1,7 @@
 //! The process of an instance, its configuration, and the servers that it calls.
 
 use quillhub_fakes::accept::accept_each;
-use quillhub_fakes::http::Served;
+use quillhub_fakes::http::ServerConnection;
 use serde_json::{Value, json};
 use std::io;
 use std::net::SocketAddr;
@@ -68,12 +68,12 @@
     }
 
     /// Accepts connections from now on and handles each with `serve`.
-    pub async fn open<F>(&mut self, serve: impl Fn(Served) -> F + 'static) -> io::Result<()>
+    pub async fn open<F>(&mut self, serve: impl Fn(ServerConnection) -> F + 'static) -> io::Result<()>
     where
         F: Future<Output = ()> + 'static,
     {
         let listener = TcpListener::bind(self.address).await?;
-        let accept = move |stream: TcpStream| serve(Served::new(stream));
+        let accept = move |stream: TcpStream| serve(ServerConnection::new(stream));
         self.accepting = Some(spawn_local(async move { accept_each(listener, accept).await }));
         Ok(())
     }
@@ -97,7 +97,7 @@
 }
 
 /// Writes the chunked response to a request for the endpoint list or for its changes.
-pub async fn write_endpoint_list(stream: &mut Served, list: &Value) -> io::Result<()> {
+pub async fn write_endpoint_list(stream: &mut ServerConnection, list: &Value) -> io::Result<()> {
     let line = format!("{list}\n");
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     stream.write(format!("{head}{:x}\r\n{line}\r\n", line.len()).as_bytes()).await
--- a/crates/quillhub-fakes/examples/mixed_versions/takeover.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/takeover.rs
@@ -2,7 +2,7 @@
 
 use crate::instance::{Process, Server, endpoint_list, member, service_class, write_endpoint_list};
 use quillhub_fakes::clients::{ask, command, open, ready};
-use quillhub_fakes::http::{Request, Served};
+use quillhub_fakes::http::{Request, ServerConnection};
 use quillhub_fakes::scratch::ScratchDirectory;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -95,7 +95,7 @@
     }
 }
 
-async fn serve_endpoint(run: Rc<Run>, destination: u64, mut stream: Served) {
+async fn serve_endpoint(run: Rc<Run>, destination: u64, mut stream: ServerConnection) {
     while let Ok(Some(request)) = stream.next().await {
         let id = request.id.unwrap_or_default();
         let taken_over = run.taken_over.get();
@@ -112,7 +112,7 @@
     }
 }
 
-async fn serve_control(run: Rc<Run>, list: Value, mut stream: Served) {
+async fn serve_control(run: Rc<Run>, list: Value, mut stream: ServerConnection) {
     while let Ok(Some(request)) = stream.next().await {
         let served = match request.path.as_str() {
             "/v2/finals" => confirm_outcomes(&run, &request, &mut stream).await,
@@ -124,7 +124,7 @@
     }
 }
 
-async fn confirm_outcomes(run: &Run, request: &Request, stream: &mut Served) -> io::Result<()> {
+async fn confirm_outcomes(run: &Run, request: &Request, stream: &mut ServerConnection) -> io::Result<()> {
     let text = String::from_utf8_lossy(&request.body).into_owned();
     if !run.taken_over.get() {
         run.unconfirmed_outcomes.set(run.unconfirmed_outcomes.get() + text.lines().count() as u64);
--- a/crates/quillhub-fakes/src/endpoints.rs
+++ b/crates/quillhub-fakes/src/endpoints.rs
@@ -2,7 +2,7 @@
 //! call meets, and the scenario's faults at their instants.
 
 use crate::accept::accept_each;
-use crate::http::{Request, Served};
+use crate::http::{Request, ServerConnection};
 use quillhub_simulator::{Admission, ConnectionFaults, Scenario, Site, SocketFault};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -114,7 +114,7 @@
         listed.push(Listed { id: format!("e{}", server + 1), at, zone, kind, destination });
         let state = state.clone();
         spawn_local(accept_each(listener, move |stream| {
-            connection(state.clone(), server, Served::new(stream))
+            connection(state.clone(), server, ServerConnection::new(stream))
         }));
     }
     for (number, scheduled) in scenario.faults.iter().enumerate() {
@@ -146,7 +146,7 @@
 }
 
 /// Serves one connection until it ends.
-async fn connection(state: Shared, server: usize, link: Served) {
+async fn connection(state: Shared, server: usize, link: ServerConnection) {
     let ConnectionFaults { refuses, silent } = state.borrow().site.connection_faults(server);
     let full = {
         let mut state = state.borrow_mut();
@@ -171,7 +171,7 @@
 }
 
 /// Answers the calls of one connection, one after the other.
-async fn calls(state: &Shared, server: usize, mut link: Served) -> std::io::Result<()> {
+async fn calls(state: &Shared, server: usize, mut link: ServerConnection) -> std::io::Result<()> {
     let idle = state.borrow().site.idle_close();
     loop {
         let next = tokio::time::timeout(idle, link.next()).await;
@@ -225,7 +225,11 @@
         report(self.state, &self.request, kind);
     }
 
-    async fn reject(&self, link: &mut Served, retry_after: Option<Duration>) -> std::io::Result<bool> {
+    async fn reject(
+        &self,
+        link: &mut ServerConnection,
+        retry_after: Option<Duration>,
+    ) -> std::io::Result<bool> {
         self.report(EndpointEventKind::Rejected);
         let header = &self.load_header;
         match retry_after {
@@ -238,14 +242,14 @@
         Ok(true)
     }
 
-    async fn fail(&self, link: &mut Served, time: Duration) -> std::io::Result<bool> {
+    async fn fail(&self, link: &mut ServerConnection, time: Duration) -> std::io::Result<bool> {
         sleep(time).await;
         self.report(EndpointEventKind::Failed);
         link.answer(500, &self.load_header, b"").await?;
         Ok(true)
     }
 
-    async fn execute(&self, link: &mut Served) -> std::io::Result<bool> {
+    async fn execute(&self, link: &mut ServerConnection) -> std::io::Result<bool> {
         if self.admission == Admission::Queues && !self.worker_is_free().await {
             return Ok(false);
         }
--- a/crates/quillhub-fakes/src/http.rs
+++ b/crates/quillhub-fakes/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as a server needs it: one request at a time from a connection.
+//! Server side of HTTP/1.1: reads requests from a connection one at a time and writes responses.
 
 use crate::traffic::{ConnectionTraffic, Traffic};
 use std::io;
@@ -6,66 +6,66 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Bytes of a request, head and body: what an instance sends is far smaller.
+/// Maximum size of a request, head and body, in bytes; the requests of an instance are far smaller.
 const MAX_REQUEST_BYTES: usize = 256 * 1024;
-/// Headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 32;
 
-/// A connection, and what was read from it beyond the last request.
-pub struct Served {
+/// Accepted connection, with the bytes read from it beyond the last request.
+pub struct ServerConnection {
     stream: TcpStream,
-    read: Vec<u8>,
+    unparsed: Vec<u8>,
     traffic: ConnectionTraffic,
 }
 
-/// One request, with the few headers that a fake goes by.
+/// Request, with the headers that the fake servers use.
 #[derive(Debug, Default)]
 pub struct Request {
-    /// Its method.
+    /// Method, such as `POST`.
     pub method: String,
-    /// Its path with the query.
+    /// Path with the query.
     pub path: String,
-    /// The id that it names.
+    /// Value of the `X-Request-Id` header, if any: the id of a message.
     pub id: Option<String>,
-    /// The idempotency key that it names.
+    /// Value of the `Idempotency-Key` header, if any.
     pub idempotency_key: Option<String>,
-    /// Its body.
+    /// Body, empty without a `Content-Length` header.
     pub body: Vec<u8>,
 }
 
-fn malformed(what: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, format!("expected a request, found {what}"))
+fn malformed(found: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, format!("expected a request, found {found}"))
 }
 
-impl Served {
-    /// A connection whose traffic nobody counts.
+impl ServerConnection {
+    /// Wraps an accepted connection whose traffic is not counted for a server.
     pub fn new(stream: TcpStream) -> Self {
-        Self::counted(stream, Arc::default())
+        Self::with_traffic(stream, Arc::default())
     }
 
-    /// One whose traffic is part of `server`'s.
-    pub fn counted(stream: TcpStream, server: Arc<Traffic>) -> Self {
+    /// Wraps an accepted connection whose traffic counts for `server`.
+    pub fn with_traffic(stream: TcpStream, server: Arc<Traffic>) -> Self {
         let _ = stream.set_nodelay(true);
-        Self { stream, read: Vec::new(), traffic: ConnectionTraffic::accepted(server) }
+        Self { stream, unparsed: Vec::new(), traffic: ConnectionTraffic::accepted(server) }
     }
 
-    /// From now on, and for what it has carried already, it is one of `server`'s.
-    pub fn belongs_to(&mut self, server: &Arc<Traffic>) {
+    /// Counts the connection, with its traffic so far, for `server` instead.
+    pub fn move_traffic_to(&mut self, server: &Arc<Traffic>) {
         self.traffic.move_to(server);
     }
 
-    /// The next request; nothing once the other side has closed.
+    /// Reads the next request; `None` if the client has closed the connection.
     pub async fn next(&mut self) -> io::Result<Option<Request>> {
         loop {
-            if let Some((request, used)) = parse(&self.read)? {
-                self.read.drain(..used);
+            if let Some((request, used)) = parse(&self.unparsed)? {
+                self.unparsed.drain(..used);
                 self.traffic.add_request();
                 return Ok(Some(request));
             }
-            if self.read.len() > MAX_REQUEST_BYTES {
-                return Err(malformed("one that does not end"));
+            if self.unparsed.len() > MAX_REQUEST_BYTES {
+                return Err(malformed("one without an end"));
             }
-            let length = self.stream.read_buf(&mut self.read).await?;
+            let length = self.stream.read_buf(&mut self.unparsed).await?;
             self.traffic.add_read(length);
             if length == 0 {
                 return Ok(None);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Writes a whole response.
+    /// Writes a complete response; `headers` are whole lines, each with its line end.
     pub async fn answer(&mut self, status: u16, headers: &str, body: &[u8]) -> io::Result<()> {
         let mut octets =
             format!("HTTP/1.1 {status} -\r\n{headers}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
@@ -81,19 +81,20 @@
         self.write(&octets).await
     }
 
-    /// Writes octets as they are, for responses that go on.
+    /// Writes `octets` unchanged, for streamed responses.
     pub async fn write(&mut self, octets: &[u8]) -> io::Result<()> {
         self.stream.write_all(octets).await?;
         self.traffic.add_written(octets.len());
         Ok(())
     }
 
-    /// Ends with a reset instead of a close.
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
 }
 
+/// Parses the request at the start of `read` and returns it with its length; `None` if it is incomplete.
 fn parse(read: &[u8]) -> io::Result<Option<(Request, usize)>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -106,12 +107,12 @@
         found.map(|h| String::from_utf8_lossy(h.value).into_owned())
     };
     let length = match value("content-length") {
-        Some(text) => text.trim().parse().map_err(|_| malformed("a length that is none"))?,
+        Some(text) => text.trim().parse().map_err(|_| malformed("an invalid Content-Length"))?,
         None => 0,
     };
     let used = head + length;
     if used > MAX_REQUEST_BYTES {
-        return Err(malformed("one that is too long"));
+        return Err(malformed("one longer than the maximum"));
     }
     if read.len() < used {
         return Ok(None);
--- a/crates/quillhub-fakes/src/platform.rs
+++ b/crates/quillhub-fakes/src/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::accept::accept_each;
 use crate::endpoints::Listed;
-use crate::http::Served;
+use crate::http::ServerConnection;
 use crate::traffic::Traffic;
 use quillhub_simulator::{Scenario, Site, SocketFault};
 use serde_json::{Value, json};
@@ -184,7 +184,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let at = listener.local_addr()?;
     spawn_local(accept_each(listener, move |stream| {
-        let link = Served::counted(stream, traffic.discovery.clone());
+        let link = ServerConnection::with_traffic(stream, traffic.discovery.clone());
         serve(discovery.clone(), tell.clone(), link, traffic.platform.clone())
     }));
     Ok(at)
@@ -193,12 +193,12 @@
 async fn serve(
     discovery: Rc<RefCell<Discovery>>,
     tell: UnboundedSender<OutcomeNotification>,
-    mut link: Served,
+    mut link: ServerConnection,
     platform: Arc<Traffic>,
 ) -> std::io::Result<()> {
     while let Some(request) = link.next().await? {
         if request.method == "POST" && request.path == "/v2/finals" {
-            link.belongs_to(&platform);
+            link.move_traffic_to(&platform);
             let read: Option<Vec<OutcomeNotification>> =
                 request.body.split(|b| *b == b'\n').filter(|l| !l.is_empty()).map(read).collect();
             match read {
@@ -238,7 +238,11 @@
 }
 
 /// One watch, until its connection ends.
-async fn watched(discovery: &RefCell<Discovery>, mut link: Served, mut after: u64) -> std::io::Result<()> {
+async fn watched(
+    discovery: &RefCell<Discovery>,
+    mut link: ServerConnection,
+    mut after: u64,
+) -> std::io::Result<()> {
     link.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
     let mut changed = discovery.borrow().changed.subscribe();
     loop {
--- a/crates/quillhub-scale/src/destinations.rs
+++ b/crates/quillhub-scale/src/destinations.rs
@@ -5,7 +5,7 @@
 use crate::thread::Worker;
 use quillhub_fakes::accept::accept_each;
 use quillhub_fakes::endpoints::Listed;
-use quillhub_fakes::http::Served;
+use quillhub_fakes::http::ServerConnection;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,7 +24,7 @@
 }
 
 async fn answer_all(stream: TcpStream, delivered: Arc<AtomicU64>) {
-    let mut link = Served::new(stream);
+    let mut link = ServerConnection::new(stream);
     while let Ok(Some(_)) = link.next().await {
         if link.answer(200, "", b"ok").await.is_err() {
             return;
@@ -34,7 +34,7 @@
 }
 
 async fn answer_none(stream: TcpStream) {
-    let mut link = Served::new(stream);
+    let mut link = ServerConnection::new(stream);
     while let Ok(Some(_)) = link.next().await {}
 }
 
--- a/crates/quillhub-server/src/discovery/return_tests.rs
+++ b/crates/quillhub-server/src/discovery/return_tests.rs
@@ -7,7 +7,7 @@
 use crate::test_support::{
     StateDirectory, configuration, instance_with, on_one_thread, scripted_server, unconnectable_address,
 };
-use quillhub_fakes::http::Served;
+use quillhub_fakes::http::ServerConnection;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 use std::net::TcpStream as StdStream;
@@ -49,7 +49,7 @@
 
 /// Serves a connection to discovery during its outage.
 async fn serve_failing(loss: Loss, stream: TcpStream) -> std::io::Result<()> {
-    let mut stream = Served::new(stream);
+    let mut stream = ServerConnection::new(stream);
     let Some(requested) = stream.next().await? else { return Ok(()) };
     let is_watch = requested.path.contains("watch");
     let length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LIST.len());
@@ -73,7 +73,7 @@
 
 /// Serves a connection to discovery after its return: each request gets [`LIST`], followed by empty lines in a watch.
 async fn serve(stream: TcpStream) -> std::io::Result<()> {
-    let mut stream = Served::new(stream);
+    let mut stream = ServerConnection::new(stream);
     while let Some(requested) = stream.next().await? {
         if !requested.path.contains("watch") {
             stream.answer(200, "", LIST.as_bytes()).await?;
@@ -278,7 +278,7 @@
                 Progress::new(Some(6).filter(|_| !complete)),
                 false,
             ));
-            let mut stream = Served::new(listener.accept().await.unwrap().0);
+            let mut stream = ServerConnection::new(listener.accept().await.unwrap().0);
             stream.next().await.unwrap();
             let length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
             stream.write(if complete { length.as_bytes() } else { CHUNKED.as_bytes() }).await.unwrap();
--- a/crates/quillhub-server/tests/process_signals.rs
+++ b/crates/quillhub-server/tests/process_signals.rs
@@ -3,7 +3,7 @@
 //! The signal follows an event that the endpoint, the platform or the client has seen; nothing is left to the clock.
 
 use quillhub_fakes::clients::{ask, command, ready};
-use quillhub_fakes::http::Served;
+use quillhub_fakes::http::ServerConnection;
 use quillhub_fakes::process::InstanceProcess;
 use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
 use quillhub_fakes::scripted::unconnectable_address;
@@ -59,7 +59,7 @@
         if self.step == Step::Begun && matches!(stream.peek(&mut [0; 1]).await, Ok(1)) {
             self.seen.notify_one();
         }
-        let mut stream = Served::new(stream);
+        let mut stream = ServerConnection::new(stream);
         while let Ok(Some(_)) = stream.next().await {
             let second = self.second.get();
             self.calls.borrow_mut().push((Instant::now(), second));
@@ -77,7 +77,7 @@
     }
 
     async fn discovery_and_platform(self: Rc<Self>, stream: TcpStream) {
-        let mut stream = Served::new(stream);
+        let mut stream = ServerConnection::new(stream);
         while let Ok(Some(asked)) = stream.next().await {
             let answer = if asked.path == "/v2/finals" {
                 let lines = String::from_utf8(asked.body).unwrap();
--- a/crates/quillhub-server/tests/restarts.rs
+++ b/crates/quillhub-server/tests/restarts.rs
@@ -2,7 +2,7 @@
 //! full state directory, each with discovery out of reach.
 
 use quillhub_fakes::clients::{ask, command, ready};
-use quillhub_fakes::http::Served;
+use quillhub_fakes::http::ServerConnection;
 use quillhub_fakes::process::InstanceProcess;
 use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
 use quillhub_fakes::scripted::unconnectable_address;
@@ -65,7 +65,7 @@
 
 /// Responds to deliveries, to discovery's requests and to final outcomes; notifies of each delivery and outcome.
 async fn serve(stream: TcpStream, list: Value, seen: Rc<Notify>) {
-    let mut stream = Served::new(stream);
+    let mut stream = ServerConnection::new(stream);
     while let Ok(Some(request)) = stream.next().await {
         let _ = match request.path.as_str() {
             "/events" => {
--- a/crates/quillhub-server/tests/state_directory.rs
+++ b/crates/quillhub-server/tests/state_directory.rs
@@ -6,7 +6,7 @@
 use instance::{
     Instance, TEST_TIMEOUT, classes, configuration, endpoint_list, first_version_state_directory,
 };
-use quillhub_fakes::http::Served;
+use quillhub_fakes::http::ServerConnection;
 use quillhub_fakes::scratch::on_one_thread;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -26,20 +26,22 @@
 }
 
 /// Starts a server that handles each connection with `serve`, and returns its address.
-async fn start_server<F: Future<Output = ()> + 'static>(serve: impl Fn(Served) -> F + 'static) -> SocketAddr {
+async fn start_server<F: Future<Output = ()> + 'static>(
+    serve: impl Fn(ServerConnection) -> F + 'static,
+) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let stream: TcpStream = stream;
-            spawn_local(serve(Served::new(stream)));
+            spawn_local(serve(ServerConnection::new(stream)));
         }
     });
     address
 }
 
 /// Serves a connection to an endpoint: records each delivery and responds with success.
-async fn endpoint(mut stream: Served, deliveries: UnboundedSender<Delivery>) {
+async fn endpoint(mut stream: ServerConnection, deliveries: UnboundedSender<Delivery>) {
     while let Ok(Some(request)) = stream.next().await {
         let _ = deliveries.send((request.id.unwrap_or_default(), request.idempotency_key, request.body));
         let _ = stream.answer(200, "", b"").await;
@@ -47,7 +49,11 @@
 }
 
 /// Serves a connection to discovery, whose list never changes, and to the platform, which confirms each outcome.
-async fn discovery_and_platform(mut stream: Served, list: Value, outcomes: UnboundedSender<String>) {
+async fn discovery_and_platform(
+    mut stream: ServerConnection,
+    list: Value,
+    outcomes: UnboundedSender<String>,
+) {
     while let Ok(Some(request)) = stream.next().await {
         if request.path == "/v2/finals" {
             let lines = String::from_utf8(request.body).unwrap();
