--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -175,7 +175,8 @@
         let mut playing = start(scenario, made, started, &others, &directory.0).await?;
         let count = messages.len();
         let (connections, body) = (made.connections, made.body);
-        let clients = clients::play(playing.requests.clone(), playing.listen, messages, connections, body);
+        let clients =
+            clients::submit_scheduled(playing.requests.clone(), playing.listen, messages, connections, body);
         let played = spawn_local(clients);
         playing.watch(&mut others, || played.is_finished()).await?;
         let last = playing.instance.usage().unwrap_or_default();
@@ -209,7 +210,7 @@
     std::fs::write(&at, config.to_string()).map_err(failed)?;
     std::fs::create_dir(&state).map_err(failed)?;
     let instance = InstanceProcess::start(made.program, &at, &state, &log).map_err(failed)?;
-    if !clients::ready(listen, LEAD).await {
+    if !clients::wait_until_ready(listen, LEAD).await {
         let log = std::fs::read_to_string(log).unwrap_or_default();
         return Err(format!("expected a courier that answers, found none; its log: {}", log.trim()));
     }
@@ -225,7 +226,7 @@
         let longest = deadlines.max().unwrap_or_default();
         let end = self.started + self.scenario.length + longest + TAIL;
         let mut next_usage = self.started + Duration::from_secs(1);
-        while Instant::now() < end && !(played() && self.requests.borrow().is_over()) {
+        while Instant::now() < end && !(played() && self.requests.borrow().is_finished()) {
             tokio::select! {
                 Some(event) = others.seen.recv() => self.arrived.seen(&mut self.requests.borrow_mut(), &event),
                 Some(outcome) = others.outcomes.recv() => self.notified(&outcome),
--- a/crates/quillhub-fakes/examples/mixed_versions/gossip.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/gossip.rs
@@ -5,7 +5,7 @@
 //! was warming up, and one that did not has nothing to log, as the endpoint is still ejected.
 
 use crate::instance::{Process, Server, endpoint_list, member, service_class, write_endpoint_list};
-use quillhub_fakes::clients::{ask, command, open, ready};
+use quillhub_fakes::clients::{command, open, send_command, wait_until_ready};
 use quillhub_fakes::http::ServerConnection;
 use quillhub_fakes::scratch::ScratchDirectory;
 use serde_json::{Value, json};
@@ -81,7 +81,7 @@
         let id = format!("{number}{sequence:07}");
         let list = format!("c=free,d={DEADLINE_MS},dest={DESTINATION}");
         let parts: [&[u8]; 5] = [b"SUBMIT", b"0", id.as_bytes(), list.as_bytes(), b"body"];
-        ask(&mut open(self.listen).await?, &command(&parts)).await.map(drop)
+        send_command(&mut open(self.listen).await?, &command(&parts)).await.map(drop)
     }
 
     /// Submits messages until the log has `count` lines with `text`; `false` if that takes too long.
@@ -274,7 +274,7 @@
 pub async fn run(programs: &[PathBuf]) -> Result<(), String> {
     let mut fleet = start_fleet(programs).await.map_err(|error| error.to_string())?;
     for (number, member) in fleet.members.iter().enumerate() {
-        if !ready(member.listen, READY_TIMEOUT).await {
+        if !wait_until_ready(member.listen, READY_TIMEOUT).await {
             return Err(format!("instance {number} is not ready"));
         }
     }
--- a/crates/quillhub-fakes/examples/mixed_versions/takeover.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/takeover.rs
@@ -1,7 +1,7 @@
 //! Takeover of a state directory: a killed instance is replaced by one of another build.
 
 use crate::instance::{Process, Server, endpoint_list, member, service_class, write_endpoint_list};
-use quillhub_fakes::clients::{ask, command, open, ready};
+use quillhub_fakes::clients::{command, open, send_command, wait_until_ready};
 use quillhub_fakes::http::{Request, ServerConnection};
 use quillhub_fakes::scratch::ScratchDirectory;
 use serde_json::{Value, json};
@@ -149,7 +149,7 @@
         let deadline_ms = if class == "brief" { SHORT_DEADLINE_MS } else { DEADLINE_MS };
         let list = format!("c={class},d={deadline_ms}{key},dest={destination}");
         let parts: [&[u8]; 5] = [b"SUBMIT", b"0", id.as_bytes(), list.as_bytes(), b"body"];
-        match ask(&mut stream, &command(&parts)).await?.as_str() {
+        match send_command(&mut stream, &command(&parts)).await?.as_str() {
             "+OK" => run.observe(&id, |message| message.accepted = true),
             _ => run.rejected_submissions.set(run.rejected_submissions.get() + 1),
         }
@@ -264,7 +264,7 @@
     let mut around = start_servers(&run).await.map_err(failed)?;
     let start = |program, name| Process::start(program, &around.configuration, &state.0, &directory.0, name);
     let mut instance = start(first, "first").map_err(failed)?;
-    if !ready(around.listen, READY_TIMEOUT).await {
+    if !wait_until_ready(around.listen, READY_TIMEOUT).await {
         return Err("the first instance is not ready".into());
     }
     let (mut clients, next) = (JoinSet::new(), Rc::new(Cell::new(0)));
@@ -279,7 +279,7 @@
     println!("killed with {} segments of {frames:?} records", frames.len());
     run.taken_over.set(true);
     let _second = start(second, "second").map_err(failed)?;
-    if !ready(around.listen, READY_TIMEOUT).await {
+    if !wait_until_ready(around.listen, READY_TIMEOUT).await {
         return Err("the second instance is not ready".into());
     }
     println!("second instance ready {:.3} s after the kill", killed.elapsed().as_secs_f64());
--- a/crates/quillhub-fakes/src/clients.rs
+++ b/crates/quillhub-fakes/src/clients.rs
@@ -1,5 +1,5 @@
-//! Open-loop clients of one instance: each message has its instant, and its times count from then on, whether or not
-//! a connection was free. What is rejected is submitted again as the scenario's clients do.
+//! Open-loop clients of one instance: each message has a scheduled time, from which its durations are measured even if
+//! no connection is free then. Rejected messages are submitted again as the clients of the scenario do.
 
 use quillhub_simulator::{Arrival, FinalOutcome, Scenario};
 use rand::{RngExt, SeedableRng};
@@ -15,46 +15,48 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A client waits so long for the instance's reply, then closes.
+/// Time after which a client stops waiting for a reply of the instance and closes the connection.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest reply of an instance.
+/// Maximum size of a reply of an instance, in bytes.
 const MAX_REPLY_BYTES: usize = 4 * 1024;
 
-/// A message to come.
+/// Message to be submitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledMessage {
-    /// When it is submitted first.
-    pub at: Duration,
-    /// Its service class, by its place in the scenario's list.
+    /// Time of the first submission, counted from the start of the run.
+    pub submit_at: Duration,
+    /// Service class, as an index into the scenario's list.
     pub service_class: usize,
-    /// The number of its destination, from 1.
+    /// Number of the destination, from 1.
     pub destination: u64,
 }
 
 impl From<Arrival> for ScheduledMessage {
     fn from(arrival: Arrival) -> Self {
-        Self { at: arrival.at, service_class: arrival.service_class, destination: arrival.destination }
+        Self { submit_at: arrival.at, service_class: arrival.service_class, destination: arrival.destination }
     }
 }
 
-/// What a client knows of a message, from its instant on.
+/// State of a message at its client; all times count from its scheduled time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// The message.
+    /// Message that the client submits.
     pub message: ScheduledMessage,
-    /// How often it was rejected.
+    /// Number of times the message was not accepted: rejected, or submitted without a valid reply.
     pub rejections: u32,
-    /// From its instant to the instance's first reply.
+    /// Time until the first submission ended, with a reply or without; `None` before.
     pub first_reply: Option<Duration>,
-    /// From its instant to its final outcome, and that outcome.
+    /// Time until the final outcome, and that outcome; `None` before.
     pub outcome: Option<(Duration, FinalOutcome)>,
 }
 
-/// All messages of a run, and the ids under which they were submitted. Both are as long as the run.
+/// All messages of a run with the ids under which they were submitted, and counts of submissions.
+///
+/// Nothing is removed during the run but the ids of submissions without a valid reply.
 pub struct RequestLog {
-    /// In the order of their instants.
+    /// Messages so far, in the order of their scheduled times.
     pub requests: Vec<ClientRequest>,
-    /// The place in `requests` of each id.
+    /// Index in `requests` by id; each submission of a message has its own id.
     pub ids: BTreeMap<String, usize>,
     /// Submissions that were accepted.
     pub accepted: u64,
@@ -62,44 +64,59 @@
     pub rejected: u64,
     /// Submissions with any other reply or none.
     pub failed: u64,
-    /// From a submission's first byte to its rejection, in the order of their coming.
+    /// Time from the start of each rejected submission to its rejection, in the order in which they were rejected.
     pub rejection_times: Vec<Duration>,
     started: Instant,
     scenario: &'static Scenario,
     rng: Pcg64Mcg,
-    next: u64,
+    last_id: u64,
 }
 
-/// The log of a run, shared by its clients.
+/// Log of a run, shared by its clients on one thread.
 pub type SharedLog = Rc<RefCell<RequestLog>>;
 
 impl RequestLog {
-    /// The empty log of a run that begins at `started`.
+    /// Creates the empty log of a run that begins at `started`; `seed` determines the clients' retry delays.
     pub fn new(scenario: &'static Scenario, seed: u64, started: Instant) -> SharedLog {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         let (requests, ids, rejection_times) = (Vec::new(), BTreeMap::new(), Vec::new());
-        let (accepted, rejected, failed, next) = (0, 0, 0, 0);
-        let log =
-            Self { requests, ids, accepted, rejected, failed, rejection_times, started, scenario, rng, next };
+        let (accepted, rejected, failed, last_id) = (0, 0, 0, 0);
+        let log = Self {
+            requests,
+            ids,
+            accepted,
+            rejected,
+            failed,
+            rejection_times,
+            started,
+            scenario,
+            rng,
+            last_id,
+        };
         Rc::new(RefCell::new(log))
     }
 
-    /// Whether each message has its final outcome.
-    pub fn is_over(&self) -> bool {
+    /// Returns `true` if each message submitted so far has its final outcome.
+    pub fn is_finished(&self) -> bool {
         self.requests.iter().all(|request| request.outcome.is_some())
     }
 
-    /// Records a final outcome that came some other way than by a reply; only the first counts. The request's place.
-    pub fn finish(&mut self, id: &str, at: Instant, outcome: FinalOutcome) -> Option<usize> {
+    /// Records the final outcome that an endpoint or the platform reported for `id` at `time`.
+    ///
+    /// A message keeps its first final outcome. Returns the message's index in `requests`, or `None` if no message has
+    /// the id.
+    pub fn finish(&mut self, id: &str, time: Instant, outcome: FinalOutcome) -> Option<usize> {
         let request = *self.ids.get(id)?;
-        let after = at.saturating_duration_since(self.started + self.requests[request].message.at);
+        let after = time.saturating_duration_since(self.started + self.requests[request].message.submit_at);
         self.requests[request].outcome.get_or_insert((after, outcome));
         Some(request)
     }
 }
 
-/// Submits `messages`, each at its instant, over at most `connections` at once; ends when the last was submitted.
-pub async fn play(
+/// Starts the submission of each of `messages` at its scheduled time, over at most `connections` connections.
+///
+/// Messages have bodies of `body` bytes. Returns once the last submission has started.
+pub async fn submit_scheduled(
     log: SharedLog,
     instance: SocketAddr,
     messages: Vec<ScheduledMessage>,
@@ -118,12 +135,14 @@
             log.requests.push(ClientRequest { message, rejections: 0, first_reply: None, outcome: None });
             (log.started, log.requests.len() - 1)
         };
-        sleep_until(started + message.at).await;
+        sleep_until(started + message.submit_at).await;
         spawn_local(submit(log.clone(), pool.clone(), request, body.clone()));
     }
 }
 
-/// A message was rejected by a notification to the platform: its client retries, as after any rejection.
+/// Retries a message whose rejection the platform was notified of, as after a rejection in a reply.
+///
+/// `request` is the message's index in the log, and `wait` the requested delay.
 pub fn retry_rejected(
     log: SharedLog,
     instance: SocketAddr,
@@ -145,17 +164,19 @@
     instance: SocketAddr,
 }
 
-/// Waits as a client does after a rejection; false if it gives up.
+/// Counts a rejection and waits before the retry; `false` if the client gives up instead.
+///
+/// The delay is a random share of the scenario's backoff, from half to all of it, or `retry_after` if that is longer.
 async fn wait_for_retry(log: &SharedLog, request: usize, retry_after: Option<Duration>) -> bool {
     let wait = {
         let mut log = log.borrow_mut();
         let log = &mut *log;
-        let of = &mut log.requests[request];
-        of.rejections += 1;
-        let deadline = log.scenario.service_classes[of.message.service_class].deadline;
-        let after = log.started.elapsed().saturating_sub(of.message.at);
-        if of.rejections > log.scenario.clients.retries || after >= deadline {
-            of.outcome.get_or_insert((after, FinalOutcome::Rejected { retry_after: None }));
+        let state = &mut log.requests[request];
+        state.rejections += 1;
+        let deadline = log.scenario.service_classes[state.message.service_class].deadline;
+        let after = log.started.elapsed().saturating_sub(state.message.submit_at);
+        if state.rejections > log.scenario.clients.retries || after >= deadline {
+            state.outcome.get_or_insert((after, FinalOutcome::Rejected { retry_after: None }));
             return false;
         }
         log.scenario
@@ -168,20 +189,20 @@
     true
 }
 
-/// Submits a message, and again after each rejection, until it is accepted or its client gives up.
+/// Submits a message and retries it after each rejection until it is accepted or its client gives up.
 async fn submit(log: SharedLog, pool: Rc<Pool>, request: usize, body: Rc<[u8]>) {
     loop {
         let Submission { id, metadata } = next_submission(&mut log.borrow_mut(), request);
         let parts: [&[u8]; 5] = [b"SUBMIT", b"0000000000000000", id.as_bytes(), metadata.as_bytes(), &body];
         let command = command(&parts);
         let Ok(permit) = pool.permits.acquire().await else { return };
-        let begun = Instant::now();
+        let started = Instant::now();
         let reply = timeout(REPLY_TIMEOUT, exchange(&pool, &command)).await;
         let reply = reply.unwrap_or(Err(std::io::ErrorKind::TimedOut.into()));
         drop(permit);
-        let retry_after = match log.borrow_mut().replied(request, &id, reply, begun.elapsed()) {
+        let retry_after = match log.borrow_mut().replied(request, &id, reply, started.elapsed()) {
             Reply::Accepted => return,
-            Reply::Refused { retry_after } => retry_after,
+            Reply::NotAccepted { retry_after } => retry_after,
         };
         if !wait_for_retry(&log, request, retry_after).await {
             return;
@@ -189,39 +210,45 @@
     }
 }
 
-/// One submission of a message.
+/// Fields of one submission: its id and the list of metadata.
 struct Submission {
     id: String,
     metadata: String,
 }
 
 fn next_submission(log: &mut RequestLog, request: usize) -> Submission {
-    log.next += 1;
-    let id = format!("{:016x}", log.next);
+    log.last_id += 1;
+    let id = format!("{:016x}", log.last_id);
     log.ids.insert(id.clone(), request);
     let message = log.requests[request].message;
     let service_class = &log.scenario.service_classes[message.service_class];
-    let age = log.started.elapsed().saturating_sub(message.at);
-    let left = service_class.deadline.saturating_sub(age).as_millis();
+    let age = log.started.elapsed().saturating_sub(message.submit_at);
+    let remaining_ms = service_class.deadline.saturating_sub(age).as_millis();
     let is_deduplicated = !service_class.deduplication_window.is_zero();
     let key = if is_deduplicated { format!(",k={request:016x}") } else { String::new() };
-    let metadata = format!("c={},d={left}{key},dest={}", service_class.name, message.destination);
+    let metadata = format!("c={},d={remaining_ms}{key},dest={}", service_class.name, message.destination);
     Submission { id, metadata }
 }
 
-/// What an instance's reply means for the client.
+/// Reply of an instance, as the client acts on it.
 enum Reply {
     Accepted,
-    /// Rejected, or anything else or nothing.
-    Refused {
+    /// Any other reply than an acceptance, or none.
+    NotAccepted {
         retry_after: Option<Duration>,
     },
 }
 
 impl RequestLog {
-    /// Records the reply to a submission that took `took`.
-    fn replied(&mut self, request: usize, id: &str, reply: std::io::Result<String>, took: Duration) -> Reply {
-        let age = self.started.elapsed().saturating_sub(self.requests[request].message.at);
+    /// Records the reply to a submission; `duration` is the time from its start to the reply.
+    fn replied(
+        &mut self,
+        request: usize,
+        id: &str,
+        reply: std::io::Result<String>,
+        duration: Duration,
+    ) -> Reply {
+        let age = self.started.elapsed().saturating_sub(self.requests[request].message.submit_at);
         self.requests[request].first_reply.get_or_insert(age);
         match reply {
             Ok(reply) if reply.starts_with('+') || reply.starts_with('$') => {
@@ -230,20 +257,20 @@
             }
             Ok(reply) if reply.starts_with("-BUSY") => {
                 self.rejected += 1;
-                self.rejection_times.push(took);
+                self.rejection_times.push(duration);
                 let wait = reply["-BUSY".len()..].trim().parse().ok();
-                Reply::Refused { retry_after: wait.map(Duration::from_millis) }
+                Reply::NotAccepted { retry_after: wait.map(Duration::from_millis) }
             }
             _ => {
                 self.failed += 1;
-                self.ids.remove(id); // what becomes of it under that id counts for nothing
-                Reply::Refused { retry_after: None }
+                self.ids.remove(id); // the retry has another id, and outcomes of this one are ignored
+                Reply::NotAccepted { retry_after: None }
             }
         }
     }
 }
 
-/// A command of these parts, as it is written.
+/// Encodes a command of the client protocol with these parts.
 pub fn command(parts: &[&[u8]]) -> Vec<u8> {
     let mut command = format!("*{}\r\n", parts.len()).into_bytes();
     for part in parts {
@@ -254,34 +281,34 @@
     command
 }
 
-/// Writes one command on a kept or a new connection and reads one line.
+/// Sends a command on an idle or a new connection of `pool` and returns the reply.
 async fn exchange(pool: &Pool, command: &[u8]) -> std::io::Result<String> {
-    let kept = pool.idle.borrow_mut().pop();
-    let fresh = kept.is_none();
-    let mut stream = match kept {
+    let pooled = pool.idle.borrow_mut().pop();
+    let is_new = pooled.is_none();
+    let mut stream = match pooled {
         Some(stream) => stream,
         None => open(pool.instance).await?,
     };
-    let mut reply = ask(&mut stream, command).await;
-    // A kept connection may have been closed while it idled; the command goes once more on a new one.
-    if reply.is_err() && !fresh {
+    let mut reply = send_command(&mut stream, command).await;
+    // An idle connection may have been closed in the meantime, so the command is sent again on a new one.
+    if reply.is_err() && !is_new {
         stream = open(pool.instance).await?;
-        reply = ask(&mut stream, command).await;
+        reply = send_command(&mut stream, command).await;
     }
     let reply = reply?;
     pool.idle.borrow_mut().push(stream);
     Ok(reply)
 }
 
-/// A new connection to an instance.
-pub async fn open(at: SocketAddr) -> std::io::Result<TcpStream> {
-    let stream = TcpStream::connect(at).await?;
+/// Opens a connection to the instance at `address`.
+pub async fn open(address: SocketAddr) -> std::io::Result<TcpStream> {
+    let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// Writes one command and reads one line.
-pub async fn ask(stream: &mut TcpStream, command: &[u8]) -> std::io::Result<String> {
+/// Sends one command and returns the reply, a line without its end.
+pub async fn send_command(stream: &mut TcpStream, command: &[u8]) -> std::io::Result<String> {
     stream.write_all(command).await?;
     let mut read = Vec::new();
     while !read.ends_with(b"\n") {
@@ -292,11 +319,11 @@
     Ok(String::from_utf8_lossy(&read).trim_end().into())
 }
 
-/// Whether the instance answers `PING` in time.
-pub async fn ready(instance: SocketAddr, within: Duration) -> bool {
-    let until = Instant::now() + within;
-    while Instant::now() < until {
-        let reply_to_ping = async { ask(&mut open(instance).await?, b"*1\r\n$4\r\nPING\r\n").await };
+/// Sends `PING` until the instance replies; returns `false` if it does not within `limit`.
+pub async fn wait_until_ready(instance: SocketAddr, limit: Duration) -> bool {
+    let deadline = Instant::now() + limit;
+    while Instant::now() < deadline {
+        let reply_to_ping = async { send_command(&mut open(instance).await?, b"*1\r\n$4\r\nPING\r\n").await };
         if let Ok(Ok(reply)) = timeout(REPLY_TIMEOUT, reply_to_ping).await
             && reply == "+PONG"
         {
--- a/crates/quillhub-scale/src/clients.rs
+++ b/crates/quillhub-scale/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::destinations::HANGING;
 use crate::plan::Load;
 use crate::settings::{CLASS, LONGEST_MS};
-use quillhub_fakes::clients::{ask, command, open};
+use quillhub_fakes::clients::{command, open, send_command};
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
 }
 
 async fn offer(stream: &mut TcpStream, command: &[u8]) -> io::Result<bool> {
-    let word = timeout(PATIENCE, ask(stream, command)).await??;
+    let word = timeout(PATIENCE, send_command(stream, command)).await??;
     Ok(word == "+OK")
 }
 
--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Fleet;
 use crate::plan::{Plan, Sizes, Slope};
 use crate::settings::{self, Addresses};
-use quillhub_fakes::clients::ready;
+use quillhub_fakes::clients::wait_until_ready;
 use quillhub_fakes::process::InstanceProcess;
 use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread, size_on_disk};
 use quillhub_fakes::traffic::Counts;
@@ -191,7 +191,7 @@
         drop(known);
         let begun = Instant::now();
         let instance = start(program, &folder, "real", &configured)?;
-        if !ready(listen, until.saturating_duration_since(begun)).await {
+        if !wait_until_ready(listen, until.saturating_duration_since(begun)).await {
             return breaks("the courier does not answer within the time of a point");
         }
         let ready = begun.elapsed();
@@ -371,7 +371,7 @@
         self.instance.wait_for_exit().await.map_err(fails)?;
         let begun = Instant::now();
         self.instance = start(self.program, &self.folder, "real", &self.folder.0.join("real.json"))?;
-        if !ready(self.listen, self.until.saturating_duration_since(begun)).await {
+        if !wait_until_ready(self.listen, self.until.saturating_duration_since(begun)).await {
             return breaks("the restarted courier does not answer within the time of a point");
         }
         played.put(figure::READY_AGAIN_S, begun.elapsed().as_secs_f64());
@@ -388,7 +388,7 @@
         let begun = Instant::now();
         let _instance = start(self.program, &self.folder, "bare", &configured)?;
         let timeout_span = self.until.saturating_duration_since(begun);
-        if !ready(listen, timeout_span).await {
+        if !wait_until_ready(listen, timeout_span).await {
             return breaks("the courier does not answer within the time of a point");
         }
         let counter = self.fleet.destinations.delivered();
--- a/crates/quillhub-server/tests/instance/mod.rs
+++ b/crates/quillhub-server/tests/instance/mod.rs
@@ -37,7 +37,7 @@
             let stop_requested = async { drop(stopped.await) };
             quillhub_server::serve(&text, &state, stop_requested, pending).await
         });
-        assert!(quillhub_fakes::clients::ready(listen, TEST_TIMEOUT).await);
+        assert!(quillhub_fakes::clients::wait_until_ready(listen, TEST_TIMEOUT).await);
         Self { listen, stop, ended }
     }
 
--- a/crates/quillhub-server/tests/process_signals.rs
+++ b/crates/quillhub-server/tests/process_signals.rs
@@ -2,7 +2,7 @@
 //! directory.
 //! The signal follows an event that the endpoint, the platform or the client has seen; nothing is left to the clock.
 
-use quillhub_fakes::clients::{ask, command, ready};
+use quillhub_fakes::clients::{command, send_command, wait_until_ready};
 use quillhub_fakes::http::ServerConnection;
 use quillhub_fakes::process::InstanceProcess;
 use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
@@ -147,7 +147,7 @@
     let list = format!("c={class},d=12000,k=5c,dest=9");
     let mut client = TcpStream::connect(listen).await.unwrap();
     let command = command(&["SUBMIT", "0", "ab", &list, "body"].map(str::as_bytes));
-    assert_eq!(ask(&mut client, &command).await.unwrap(), "+OK");
+    assert_eq!(send_command(&mut client, &command).await.unwrap(), "+OK");
 }
 
 /// Plays one message's life across two processes, and checks that it had one outcome and was executed once at most.
@@ -173,7 +173,7 @@
     surroundings.list.replace(first_list.clone());
     let listen = own_address();
     let mut first = start(&state, &beside, &configuration(listen, discovery, first_list));
-    assert!(ready(listen, LONG).await, "{what}");
+    assert!(wait_until_ready(listen, LONG).await, "{what}");
     submit(listen, class).await;
     if !matches!(step, Step::Accepted | Step::Opening) {
         surroundings.seen.notified().await;
@@ -187,7 +187,7 @@
     surroundings.list.replace(list(2, Some(endpoint)));
     let listen = own_address();
     let mut second = start(&state, &beside, &configuration(listen, discovery, list(2, Some(endpoint))));
-    assert!(ready(listen, LONG).await, "{what}");
+    assert!(wait_until_ready(listen, LONG).await, "{what}");
     let delivered = || surroundings.calls.borrow().iter().any(|(_, second)| *second);
     let told_platform = || {
         step != Step::FinalOutcome && finals_before > 0 || surroundings.finals.borrow().len() > finals_before
@@ -259,7 +259,7 @@
         assert!(ended.success() || ended.code().is_none(), "{ended}");
         // With a message pending, so that the stop lasts.
         let mut instance = start(&state, &beside, &plan);
-        assert!(ready(listen, LONG).await);
+        assert!(wait_until_ready(listen, LONG).await);
         submit(listen, "free").await;
         for signal in ["TERM", "HUP", "INT", "HUP", "TERM"] {
             assert!(instance.signal(signal).unwrap());
--- a/crates/quillhub-server/tests/requests.rs
+++ b/crates/quillhub-server/tests/requests.rs
@@ -6,7 +6,7 @@
 use instance::{
     Instance, TEST_TIMEOUT, classes, configuration, endpoint_list, first_version_state_directory,
 };
-use quillhub_fakes::clients::{ask, command};
+use quillhub_fakes::clients::{command, send_command};
 use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -104,7 +104,7 @@
             ("ab2", "c=once,d=60000,dest=9", ""),
         ] {
             let submit = command(&["SUBMIT", "1f", id, list, "\0\r\n\u{e9}"].map(str::as_bytes));
-            assert_eq!(ask(&mut client, &submit).await.unwrap(), "+OK");
+            assert_eq!(send_command(&mut client, &submit).await.unwrap(), "+OK");
             let request = next_request(&mut requests, "POST /events ", address).await;
             let expected = format!(
                 "POST /events HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\nX-Request-Id: {id}\r\n{key_header}\
--- a/crates/quillhub-server/tests/restarts.rs
+++ b/crates/quillhub-server/tests/restarts.rs
@@ -1,7 +1,7 @@
 //! An instance's process whose descriptors idle clients and attempts without a response want, and one that starts on a
 //! full state directory, each with discovery out of reach.
 
-use quillhub_fakes::clients::{ask, command, ready};
+use quillhub_fakes::clients::{command, send_command, wait_until_ready};
 use quillhub_fakes::http::ServerConnection;
 use quillhub_fakes::process::InstanceProcess;
 use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
@@ -60,7 +60,7 @@
 
 async fn submit(client: &mut TcpStream, id: usize, class: &str, destination: u64, body: &str) -> String {
     let (id, list) = (format!("ab{id}"), format!("c={class},d=60000,dest={destination}"));
-    ask(client, &command(&["SUBMIT", "0", &id, &list, body].map(str::as_bytes))).await.unwrap()
+    send_command(client, &command(&["SUBMIT", "0", &id, &list, body].map(str::as_bytes))).await.unwrap()
 }
 
 /// Responds to deliveries, to discovery's requests and to final outcomes; notifies of each delivery and outcome.
@@ -106,7 +106,7 @@
             }
         });
         let _instance = start(&state, &beside, &configuration(listen, discovery, list(1, &known)));
-        assert!(ready(listen, LONG).await);
+        assert!(wait_until_ready(listen, LONG).await);
         let mut client = TcpStream::connect(listen).await.unwrap();
         for id in 0..300 {
             assert_eq!(submit(&mut client, id, "once", 9, "body").await, "+OK");
@@ -159,7 +159,7 @@
         let known = list(1, &[row("e".into(), own_address(4), 9)]);
         let listen = own_address(5);
         let mut instance = start(&state, &beside, &configuration(listen, refused, known.clone()));
-        assert!(ready(listen, LONG).await);
+        assert!(wait_until_ready(listen, LONG).await);
         let mut client = TcpStream::connect(listen).await.unwrap();
         let mut pending = 0;
         while submit(&mut client, pending, "free", 9, &"x".repeat(2_000)).await == "+OK" {
@@ -171,7 +171,7 @@
             instance.wait_for_exit().await.unwrap();
             instance = start(&state, &beside, &configuration(listen, discovery, known.clone()));
             let began = std::time::Instant::now();
-            assert!(ready(listen, READY).await, "{pending} pending, discovery at {discovery}");
+            assert!(wait_until_ready(listen, READY).await, "{pending} pending, discovery at {discovery}");
             println!("{pending} pending: ready after {:?}, discovery at {discovery}", began.elapsed());
         }
     };
--- a/crates/quillhub-server/tests/scenario.rs
+++ b/crates/quillhub-server/tests/scenario.rs
@@ -107,13 +107,13 @@
         quillhub_server::check(&text).unwrap();
         let (stop, stopped) = oneshot::channel::<()>();
         let instance = serve(text, state.0.clone(), stopped);
-        assert!(clients::ready(listen, Duration::from_secs(30)).await);
+        assert!(clients::wait_until_ready(listen, Duration::from_secs(30)).await);
         let requests = RequestLog::new(scenario, 7, started);
         let messages: Vec<_> = arrivals(scenario, 7).into_iter().map(ScheduledMessage::from).collect();
         let count = messages.len();
-        let playback = spawn_local(clients::play(requests.clone(), listen, messages, 16, 50));
+        let playback = spawn_local(clients::submit_scheduled(requests.clone(), listen, messages, 16, 50));
         let mut executions = BTreeMap::<String, u32>::new();
-        while !(playback.is_finished() && requests.borrow().is_over()) {
+        while !(playback.is_finished() && requests.borrow().is_finished()) {
             tokio::select! {
                 Some(event) = events.recv() => {
                     let is_execution = matches!(event.kind, EndpointEventKind::Delivered | EndpointEventKind::ExecutedUnheard);
