--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -6,7 +6,7 @@
 use crate::results::round;
 use hdrhistogram::Histogram;
 use quillhub_fakes::clients::{self, RequestLog, ScheduledMessage};
-use quillhub_fakes::endpoints::{self, EndpointEvent, EndpointEventKind, Listed};
+use quillhub_fakes::endpoints::{self, EndpointEvent, EndpointEventKind, ListedEndpoint};
 use quillhub_fakes::platform::{self, Discovery, OutcomeNotification};
 use quillhub_fakes::process::{InstanceProcess, Usage};
 use quillhub_fakes::{configuration, scratch};
@@ -74,7 +74,7 @@
 
 /// The endpoints' own thread, so that they and the clients do not wait for each other.
 struct Endpoints {
-    listed: Vec<Listed>,
+    listed: Vec<ListedEndpoint>,
     platform: SocketAddr,
     seen: UnboundedReceiver<EndpointEvent>,
     outcomes: UnboundedReceiver<OutcomeNotification>,
@@ -82,7 +82,7 @@
 }
 
 fn endpoints(day: &'static Scenario, seed: u64, started: Instant) -> Result<Endpoints, String> {
-    type Started = Result<(Vec<Listed>, SocketAddr), String>;
+    type Started = Result<(Vec<ListedEndpoint>, SocketAddr), String>;
     let (started_sender, started_receiver) = std::sync::mpsc::channel::<Started>();
     let (event_sender, seen) = unbounded_channel();
     let (outcome_sender, outcomes) = unbounded_channel();
@@ -122,13 +122,13 @@
             EndpointEventKind::Arrived => self.attempts += 1,
             EndpointEventKind::Rejected => self.rejected += 1,
             EndpointEventKind::Failed => {}
-            EndpointEventKind::Delivered | EndpointEventKind::ExecutedUnheard => {
+            EndpointEventKind::Delivered | EndpointEventKind::ExecutedResponseLost => {
                 if let Some(key) = &seen.idempotency_key {
                     self.again += u64::from(!self.executed_keys.insert(key.clone()));
                 }
                 if seen.kind == EndpointEventKind::Delivered {
                     self.delivered += 1;
-                    requests.finish(&seen.id, seen.at, FinalOutcome::Delivered);
+                    requests.finish(&seen.id, seen.time, FinalOutcome::Delivered);
                 }
             }
         }
--- a/crates/quillhub-fakes/src/endpoints.rs
+++ b/crates/quillhub-fakes/src/endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoints of a scenario on loopback: one listener each, behind which the simulator's own site decides what a
-//! call meets, and the scenario's faults at their instants.
+//! Endpoints of a scenario on loopback: each has its own listener, the model of the simulator decides the outcome of
+//! each call, and the scenario's faults begin and end at their times.
 
 use crate::accept::accept_each;
 use crate::http::{Request, ServerConnection};
@@ -17,46 +17,46 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// What an endpoint saw, by the id that its call named.
+/// Event at an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEvent {
-    /// The id of the call; empty if it named none.
+    /// Id that the request names; empty if it names none.
     pub id: String,
-    /// Its idempotency key, if it named one.
+    /// Idempotency key of the request, if any.
     pub idempotency_key: Option<String>,
-    /// When it was seen.
-    pub at: Instant,
-    /// What was seen.
+    /// Time of the event.
+    pub time: Instant,
+    /// Kind of the event.
     pub kind: EndpointEventKind,
 }
 
-/// What an endpoint saw of a call.
+/// Kind of an event at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointEventKind {
-    /// It arrived.
+    /// A request was read.
     Arrived,
-    /// It was rejected.
+    /// The message is rejected without being executed.
     Rejected,
-    /// It failed.
+    /// The call ends with status 500.
     Failed,
-    /// It ran, and 200 was written.
+    /// The message was executed, and a response with status 200 was written.
     Delivered,
-    /// It ran, and no response was written.
-    ExecutedUnheard,
+    /// The message was executed, but no response is written.
+    ExecutedResponseLost,
 }
 
-/// One endpoint, as service discovery lists it.
+/// Endpoint as listed by service discovery.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
-    /// Its id.
+pub struct ListedEndpoint {
+    /// Id, which instances use as its name.
     pub id: String,
-    /// Its address.
-    pub at: SocketAddr,
-    /// Its zone.
+    /// Address that the endpoint listens on.
+    pub address: SocketAddr,
+    /// Zone that the endpoint runs in.
     pub zone: String,
-    /// The kind of its destination.
+    /// Kind of the endpoint's destination.
     pub kind: String,
-    /// The number of its destination, from 1.
+    /// Number of the endpoint's destination, from 1.
     pub destination: u64,
 }
 
@@ -64,57 +64,61 @@
     site: Site<'a>,
     rng: Pcg64Mcg,
     started: Instant,
-    /// Calls that wait for a worker, by number; gone when one is free.
+    /// Calls that wait for a worker, by call number. A call gets the worker through its sender, and is cut off if the
+    /// sender is dropped.
     queued: BTreeMap<u64, oneshot::Sender<()>>,
-    /// Connections now open, by server.
-    open: Vec<usize>,
+    /// Number of open connections, by server.
+    open_connections: Vec<usize>,
+    /// Number of calls so far, which is also the number of the last one.
     calls: u64,
     events: UnboundedSender<EndpointEvent>,
 }
 
 type Shared = Rc<RefCell<State<'static>>>;
 
-/// Checks that sockets on loopback can show all faults of a scenario; the first that they cannot, in words.
+/// Checks that all faults of a scenario can be reproduced with sockets; the error names the first that cannot.
 pub fn check_supported(scenario: &Scenario) -> Result<(), String> {
     let site = Site::new(scenario, 0);
-    for (at, scheduled) in scenario.faults.iter().enumerate() {
-        if matches!(site.socket_fault(at), SocketFault::Not) {
+    for (index, scheduled) in scenario.faults.iter().enumerate() {
+        if matches!(site.socket_fault(index), SocketFault::Not) {
             let found = &scheduled.fault;
             return Err(format!(
-                "faults[{at}].what: expected a trouble that sockets can show, found {found:?}"
+                "faults[{index}].what: expected a fault that sockets can reproduce, found {found:?}"
             ));
         }
     }
     Ok(())
 }
 
-/// Starts the endpoints of `scenario` on the current thread's local tasks. Scenario and clock begin at `started`;
-/// they last as long as the process, as does the scenario's description.
+/// Starts the endpoints of `scenario` as local tasks of the current thread and returns them as they are listed.
+///
+/// Times of the scenario count from `started`, and `seed` determines the random draws. Each event at an endpoint is sent
+/// to `events`. The endpoints run until the thread's tasks end.
 pub async fn start(
     scenario: &'static Scenario,
     seed: u64,
     started: Instant,
     events: UnboundedSender<EndpointEvent>,
-) -> std::io::Result<Vec<Listed>> {
+) -> std::io::Result<Vec<ListedEndpoint>> {
     let site = Site::new(scenario, seed);
     let rng = Pcg64Mcg::seed_from_u64(seed);
-    let open = vec![0; site.servers()];
-    let state = State { site, rng, started, queued: BTreeMap::new(), open, calls: 0, events };
+    let open_connections = vec![0; site.servers()];
+    let state = State { site, rng, started, queued: BTreeMap::new(), open_connections, calls: 0, events };
     let state = Rc::new(RefCell::new(state));
     let mut listed = Vec::new();
     let servers = state.borrow().site.servers();
     for server in 0..servers {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let at = listener.local_addr()?;
+        let address = listener.local_addr()?;
         let (destination, kind, zone) = {
             let state = state.borrow();
             let owner = state.site.owner(server);
             (owner.destination as u64 + 1, owner.kind.to_owned(), owner.zone.to_owned())
         };
-        listed.push(Listed { id: format!("e{}", server + 1), at, zone, kind, destination });
+        listed.push(ListedEndpoint { id: format!("e{}", server + 1), address, zone, kind, destination });
         let state = state.clone();
         spawn_local(accept_each(listener, move |stream| {
-            connection(state.clone(), server, ServerConnection::new(stream))
+            serve_connection(state.clone(), server, ServerConnection::new(stream))
         }));
     }
     for (number, scheduled) in scenario.faults.iter().enumerate() {
@@ -136,81 +140,81 @@
     fn begin_fault(&mut self, number: usize) {
         let now = self.started.elapsed();
         self.site.begins_fault(number, now);
-        // Whoever waits at one that refuses from now on is cut off when its sender is dropped.
-        let waiting: Vec<_> = self.queued.keys().copied().collect();
-        let still = self.site.queued();
-        waiting.iter().filter(|call| !still.contains(call)).for_each(|call| {
+        // Calls that were queued at a server that now refuses calls are cut off by dropping their senders.
+        let before: Vec<_> = self.queued.keys().copied().collect();
+        let still_queued = self.site.queued();
+        before.iter().filter(|call| !still_queued.contains(call)).for_each(|call| {
             self.queued.remove(call);
         });
     }
 }
 
 /// Serves one connection until it ends.
-async fn connection(state: Shared, server: usize, link: ServerConnection) {
+async fn serve_connection(state: Shared, server: usize, connection: ServerConnection) {
     let ConnectionFaults { refuses, silent } = state.borrow().site.connection_faults(server);
-    let full = {
+    let is_over_limit = {
         let mut state = state.borrow_mut();
-        state.open[server] += 1;
-        state.site.connections(server).is_some_and(|most| state.open[server] > most)
+        state.open_connections[server] += 1;
+        state.site.connections(server).is_some_and(|max| state.open_connections[server] > max)
     };
-    if refuses || full {
-        link.reset();
+    if refuses || is_over_limit {
+        connection.reset();
     } else if silent {
         std::future::pending::<()>().await;
     } else {
-        let _ = calls(&state, server, link).await;
+        let _ = serve_calls(&state, server, connection).await;
     }
-    state.borrow_mut().open[server] -= 1;
+    state.borrow_mut().open_connections[server] -= 1;
 }
 
 fn report(state: &Shared, request: &Request, kind: EndpointEventKind) {
     let id = request.id.clone().unwrap_or_default();
     let idempotency_key = request.idempotency_key.clone();
-    let event = EndpointEvent { id, idempotency_key, at: Instant::now(), kind };
+    let event = EndpointEvent { id, idempotency_key, time: Instant::now(), kind };
     let _ = state.borrow().events.send(event);
 }
 
-/// Answers the calls of one connection, one after the other.
-async fn calls(state: &Shared, server: usize, mut link: ServerConnection) -> std::io::Result<()> {
-    let idle = state.borrow().site.idle_close();
+/// Serves the calls of one connection one after the other, until it is idle for too long, breaks or is closed.
+async fn serve_calls(state: &Shared, server: usize, mut connection: ServerConnection) -> std::io::Result<()> {
+    let idle_timeout = state.borrow().site.idle_close();
     loop {
-        let next = tokio::time::timeout(idle, link.next()).await;
+        let next = tokio::time::timeout(idle_timeout, connection.next()).await;
         let Ok(Some(request)) = next.unwrap_or(Ok(None)) else { return Ok(()) };
         if request.method != "POST" || request.path != "/events" {
-            link.answer(404, "", b"").await?;
+            connection.answer(404, "", b"").await?;
             continue;
         }
         report(state, &request, EndpointEventKind::Arrived);
-        let call = Call::arrive(state, server, request);
+        let call = Call::admit(state, server, request);
         let admission = call.admission;
         let is_open = match admission {
             Admission::Breaks => false,
             Admission::Hangs => std::future::pending().await,
-            Admission::Rejected(retry_after) => call.reject(&mut link, retry_after).await?,
-            Admission::Fails(time) => call.fail(&mut link, time).await?,
-            Admission::Begins | Admission::Queues => call.execute(&mut link).await?,
+            Admission::Rejected(retry_after) => call.reject(&mut connection, retry_after).await?,
+            Admission::Fails(time) => call.fail(&mut connection, time).await?,
+            Admission::Begins | Admission::Queues => call.execute(&mut connection).await?,
         };
         if !is_open {
-            link.reset();
+            connection.reset();
             return Ok(());
         }
     }
 }
 
-/// One call at a server; its methods tell whether the connection stays open.
+/// Call at a server. Its methods return `true` if the connection stays open.
 struct Call<'s> {
     state: &'s Shared,
     server: usize,
     request: Request,
     number: u64,
     admission: Admission,
-    /// The header with the load report, where there is one.
+    /// Header line with the load report; empty if the server sends none.
     load_header: String,
 }
 
 impl<'s> Call<'s> {
-    /// A call came; the server decides what to do with it.
-    fn arrive(shared: &'s Shared, server: usize, request: Request) -> Self {
+    /// Creates the call for a request that was read, and decides its outcome.
+    fn admit(shared: &'s Shared, server: usize, request: Request) -> Self {
         let state = &mut *shared.borrow_mut();
         let now = state.started.elapsed();
         let admission = state.site.admit(server, now, &mut state.rng).admission;
@@ -227,7 +231,7 @@
 
     async fn reject(
         &self,
-        link: &mut ServerConnection,
+        connection: &mut ServerConnection,
         retry_after: Option<Duration>,
     ) -> std::io::Result<bool> {
         self.report(EndpointEventKind::Rejected);
@@ -235,22 +239,22 @@
         match retry_after {
             Some(wait) => {
                 let ms = wait.as_nanos().div_ceil(1_000_000);
-                link.answer(429, &format!("{header}X-Backoff-Ms: {ms}\r\n"), b"").await?;
+                connection.answer(429, &format!("{header}X-Backoff-Ms: {ms}\r\n"), b"").await?;
             }
-            None => link.answer(503, header, b"").await?,
+            None => connection.answer(503, header, b"").await?,
         }
         Ok(true)
     }
 
-    async fn fail(&self, link: &mut ServerConnection, time: Duration) -> std::io::Result<bool> {
+    async fn fail(&self, connection: &mut ServerConnection, time: Duration) -> std::io::Result<bool> {
         sleep(time).await;
         self.report(EndpointEventKind::Failed);
-        link.answer(500, &self.load_header, b"").await?;
+        connection.answer(500, &self.load_header, b"").await?;
         Ok(true)
     }
 
-    async fn execute(&self, link: &mut ServerConnection) -> std::io::Result<bool> {
-        if self.admission == Admission::Queues && !self.worker_is_free().await {
+    async fn execute(&self, connection: &mut ServerConnection) -> std::io::Result<bool> {
+        if self.admission == Admission::Queues && !self.wait_for_worker().await {
             return Ok(false);
         }
         let (time, starts) = {
@@ -266,32 +270,32 @@
         let is_lost = self.free_worker();
         let is_silent = self.state.borrow().site.connection_faults(self.server).silent;
         if is_lost || is_silent {
-            self.report(EndpointEventKind::ExecutedUnheard);
+            self.report(EndpointEventKind::ExecutedResponseLost);
             std::future::pending::<()>().await;
         }
-        link.answer(200, &self.load_header, b"ok").await?;
+        connection.answer(200, &self.load_header, b"ok").await?;
         self.report(EndpointEventKind::Delivered);
         Ok(true)
     }
 
-    /// Waits for a worker; false if the call is cut off before.
-    async fn worker_is_free(&self) -> bool {
-        let (free, freed) = oneshot::channel();
+    /// Waits for a worker; returns `false` if the call is cut off before.
+    async fn wait_for_worker(&self) -> bool {
+        let (worker_sender, worker_receiver) = oneshot::channel();
         {
             let mut state = self.state.borrow_mut();
             state.site.queues(self.server, self.number);
-            state.queued.insert(self.number, free);
+            state.queued.insert(self.number, worker_sender);
         }
-        freed.await.is_ok()
+        worker_receiver.await.is_ok()
     }
 
-    /// The worker of this call takes up the next; whether the response is lost.
+    /// Passes this call's worker to the next queued call; returns `true` if this call's response is lost.
     fn free_worker(&self) -> bool {
         let state = &mut *self.state.borrow_mut();
         if let Some(next) = state.site.ends(self.server)
-            && let Some(free) = state.queued.remove(&next)
+            && let Some(worker_sender) = state.queued.remove(&next)
         {
-            let _ = free.send(());
+            let _ = worker_sender.send(());
         }
         let lost = state.site.response_faults(self.server).lost;
         state.rng.random::<f64>() < lost
--- a/crates/quillhub-fakes/src/platform.rs
+++ b/crates/quillhub-fakes/src/platform.rs
@@ -1,7 +1,7 @@
 //! Service discovery and platform on one address: the list, a watch on its changes, and final outcomes.
 
 use crate::accept::accept_each;
-use crate::endpoints::Listed;
+use crate::endpoints::ListedEndpoint;
 use crate::http::ServerConnection;
 use crate::traffic::Traffic;
 use quillhub_simulator::{Scenario, Site, SocketFault};
@@ -37,7 +37,7 @@
 /// The list that service discovery tells; each change adds a version.
 pub struct Discovery {
     /// Each endpoint and its phase.
-    pub members: Vec<(Listed, &'static str)>,
+    pub members: Vec<(ListedEndpoint, &'static str)>,
     /// The version of the list.
     pub revision: u64,
     /// While it is out of reach, it answers nothing.
@@ -51,14 +51,14 @@
     written: Option<(u64, Rc<str>)>,
 }
 
-fn member(listed: &Listed, phase: &str) -> Value {
-    json!({"id": listed.id, "host_port": listed.at.to_string(), "locality": listed.zone, "flavor": listed.kind,
+fn member(listed: &ListedEndpoint, phase: &str) -> Value {
+    json!({"id": listed.id, "host_port": listed.address.to_string(), "locality": listed.zone, "flavor": listed.kind,
         "cell": listed.destination, "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
 impl Discovery {
     /// A list of these endpoints, all up.
-    pub fn new(all: &[Listed]) -> Rc<RefCell<Self>> {
+    pub fn new(all: &[ListedEndpoint]) -> Rc<RefCell<Self>> {
         let members = all.iter().map(|listed| (listed.clone(), "up")).collect();
         let places = all.iter().enumerate().map(|(place, listed)| (listed.id.clone(), place)).collect();
         let (changed, _) = watch::channel(1);
@@ -104,7 +104,7 @@
     pub fn replace(&mut self, old: &str) {
         let Some(place) = self.places.get(old) else { return };
         let id = format!("e{}", self.members.len() + 1);
-        let new = Listed { id: id.clone(), ..self.members[*place].0.clone() };
+        let new = ListedEndpoint { id: id.clone(), ..self.members[*place].0.clone() };
         self.places.insert(id.clone(), self.members.len());
         self.members.push((new, "up"));
         self.change(&id, "up");
--- a/crates/quillhub-scale/src/control.rs
+++ b/crates/quillhub-scale/src/control.rs
@@ -2,7 +2,7 @@
 //! their traffic is counted apart; both serve one endpoint list.
 
 use crate::thread::Worker;
-use quillhub_fakes::endpoints::Listed;
+use quillhub_fakes::endpoints::ListedEndpoint;
 use quillhub_fakes::platform::{self, Counted, Discovery};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -45,7 +45,7 @@
 }
 
 impl Control {
-    pub fn start(listed: Vec<Listed>) -> Result<Self, String> {
+    pub fn start(listed: Vec<ListedEndpoint>) -> Result<Self, String> {
         let (with_real, with_lightweight) = (Counted::default(), Counted::default());
         let (real, lightweight) = (with_real.clone(), with_lightweight.clone());
         let (commands, mut asked) = unbounded_channel::<Command>();
--- a/crates/quillhub-scale/src/destinations.rs
+++ b/crates/quillhub-scale/src/destinations.rs
@@ -4,7 +4,7 @@
 use crate::settings;
 use crate::thread::Worker;
 use quillhub_fakes::accept::accept_each;
-use quillhub_fakes::endpoints::Listed;
+use quillhub_fakes::endpoints::ListedEndpoint;
 use quillhub_fakes::http::ServerConnection;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -54,10 +54,10 @@
     }
 
     /// The endpoints of so many destinations that answer, numbered from 1, and after them of those that hang.
-    pub fn listed(&self, healthy: u64, hanging: u64) -> Vec<Listed> {
-        let endpoint = |destination: u64| Listed {
+    pub fn listed(&self, healthy: u64, hanging: u64) -> Vec<ListedEndpoint> {
+        let endpoint = |destination: u64| ListedEndpoint {
             id: endpoint(destination),
-            at: if destination <= healthy { self.healthy } else { self.hanging },
+            address: if destination <= healthy { self.healthy } else { self.hanging },
             zone: settings::ZONE.into(),
             kind: settings::KIND.into(),
             destination,
--- a/crates/quillhub-server/tests/scenario.rs
+++ b/crates/quillhub-server/tests/scenario.rs
@@ -116,12 +116,12 @@
         while !(playback.is_finished() && requests.borrow().is_finished()) {
             tokio::select! {
                 Some(event) = events.recv() => {
-                    let is_execution = matches!(event.kind, EndpointEventKind::Delivered | EndpointEventKind::ExecutedUnheard);
+                    let is_execution = matches!(event.kind, EndpointEventKind::Delivered | EndpointEventKind::ExecutedResponseLost);
                     if let Some(key) = event.idempotency_key.filter(|_| is_execution) {
                         *executions.entry(key).or_default() += 1;
                     }
                     if event.kind == EndpointEventKind::Delivered {
-                        requests.borrow_mut().finish(&event.id, event.at, FinalOutcome::Delivered);
+                        requests.borrow_mut().finish(&event.id, event.time, FinalOutcome::Delivered);
                     }
                 }
                 Some(outcome) = outcomes.recv() => {
@@ -156,7 +156,7 @@
     let text = SCENARIO.replace("what = 'refuse'", "what = { cut = {} }");
     let error = endpoints::check_supported(scenario(&text)).unwrap_err();
     assert!(
-        error.starts_with("faults[0].what: expected a trouble that sockets can show")
+        error.starts_with("faults[0].what: expected a fault that sockets can reproduce")
             && !error.contains('\n')
     );
 }
