--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -93,7 +93,7 @@
                 let listed = endpoints::start(day, seed, started, event_sender).await?;
                 let discovery = Discovery::new(&listed);
                 let at = platform::start(discovery.clone(), outcome_sender).await?;
-                platform::play_faults(day, seed, started, &discovery);
+                platform::schedule_faults(day, seed, started, &discovery);
                 Ok::<_, std::io::Error>((listed, at))
             };
             let _ = started_sender.send(made.await.map_err(|e| format!("a stand-in cannot start: {e}")));
@@ -254,7 +254,7 @@
                 clients::retry_rejected(requests, self.listen, order, outcome.retry_after, body);
             }
         } else {
-            self.requests.borrow_mut().finish(&outcome.id, outcome.at, FinalOutcome::Abandoned);
+            self.requests.borrow_mut().finish(&outcome.id, outcome.received_at, FinalOutcome::Abandoned);
         }
     }
 }
--- a/crates/quillhub-fakes/src/platform.rs
+++ b/crates/quillhub-fakes/src/platform.rs
@@ -1,4 +1,5 @@
-//! Service discovery and platform on one address: the list, a watch on its changes, and final outcomes.
+//! Service discovery and platform on one address: the endpoint list, watches of its changes, and notifications of final
+//! outcomes.
 
 use crate::accept::accept_each;
 use crate::endpoints::ListedEndpoint;
@@ -18,107 +19,119 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A watch sends an empty line so often while nothing changes.
-const EMPTY_LINE: Duration = Duration::from_secs(2);
+/// Time after which a watch sends an empty line if the list has not changed.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A final outcome, as the platform reads it.
+/// Notification of a final outcome that the platform received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutcomeNotification {
-    /// The id of the message.
+    /// Id of the message.
     pub id: String,
-    /// Whether it was rejected, and not abandoned.
+    /// `true` if the message was rejected, `false` if it was abandoned.
     pub rejected: bool,
-    /// How long to wait before a retry, if that is told.
+    /// Requested delay before a retry, if any.
     pub retry_after: Option<Duration>,
-    /// When the notification came.
-    pub at: Instant,
+    /// Time at which the notification was read.
+    pub received_at: Instant,
 }
 
-/// The list that service discovery tells; each change adds a version.
+/// Endpoint list of service discovery; each change increments its revision.
 pub struct Discovery {
-    /// Each endpoint and its phase.
+    /// Each endpoint with its phase: `up`, `draining` or `removed`.
     pub members: Vec<(ListedEndpoint, &'static str)>,
-    /// The version of the list.
+    /// Revision of the list, 1 at first.
     pub revision: u64,
-    /// While it is out of reach, it answers nothing.
+    /// `true` while requests to discovery get no response and watches send nothing.
     pub is_unreachable: bool,
     changed: watch::Sender<u64>,
-    /// Rows of each version, as told, in order.
+    /// Changed entry of each revision after the first, in order.
     changes: Vec<(u64, Value)>,
-    /// Where each id stands in `members`.
-    places: BTreeMap<String, usize>,
-    /// The whole list as written, with its version.
-    written: Option<(u64, Rc<str>)>,
+    /// Index in `members` by id.
+    indices: BTreeMap<String, usize>,
+    /// Text of the complete list, with the revision that it was written for; `None` before the first request.
+    list_cache: Option<(u64, Rc<str>)>,
 }
 
-fn member(listed: &ListedEndpoint, phase: &str) -> Value {
+fn entry(listed: &ListedEndpoint, phase: &str) -> Value {
     json!({"id": listed.id, "host_port": listed.address.to_string(), "locality": listed.zone, "flavor": listed.kind,
         "cell": listed.destination, "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
 impl Discovery {
-    /// A list of these endpoints, all up.
-    pub fn new(all: &[ListedEndpoint]) -> Rc<RefCell<Self>> {
-        let members = all.iter().map(|listed| (listed.clone(), "up")).collect();
-        let places = all.iter().enumerate().map(|(place, listed)| (listed.id.clone(), place)).collect();
+    /// Creates a list of these endpoints, all of them up.
+    pub fn new(endpoints: &[ListedEndpoint]) -> Rc<RefCell<Self>> {
+        let members = endpoints.iter().map(|listed| (listed.clone(), "up")).collect();
+        let indices =
+            endpoints.iter().enumerate().map(|(index, listed)| (listed.id.clone(), index)).collect();
         let (changed, _) = watch::channel(1);
-        let (revision, is_unreachable, changes, written) = (1, false, Vec::new(), None);
-        Rc::new(RefCell::new(Self { members, revision, is_unreachable, changed, changes, places, written }))
+        let (revision, is_unreachable, changes, list_cache) = (1, false, Vec::new(), None);
+        Rc::new(RefCell::new(Self {
+            members,
+            revision,
+            is_unreachable,
+            changed,
+            changes,
+            indices,
+            list_cache,
+        }))
     }
 
-    /// The whole list.
+    /// Returns the complete list, without removed endpoints.
     pub fn list(&self) -> Value {
         let live = self.members.iter().filter(|(_, phase)| *phase != "removed");
-        let members: Vec<_> = live.map(|(listed, phase)| member(listed, phase)).collect();
+        let members: Vec<_> = live.map(|(listed, phase)| entry(listed, phase)).collect();
         json!({"revision": self.revision, "complete": true, "members": members})
     }
 
-    /// The whole list as it is written: row by row, so that a large one takes no more room than its text.
+    /// Returns the complete list as JSON text. Entries are serialised one by one, so that a large list needs no more
+    /// memory than its text.
     pub fn list_text(&mut self) -> Rc<str> {
-        if let Some((_, text)) = self.written.as_ref().filter(|(revision, _)| *revision == self.revision) {
+        if let Some((_, text)) = self.list_cache.as_ref().filter(|(revision, _)| *revision == self.revision) {
             return text.clone();
         }
         let mut text = format!("{{\"revision\":{},\"complete\":true,\"members\":[", self.revision);
         let live = self.members.iter().filter(|(_, phase)| *phase != "removed");
-        for (nth, (listed, phase)) in live.enumerate() {
-            text.push_str(if nth == 0 { "" } else { "," });
-            text.push_str(&member(listed, phase).to_string());
+        for (index, (listed, phase)) in live.enumerate() {
+            text.push_str(if index == 0 { "" } else { "," });
+            text.push_str(&entry(listed, phase).to_string());
         }
         text.push_str("]}");
         let text: Rc<str> = text.into();
-        self.written = Some((self.revision, text.clone()));
+        self.list_cache = Some((self.revision, text.clone()));
         text
     }
 
-    /// An endpoint is `up`, `draining` or `removed` from now on.
+    /// Sets the phase of an endpoint to `up`, `draining` or `removed`; ignores an unknown id.
     pub fn change(&mut self, id: &str, phase: &'static str) {
-        let Some(place) = self.places.get(id) else { return };
-        let (listed, was) = &mut self.members[*place];
-        *was = phase;
+        let Some(index) = self.indices.get(id) else { return };
+        let (listed, old_phase) = &mut self.members[*index];
+        *old_phase = phase;
         self.revision += 1;
-        self.changes.push((self.revision, member(listed, phase)));
+        self.changes.push((self.revision, entry(listed, phase)));
         self.changed.send_replace(self.revision);
     }
 
-    /// A new endpoint, at the address of `old`.
-    pub fn replace(&mut self, old: &str) {
-        let Some(place) = self.places.get(old) else { return };
+    /// Adds an endpoint with a new id and the address of the endpoint `old_id`; ignores an unknown id.
+    pub fn replace(&mut self, old_id: &str) {
+        let Some(index) = self.indices.get(old_id) else { return };
         let id = format!("e{}", self.members.len() + 1);
-        let new = ListedEndpoint { id: id.clone(), ..self.members[*place].0.clone() };
-        self.places.insert(id.clone(), self.members.len());
+        let new = ListedEndpoint { id: id.clone(), ..self.members[*index].0.clone() };
+        self.indices.insert(id.clone(), self.members.len());
         self.members.push((new, "up"));
         self.change(&id, "up");
     }
 
-    fn after(&self, revision: u64) -> Value {
-        let from = self.changes.partition_point(|(at, _)| *at <= revision);
-        let rows: Vec<_> = self.changes[from..].iter().map(|(_, row)| row).collect();
+    fn changes_after(&self, revision: u64) -> Value {
+        let first = self.changes.partition_point(|(changed_in, _)| *changed_in <= revision);
+        let rows: Vec<_> = self.changes[first..].iter().map(|(_, row)| row).collect();
         json!({"revision": self.revision, "complete": false, "members": rows})
     }
 }
 
-/// Plays the scenario's faults that service discovery shows: its own outages, and drains.
-pub fn play_faults(
+/// Schedules the faults of `scenario` that concern service discovery: its outages, and drains of endpoints.
+///
+/// Times count from `started`; `seed` must be that of the endpoints, as it selects the endpoints that drain.
+pub fn schedule_faults(
     scenario: &'static Scenario,
     seed: u64,
     started: Instant,
@@ -137,18 +150,18 @@
                     discovery.borrow_mut().is_unreachable = false;
                 });
             }
-            SocketFault::ByDrain(by) => {
+            SocketFault::ByDrain(drain) => {
                 let targets = site.struck(number, &scheduled.target, |_| true);
-                let each = scheduled.lasts / targets.len().max(1) as u32;
-                for (nth, server) in targets.into_iter().enumerate() {
+                let interval = scheduled.lasts / targets.len().max(1) as u32;
+                for (index, server) in targets.into_iter().enumerate() {
                     let (discovery, id) = (discovery.clone(), format!("e{}", server + 1));
                     spawn_local(async move {
-                        sleep_until(begin + each * nth as u32).await;
+                        sleep_until(begin + interval * index as u32).await;
                         discovery.borrow_mut().change(&id, "draining");
-                        if by.replaced {
+                        if drain.replaced {
                             discovery.borrow_mut().replace(&id);
                         }
-                        sleep(by.gone_after).await;
+                        sleep(drain.gone_after).await;
                         discovery.borrow_mut().change(&id, "removed");
                     });
                 }
@@ -158,75 +171,81 @@
     }
 }
 
-/// What goes over the connections of each of the two.
+/// Traffic of service discovery and platform, counted separately.
 #[derive(Clone, Default)]
-pub struct Counted {
-    /// Of service discovery.
+pub struct ControlTraffic {
+    /// Traffic of service discovery.
     pub discovery: Arc<Traffic>,
-    /// Of the platform.
+    /// Traffic of the platform.
     pub platform: Arc<Traffic>,
 }
 
-/// Starts both on the current thread's local tasks.
+/// Starts service discovery and platform as local tasks of the current thread and returns their address.
+///
+/// Notifications of final outcomes are sent to `outcomes`.
 pub async fn start(
     discovery: Rc<RefCell<Discovery>>,
-    tell: UnboundedSender<OutcomeNotification>,
+    outcomes: UnboundedSender<OutcomeNotification>,
 ) -> std::io::Result<SocketAddr> {
-    start_counted(discovery, tell, Counted::default()).await
+    start_with_traffic(discovery, outcomes, ControlTraffic::default()).await
 }
 
-/// The same, with their traffic counted.
-pub async fn start_counted(
+/// Starts service discovery and platform as [`start`] does, and counts their traffic in `traffic`.
+pub async fn start_with_traffic(
     discovery: Rc<RefCell<Discovery>>,
-    tell: UnboundedSender<OutcomeNotification>,
-    traffic: Counted,
+    outcomes: UnboundedSender<OutcomeNotification>,
+    traffic: ControlTraffic,
 ) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
-    let at = listener.local_addr()?;
+    let address = listener.local_addr()?;
     spawn_local(accept_each(listener, move |stream| {
-        let link = ServerConnection::with_traffic(stream, traffic.discovery.clone());
-        serve(discovery.clone(), tell.clone(), link, traffic.platform.clone())
+        let connection = ServerConnection::with_traffic(stream, traffic.discovery.clone());
+        serve(discovery.clone(), outcomes.clone(), connection, traffic.platform.clone())
     }));
-    Ok(at)
+    Ok(address)
 }
 
 async fn serve(
     discovery: Rc<RefCell<Discovery>>,
-    tell: UnboundedSender<OutcomeNotification>,
-    mut link: ServerConnection,
+    outcomes: UnboundedSender<OutcomeNotification>,
+    mut connection: ServerConnection,
     platform: Arc<Traffic>,
 ) -> std::io::Result<()> {
-    while let Some(request) = link.next().await? {
+    while let Some(request) = connection.next().await? {
         if request.method == "POST" && request.path == "/v2/finals" {
-            link.move_traffic_to(&platform);
-            let read: Option<Vec<OutcomeNotification>> =
-                request.body.split(|b| *b == b'\n').filter(|l| !l.is_empty()).map(read).collect();
-            match read {
-                Some(all) => {
-                    all.into_iter().for_each(|one| {
-                        let _ = tell.send(one);
+            connection.move_traffic_to(&platform);
+            let notifications: Option<Vec<OutcomeNotification>> = request
+                .body
+                .split(|b| *b == b'\n')
+                .filter(|l| !l.is_empty())
+                .map(parse_notification)
+                .collect();
+            match notifications {
+                Some(notifications) => {
+                    notifications.into_iter().for_each(|notification| {
+                        let _ = outcomes.send(notification);
                     });
-                    link.answer(204, "", b"").await?;
+                    connection.answer(204, "", b"").await?;
                 }
-                None => link.answer(400, "", b"").await?,
+                None => connection.answer(400, "", b"").await?,
             }
         } else if discovery.borrow().is_unreachable {
             std::future::pending::<()>().await;
         } else if let Some(query) = request.path.strip_prefix("/registry/instances?") {
             let after = query.split('&').find_map(|part| part.strip_prefix("after="));
             let after = after.and_then(|text| text.parse().ok()).unwrap_or(0);
-            return watched(&discovery, link, after).await;
+            return serve_watch(&discovery, connection, after).await;
         } else if request.path == "/registry/instances" {
             let list = discovery.borrow_mut().list_text();
-            link.answer(200, "Content-Type: application/json\r\n", list.as_bytes()).await?;
+            connection.answer(200, "Content-Type: application/json\r\n", list.as_bytes()).await?;
         } else {
-            link.answer(404, "", b"").await?;
+            connection.answer(404, "", b"").await?;
         }
     }
     Ok(())
 }
 
-fn read(line: &[u8]) -> Option<OutcomeNotification> {
+fn parse_notification(line: &[u8]) -> Option<OutcomeNotification> {
     let line: Value = serde_json::from_slice(line).ok()?;
     let rejected = match line["result"].as_str()? {
         "bounced" => true,
@@ -234,16 +253,21 @@
         _ => return None,
     };
     let retry_after = line["wait_ms"].as_u64().map(Duration::from_millis);
-    Some(OutcomeNotification { id: line["ref"].as_str()?.into(), rejected, retry_after, at: Instant::now() })
+    Some(OutcomeNotification {
+        id: line["ref"].as_str()?.into(),
+        rejected,
+        retry_after,
+        received_at: Instant::now(),
+    })
 }
 
-/// One watch, until its connection ends.
-async fn watched(
+/// Serves a watch of the changes after revision `after`, until its connection ends.
+async fn serve_watch(
     discovery: &RefCell<Discovery>,
-    mut link: ServerConnection,
+    mut connection: ServerConnection,
     mut after: u64,
 ) -> std::io::Result<()> {
-    link.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+    connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
     let mut changed = discovery.borrow().changed.subscribe();
     loop {
         if discovery.borrow().is_unreachable {
@@ -252,11 +276,14 @@
         let (line, revision) = {
             let discovery = discovery.borrow();
             let has_changes = discovery.revision > after;
-            (if has_changes { discovery.after(after).to_string() } else { String::new() }, discovery.revision)
+            (
+                if has_changes { discovery.changes_after(after).to_string() } else { String::new() },
+                discovery.revision,
+            )
         };
         after = revision;
         let line = format!("{line}\n");
-        link.write(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).await?;
-        let _ = timeout(EMPTY_LINE, changed.wait_for(|now| *now > after)).await;
+        connection.write(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).await?;
+        let _ = timeout(KEEPALIVE_INTERVAL, changed.wait_for(|now| *now > after)).await;
     }
 }
--- a/crates/quillhub-scale/src/control.rs
+++ b/crates/quillhub-scale/src/control.rs
@@ -3,7 +3,7 @@
 
 use crate::thread::Worker;
 use quillhub_fakes::endpoints::ListedEndpoint;
-use quillhub_fakes::platform::{self, Counted, Discovery};
+use quillhub_fakes::platform::{self, ControlTraffic, Discovery};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -30,9 +30,9 @@
     /// Where lightweight instances find them.
     pub for_lightweight: SocketAddr,
     /// Traffic with real instances.
-    pub with_real: Counted,
+    pub with_real: ControlTraffic,
     /// Traffic with lightweight instances.
-    pub with_lightweight: Counted,
+    pub with_lightweight: ControlTraffic,
     finals: Arc<AtomicU64>,
     commands: UnboundedSender<Command>,
     worker: Worker,
@@ -46,7 +46,7 @@
 
 impl Control {
     pub fn start(listed: Vec<ListedEndpoint>) -> Result<Self, String> {
-        let (with_real, with_lightweight) = (Counted::default(), Counted::default());
+        let (with_real, with_lightweight) = (ControlTraffic::default(), ControlTraffic::default());
         let (real, lightweight) = (with_real.clone(), with_lightweight.clone());
         let (commands, mut asked) = unbounded_channel::<Command>();
         let finals = Arc::new(AtomicU64::new(0));
@@ -55,8 +55,8 @@
             let register = Discovery::new(&listed);
             drop(listed);
             let (tell, mut told) = unbounded_channel();
-            let for_real = platform::start_counted(register.clone(), tell.clone(), real).await?;
-            let for_lightweight = platform::start_counted(register.clone(), tell, lightweight).await?;
+            let for_real = platform::start_with_traffic(register.clone(), tell.clone(), real).await?;
+            let for_lightweight = platform::start_with_traffic(register.clone(), tell, lightweight).await?;
             spawn_local(async move {
                 while told.recv().await.is_some() {
                     counted.fetch_add(1, Ordering::Relaxed);
--- a/crates/quillhub-server/tests/scenario.rs
+++ b/crates/quillhub-server/tests/scenario.rs
@@ -100,7 +100,7 @@
         let listed = endpoints::start(scenario, 7, started, event_sender).await.unwrap();
         let discovery = Discovery::new(&listed);
         let platform_address = platform::start(discovery.clone(), outcome_sender).await.unwrap();
-        platform::play_faults(scenario, 7, started, &discovery);
+        platform::schedule_faults(scenario, 7, started, &discovery);
         let listen = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let known = discovery.borrow().list();
         let text = configuration::instance(scenario, 7, listen, platform_address, known, 256).to_string();
@@ -128,7 +128,7 @@
                     let order = requests.borrow().ids.get(&outcome.id).copied();
                     match order.filter(|_| outcome.rejected) {
                         Some(order) => clients::retry_rejected(requests.clone(), listen, order, outcome.retry_after, 50),
-                        None => drop(requests.borrow_mut().finish(&outcome.id, outcome.at, FinalOutcome::Abandoned)),
+                        None => drop(requests.borrow_mut().finish(&outcome.id, outcome.received_at, FinalOutcome::Abandoned)),
                     }
                 }
                 () = tokio::time::sleep(Duration::from_millis(50)) => {}
