--- a/crates/quillhub-fakes/examples/mixed_versions/gossip.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/gossip.rs
@@ -39,7 +39,7 @@
 const RECOVERY: &str = "before=ejected after=warming up";
 const EJECTION_AFTER_RECOVERY: &str = "before=warming up after=ejected";
 
-/// Passes each datagram on to all instances but its sender.
+/// Relay that passes each datagram on to all instances but its sender, and counts.
 struct Relay {
     socket: UdpSocket,
     members: RefCell<Vec<SocketAddr>>,
@@ -65,7 +65,7 @@
     }
 }
 
-/// An instance, the address for its clients, and the number of messages submitted to it.
+/// Instance with the address for its clients and the number of messages submitted to it.
 struct Member {
     process: Process,
     listen: SocketAddr,
@@ -84,7 +84,8 @@
         send_command(&mut open(self.listen).await?, &command(&parts)).await.map(drop)
     }
 
-    /// Submits messages until the log has `count` lines with `text`; `false` if that takes too long.
+    /// Submits messages until the log has `count` lines with `text`; returns `false` if it has not within
+    /// [`LOG_TIMEOUT`].
     async fn submit_until_logged(&self, number: usize, text: &str, count: usize) -> io::Result<bool> {
         let started = Instant::now();
         while self.process.count_log_lines(text) < count {
@@ -104,7 +105,7 @@
     relay: Rc<Relay>,
     requests: Vec<Rc<Cell<u32>>>,
     _control: Server,
-    _folders: Vec<ScratchDirectory>,
+    _directories: Vec<ScratchDirectory>,
 }
 
 /// Delivers, and counts the requests by the instance number at the start of their ids.
@@ -176,7 +177,7 @@
     let mut control = Server::closed()?;
     let known = list.clone();
     control.open(move |stream| serve_control(known.clone(), stream)).await?;
-    let (mut members, mut folders, mut requests) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut members, mut directories, mut requests) = (Vec::new(), Vec::new(), Vec::new());
     for (number, program) in programs.iter().enumerate() {
         let (state, directory) = (ScratchDirectory::new(), ScratchDirectory::new());
         let listen = Server::closed()?.address;
@@ -184,14 +185,14 @@
         let process = Process::start(program, &configuration, &state.0, &directory.0, "instance")?;
         requests.push(Rc::new(Cell::new(0)));
         members.push(Member { process, listen, submitted: Cell::new(0), requests: requests[number].clone() });
-        folders.extend([state, directory]);
+        directories.extend([state, directory]);
     }
-    Ok(Fleet { members, endpoint, relay, requests, _control: control, _folders: folders })
+    Ok(Fleet { members, endpoint, relay, requests, _control: control, _directories: directories })
 }
 
 impl Fleet {
-    /// Submits messages to each instance until it has logged `text` `counts` times.
-    async fn all_log(&self, text: &str, counts: &[usize]) -> Result<(), String> {
+    /// Submits messages to each instance in turn until it has logged `text` the number of times in `counts`.
+    async fn wait_until_logged(&self, text: &str, counts: &[usize]) -> Result<(), String> {
         for (number, member) in self.members.iter().enumerate() {
             let logged = member.submit_until_logged(number, text, counts[number]).await;
             if !logged.map_err(|error| error.to_string())? {
@@ -206,7 +207,9 @@
         sleep(Duration::from_millis(2 * DEADLINE_MS)).await;
     }
 
-    /// Lets the destination recover; only instance `deliverer` sends to it. All must then be warming up.
+    /// Lets the destination recover and only instance `deliverer` send to it, then takes it down again.
+    ///
+    /// Checks that every instance was warming up its endpoint; `ejections` has the ejections expected in each log.
     async fn recover(&mut self, deliverer: usize, ejections: &mut [usize]) -> Result<(), String> {
         let failed = |error: io::Error| error.to_string();
         let is_down = Rc::new(Cell::new(false));
@@ -232,13 +235,13 @@
         is_down.set(true);
         self.endpoint.close();
         ejections.iter_mut().for_each(|count| *count += 1);
-        self.all_log(EJECTION_AFTER_RECOVERY, ejections).await?;
-        println!("  all {} instances had the endpoint as warming up", self.members.len());
+        self.wait_until_logged(EJECTION_AFTER_RECOVERY, ejections).await?;
+        println!("  all {} instances were warming up the endpoint", self.members.len());
         self.drain().await;
         Ok(())
     }
 
-    /// Sends each instance datagrams that are not gossip of a recovery; none may change its view of the destination.
+    /// Sends each instance datagrams that are not gossip of a recovery; none may change the health of the endpoint.
     async fn send_malformed(&self) -> Result<(), String> {
         let version_2 = [&[2][..], &DESTINATION.to_le_bytes()].concat();
         let malformed = [version_2, vec![1, 9, 0], Vec::new(), vec![1; 300]];
@@ -260,10 +263,10 @@
         let after: Vec<_> =
             self.members.iter().map(|m| m.process.count_log_lines(EJECTION_AFTER_RECOVERY)).collect();
         if before != after {
-            return Err("a malformed datagram was taken for gossip of a recovery".into());
+            return Err("a malformed datagram was accepted as gossip of a recovery".into());
         }
         println!(
-            "{} malformed datagrams to each instance: all refused, the endpoint is still ejected",
+            "{} malformed datagrams to each instance: all ignored, the endpoint is still ejected",
             malformed.len()
         );
         Ok(())
@@ -279,7 +282,7 @@
         }
     }
     let mut ejections = vec![0; programs.len()];
-    fleet.all_log(FIRST_EJECTION, &vec![1; programs.len()]).await?;
+    fleet.wait_until_logged(FIRST_EJECTION, &vec![1; programs.len()]).await?;
     println!("the destination is down: all {} instances ejected its endpoint", programs.len());
     fleet.drain().await;
     fleet.send_malformed().await?;
--- a/crates/quillhub-fakes/examples/mixed_versions/instance.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/instance.rs
@@ -1,4 +1,4 @@
-//! The process of an instance, its configuration, and the servers that it calls.
+//! Process of an instance, parts of its configuration, and the servers that it calls.
 
 use quillhub_fakes::accept::accept_each;
 use quillhub_fakes::http::ServerConnection;
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// A running `quillhub serve`, killed when this is dropped.
+/// Running `quillhub serve`, killed when this is dropped.
 pub struct Process {
     child: Child,
     log: PathBuf,
@@ -53,7 +53,7 @@
     }
 }
 
-/// A server on an address of its own that can be closed and opened again.
+/// Server with an address of its own that can be closed and opened again.
 pub struct Server {
     /// Address of the server, also while it is closed.
     pub address: SocketAddr,
--- a/crates/quillhub-fakes/examples/mixed_versions/takeover.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/takeover.rs
@@ -17,11 +17,11 @@
 
 /// Time for which the first instance is under load before it is killed.
 const LOAD_TIME: Duration = Duration::from_secs(3);
-/// Client connections that submit messages, each one after the other.
+/// Number of client connections; each submits one message after the other.
 const CONNECTIONS: usize = 8;
-/// Deadline of most messages: far longer than the run.
+/// Deadline of most messages, in milliseconds: far longer than the run.
 const DEADLINE_MS: u64 = 120_000;
-/// Deadline of the messages that expire before the kill.
+/// Deadline of the messages that expire before the kill, in milliseconds.
 const SHORT_DEADLINE_MS: u64 = 1_500;
 /// Time in which an instance must become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -31,7 +31,7 @@
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Time before the kill in which the response to a delivery may not have been recorded yet.
 const UNRECORDED_TIME: Duration = Duration::from_millis(100);
-/// Octets of a frame before the part that its length counts.
+/// Bytes of a frame before the part that its length field counts.
 const FRAME_PREFIX_BYTES: usize = 8;
 
 /// Destination whose endpoint delivers.
@@ -56,9 +56,9 @@
     ("brief", HANGS),
 ];
 
-/// A message as the clients, the endpoints and the platform saw it.
+/// Observations of a message by the clients, the endpoints and the platform.
 #[derive(Default)]
-struct Observed {
+struct Observations {
     accepted: bool,
     at_most_once: bool,
     first_delivery: Option<Instant>,
@@ -68,24 +68,24 @@
     confirmed_outcomes: u32,
 }
 
-/// What is shared by the clients and the servers of the run.
+/// State shared by the clients and the servers of a run.
 #[derive(Default)]
 struct Run {
-    messages: RefCell<BTreeMap<String, Observed>>,
+    messages: RefCell<BTreeMap<String, Observations>>,
     rejected_submissions: Cell<u64>,
     unconfirmed_outcomes: Cell<u64>,
     taken_over: Cell<bool>,
 }
 
 impl Run {
-    fn observe(&self, id: &str, change: impl FnOnce(&mut Observed)) {
+    fn observe(&self, id: &str, change: impl FnOnce(&mut Observations)) {
         change(self.messages.borrow_mut().entry(id.to_owned()).or_default());
     }
 
     fn on_delivery(&self, id: &str) {
-        let second = self.taken_over.get();
+        let by_second = self.taken_over.get();
         self.observe(id, |message| {
-            if second {
+            if by_second {
                 message.second_deliveries += 1;
             } else {
                 message.first_deliveries += 1;
@@ -175,15 +175,15 @@
     count
 }
 
-/// The servers around the instances, and the configuration of both.
-struct Surroundings {
+/// Servers that the instances call, and the configuration of both instances.
+struct Environment {
     configuration: Value,
     listen: SocketAddr,
     refusing: Server,
     _servers: Vec<Server>,
 }
 
-async fn start_servers(run: &Rc<Run>) -> io::Result<Surroundings> {
+async fn start_servers(run: &Rc<Run>) -> io::Result<Environment> {
     let mut servers = Vec::new();
     let mut members = Vec::new();
     for destination in [DELIVERS, REJECTS, HANGS] {
@@ -211,10 +211,10 @@
         "settings": {"familyInfo": {"maxCalls": 64}, "classes": classes,
         "limits": {"mostTries": 40, "maxOpen": 100_000, "retryAfter": true, "maxRetryAfterUs": 1_000_000}}});
     servers.push(control);
-    Ok(Surroundings { configuration, listen, refusing, _servers: servers })
+    Ok(Environment { configuration, listen, refusing, _servers: servers })
 }
 
-/// Numbers of messages by what the run shows of them.
+/// Numbers of messages with each observation.
 #[derive(Debug, Default)]
 struct Summary {
     accepted: u32,
@@ -240,7 +240,7 @@
         }
         summary.accepted += 1;
         match message.first_delivery {
-            Some(at) if killed.saturating_duration_since(at) > UNRECORDED_TIME => {
+            Some(delivered) if killed.saturating_duration_since(delivered) > UNRECORDED_TIME => {
                 summary.delivered_by_first += 1;
                 summary.with_several_outcomes += u32::from(outcomes == 1);
             }
@@ -261,15 +261,16 @@
     let (state, directory) = (ScratchDirectory::new(), ScratchDirectory::new());
     let run = Rc::new(Run::default());
     let failed = |error: io::Error| error.to_string();
-    let mut around = start_servers(&run).await.map_err(failed)?;
-    let start = |program, name| Process::start(program, &around.configuration, &state.0, &directory.0, name);
+    let mut environment = start_servers(&run).await.map_err(failed)?;
+    let start =
+        |program, name| Process::start(program, &environment.configuration, &state.0, &directory.0, name);
     let mut instance = start(first, "first").map_err(failed)?;
-    if !wait_until_ready(around.listen, READY_TIMEOUT).await {
+    if !wait_until_ready(environment.listen, READY_TIMEOUT).await {
         return Err("the first instance is not ready".into());
     }
     let (mut clients, next) = (JoinSet::new(), Rc::new(Cell::new(0)));
     for _ in 0..CONNECTIONS {
-        clients.spawn_local(submit_messages(run.clone(), around.listen, next.clone()));
+        clients.spawn_local(submit_messages(run.clone(), environment.listen, next.clone()));
     }
     sleep(LOAD_TIME).await;
     instance.kill().map_err(failed)?;
@@ -279,13 +280,13 @@
     println!("killed with {} segments of {frames:?} records", frames.len());
     run.taken_over.set(true);
     let _second = start(second, "second").map_err(failed)?;
-    if !wait_until_ready(around.listen, READY_TIMEOUT).await {
+    if !wait_until_ready(environment.listen, READY_TIMEOUT).await {
         return Err("the second instance is not ready".into());
     }
     println!("second instance ready {:.3} s after the kill", killed.elapsed().as_secs_f64());
     let shared = run.clone();
     let serve = move |stream| serve_endpoint(shared.clone(), REFUSES, stream);
-    around.refusing.open(serve).await.map_err(failed)?;
+    environment.refusing.open(serve).await.map_err(failed)?;
     while summarize(&run, killed).without_outcome > 0 && killed.elapsed() < FINISH_TIMEOUT {
         sleep(Duration::from_millis(50)).await;
     }
@@ -304,7 +305,7 @@
         return Err("not every message has exactly one outcome".into());
     }
     if summary.pending_at_kill == 0 || summary.delivered_by_second == 0 || summary.notified_by_second == 0 {
-        return Err("the run shows nothing: no message of each kind was pending".into());
+        return Err("the run is inconclusive: no message was pending at the kill, or the second instance delivered or reported none".into());
     }
     Ok(())
 }
--- a/crates/quillhub-fakes/src/configuration.rs
+++ b/crates/quillhub-fakes/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of an instance for a scenario: the same figures as the simulator tells its deciders.
+//! Configuration of an instance for a scenario, with the settings that the simulator gives its decision modules.
 
 use quillhub::RetrySafety;
 use quillhub_simulator::{DiscoveryForm, Scenario};
@@ -6,24 +6,28 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-fn us(span: Duration) -> u64 {
-    span.as_micros() as u64
+/// Returns `duration` in whole microseconds.
+fn us(duration: Duration) -> u64 {
+    duration.as_micros() as u64
 }
 
-fn class(of: &quillhub_simulator::ServiceClassSpec) -> Value {
-    let service_class = of.service_class();
-    let (retry_safety, window, all) = match service_class.retry_safety {
+/// Returns an entry of the setting `classes`.
+fn class(spec: &quillhub_simulator::ServiceClassSpec) -> Value {
+    let service_class = spec.service_class();
+    let (retry_safety, window, known_in_all_zones) = match service_class.retry_safety {
         RetrySafety::Idempotent => ("free", Duration::ZERO, true),
         RetrySafety::Deduplicated { window, per_zone } => ("guarded", window, !per_zone),
         RetrySafety::AtMostOnce => ("single_shot", Duration::ZERO, true),
     };
-    json!({"name": of.name, "effect": retry_safety, "memorySpanUs": us(window), "keyScope": if all { "all" } else { "group" },
+    json!({"name": spec.name, "effect": retry_safety, "memorySpanUs": us(window), "keyScope": if known_in_all_zones { "all" } else { "group" },
         "aimUs": us(service_class.soft_deadline), "giveUpUs": us(service_class.deadline), "importance": service_class.value,
         "lateWorth": service_class.late_value_share, "byArrival": service_class.ordered})
 }
 
-/// For one instance of `scenario` that listens at `listen`, with service discovery and platform at `discovery` and
-/// the list `known`; it may have `sockets` descriptors.
+/// Returns the configuration of one instance of `scenario`.
+///
+/// The instance listens at `listen`, uses service discovery and platform at `discovery`, starts with the endpoint list
+/// `known` and opens at most `sockets` file descriptors; `seed` determines its random draws.
 pub fn instance(
     scenario: &Scenario,
     seed: u64,
@@ -35,10 +39,10 @@
     let (instances, network, rules) = (&scenario.instances, &scenario.network, &scenario.rules);
     let watch = scenario.discovery.form == DiscoveryForm::Watch;
     let halving = scenario.service_classes.iter().all(|service_class| service_class.halving);
-    let reports = scenario.destinations.iter().any(|kind| kind.reports);
-    let names: &[&str] = if reports { &["x0", "x1"] } else { &[] };
+    let has_load_reports = scenario.destinations.iter().any(|kind| kind.reports);
+    let names: &[&str] = if has_load_reports { &["x0", "x1"] } else { &[] };
     let kinds: Vec<_> = scenario.destinations.iter().map(|kind| &kind.kind).collect();
-    let apart: Vec<_> = scenario.destinations.iter().map(|kind| kind.routes_apart).collect();
+    let separate_routes: Vec<_> = scenario.destinations.iter().map(|kind| kind.routes_apart).collect();
     let classes: Vec<_> = scenario.service_classes.iter().map(class).collect();
     json!({
         "listen": listen.to_string(),
@@ -50,7 +54,7 @@
             "nInstances": instances.count,
             "zone": instances.zones[0],
             "familyInfo": {"maxCalls": instances.slots, "losesWorth": if halving { "halving" } else { "evenly" },
-                "separateRoutes": apart},
+                "separateRoutes": separate_routes},
             "limits": {"mostTries": instances.max_attempts, "maxOpen": instances.capacity, "retryAfter": true,
                 "maxRetryAfterUs": us(instances.max_retry_after), "idleCloseUs": us(network.idle_close),
                 "connectTimeoutUs": us(network.connecting)},
