--- a/crates/quillhub-scale/src/lib.rs
+++ b/crates/quillhub-scale/src/lib.rs
@@ -1,11 +1,12 @@
-//! Many instances at once on loopback, for measuring how an instance's cost grows with one size at a time.
+//! Many instances on loopback, for measuring how the cost of an instance grows with one size at a time.
 //!
-//! A *real* instance is a process of its own (`quillhub serve`) under measured load. A *lightweight* instance speaks
+//! A *real* instance is a separate process (`quillhub serve`) under measured load. A *lightweight* instance speaks
 //! the real protocol to discovery, platform and peers and holds the real state of an instance, but shares its
 //! process with hundreds of others and carries next to no traffic. A lightweight destination is an id on a shared
 //! listener.
 //!
-//! What is decided without I/O (reading an experiment, its bounds, fits) stands in [`plan`], [`bounds`] and [`fit`].
+//! The modules [`plan`], [`bounds`] and [`fit`] parse an experiment, check its resource needs, and fit its results
+//! without I/O but for [`plan::Plan::read`].
 
 #![warn(missing_docs)]
 
