--- a/crates/quillhub-experiments/src/scale.rs
+++ b/crates/quillhub-experiments/src/scale.rs
@@ -40,7 +40,7 @@
 
 /// A row for each figure of these points.
 pub fn rows(points: &[Point]) -> Vec<Row> {
-    results::names(points).iter().filter_map(|name| Row::of(points, name)).collect()
+    results::figure_names(points).iter().filter_map(|name| Row::of(points, name)).collect()
 }
 
 /// Refuses what would go over the bounds of this machine, before anything starts.
@@ -77,7 +77,7 @@
                 load_average: [before, machine::load_average()],
                 machine: machine.clone(),
             });
-            write(folder, results::FILE, &results::written(&points)?)?;
+            write(folder, results::FILE_NAME, &results::to_text(&points)?)?;
             if points.last().is_some_and(|point| !point.figures.contains_key(figure::MESSAGE_US)) {
                 return Ok(points);
             }
@@ -116,7 +116,7 @@
 }
 
 fn csv(points: &[Point]) -> String {
-    let names = results::names(points);
+    let names = results::figure_names(points);
     let mut csv = format!("size,play,breaks,{}\n", names.join(",").replace(", ", "; "));
     for point in points {
         let broke = point.breaks.as_deref().unwrap_or_default().replace(',', ";");
--- a/crates/quillhub-scale/src/results_tests.rs
+++ b/crates/quillhub-scale/src/results_tests.rs
@@ -14,16 +14,16 @@
 }
 
 #[test]
-fn points_are_read_back_as_they_were_written() {
+fn points_written_as_text_are_parsed_as_the_same_points() {
     let mut points = vec![point(10, 4.0), point(100, 4.5)];
     points[1].breaks = Some("the list is too long".into());
-    let text = written(&points).unwrap();
-    assert_eq!(read_text(&text).unwrap(), points);
-    assert_eq!(names(&points), ["memory MB"]);
+    let text = to_text(&points).unwrap();
+    assert_eq!(parse(&text).unwrap(), points);
+    assert_eq!(figure_names(&points), ["memory MB"]);
 }
 
 #[test]
-fn a_figure_that_some_points_lack_has_samples_of_the_others() {
+fn a_figure_has_samples_only_of_points_that_have_it() {
     let mut points = vec![point(10, 4.0), point(100, 4.5)];
     points[1].figures.clear();
     assert_eq!(samples(&points, "memory MB"), [Sample { size: 10.0, value: 4.0 }]);
@@ -31,11 +31,11 @@
 }
 
 #[test]
-fn a_line_that_is_no_point_is_told_with_its_number() {
-    let text = written(&[point(10, 4.0)]).unwrap() + "{\"size\":10}\n";
-    let told = read_text(&text).unwrap_err();
-    assert!(told.starts_with("2: expected a point as JSON, found missing field"), "{told}");
-    let unknown = written(&[point(10, 4.0)]).unwrap().replace("\"size\"", "\"sizes\"");
-    assert!(read_text(&unknown).unwrap_err().starts_with("1: expected a point"));
+fn the_error_of_a_malformed_line_starts_with_its_number() {
+    let text = to_text(&[point(10, 4.0)]).unwrap() + "{\"size\":10}\n";
+    let error = parse(&text).unwrap_err();
+    assert!(error.starts_with("2: expected a point as JSON, found missing field"), "{error}");
+    let unknown_field = to_text(&[point(10, 4.0)]).unwrap().replace("\"size\"", "\"sizes\"");
+    assert!(parse(&unknown_field).unwrap_err().starts_with("1: expected a point"));
     assert!(read(Path::new("/nowhere")).unwrap_err().starts_with("/nowhere/points.jsonl: "));
 }
