--- a/crates/quillhub-experiments/src/capacity/evidence.rs
+++ b/crates/quillhub-experiments/src/capacity/evidence.rs
@@ -115,7 +115,7 @@
         if fit.shape != fit::Shape::Linear {
             return Err(format!("{run}: expected '{name}' to be linear, found it {}", fit.shape.name()));
         }
-        let firm = fit::held_out(&samples).is_some_and(|held| held.carries(&fit));
+        let firm = fit::held_out(&samples).is_some_and(|held| held.supports_extrapolation(&fit));
         let steps = format!("{} for each (slope of {})", short(fit.slope), formula(&fit));
         Ok(Figure { value: fit.slope, steps, firm, run })
     }
@@ -148,8 +148,8 @@
         return (value, steps, true);
     }
     match (fit::fit(samples), fit::held_out(samples)) {
-        (Some(fit), Some(held)) if held.carries(&fit) => {
-            let value = fit.at(size);
+        (Some(fit), Some(held)) if held.supports_extrapolation(&fit) => {
+            let value = fit.value_at(size);
             (value, format!("{} at N = {}: {}", formula(&fit), unit(size), short(value)), true)
         }
         _ => {
--- a/crates/quillhub-experiments/src/capacity/tables.rs
+++ b/crates/quillhub-experiments/src/capacity/tables.rs
@@ -70,8 +70,8 @@
     let (Some(fit), Some(held)) = (row.fit, row.held_out) else {
         return format!("| {} | too few sizes | | | | | | no extrapolation |\n", row.name);
     };
-    let verdict = match held.holds() {
-        true if held.carries(&fit) => "holds",
+    let verdict = match held.is_accurate() {
+        true if held.supports_extrapolation(&fit) => "holds",
         true => "holds by another shape: no extrapolation rests on it",
         false => "misses: no extrapolation rests on it",
     };
--- a/crates/quillhub-experiments/src/scale.rs
+++ b/crates/quillhub-experiments/src/scale.rs
@@ -134,7 +134,7 @@
         let steps = STEPS * row.means.len();
         let by = (last.0 / first.0).powf(1.0 / steps as f64);
         let sizes = (0..=steps).map(|step| first.0 * by.powi(step as i32));
-        let points = sizes.map(|size| (size, fit.at(size))).collect();
+        let points = sizes.map(|size| (size, fit.value_at(size))).collect();
         lines.push(Line { name: format!("{} fit", fit.shape.name()), points });
     }
     chart::over_sizes(&row.name, slope.counts(), &lines)
--- a/crates/quillhub-scale/src/fit.rs
+++ b/crates/quillhub-scale/src/fit.rs
@@ -1,35 +1,35 @@
-//! Fits of a figure against a size: which of four shapes it has, and how well the largest size is predicted from the
-//! others.
+//! Fits of a figure against a size: selects one of four shapes, and checks how well the smaller sizes predict the
+//! largest.
 //!
-//! Sizes are spaced by factors, so each point counts by its relative error: no size outweighs the others.
+//! Sizes are spaced by factors, so fits minimize relative errors; otherwise the largest sizes would outweigh the others.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A shape counts as better than a simpler one if it lowers the error of prediction to this part.
-const BETTER: f64 = 0.8;
-/// The difference that a held-out prediction should stay within.
-pub const AIM: f64 = 0.15;
+/// Maximum ratio of a shape's prediction error to that of a simpler shape at which it replaces the simpler one.
+const MAX_ERROR_RATIO: f64 = 0.8;
+/// Maximum relative difference of an accurate prediction from the measured mean.
+const MAX_DIFFERENCE: f64 = 0.15;
 
-/// How a figure grows with a size.
+/// Growth of a figure with a size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Shape {
-    /// Not at all.
+    /// No growth.
     Flat,
-    /// By the same amount for each.
+    /// Growth in proportion to the size.
     Linear,
-    /// By an amount for each that grows with the logarithm of all.
+    /// Growth in proportion to the size and its logarithm.
     NLogN,
-    /// By an amount for each that grows with all.
+    /// Growth in proportion to the square of the size.
     Quadratic,
 }
 
 impl Shape {
-    /// From the simplest on.
+    /// All shapes, the simplest first.
     pub const ALL: [Shape; 4] = [Self::Flat, Self::Linear, Self::NLogN, Self::Quadratic];
 
-    /// In words.
+    /// Returns the name for tables and charts.
     pub fn name(self) -> &'static str {
         match self {
             Self::Flat => "flat",
@@ -39,8 +39,8 @@
         }
     }
 
-    /// What grows with the size; nothing in a flat shape.
-    fn basis(self, size: f64) -> f64 {
+    /// Returns the term that is multiplied by the slope; zero for a flat shape.
+    fn term(self, size: f64) -> f64 {
         match self {
             Self::Flat => 0.0,
             Self::Linear => size,
@@ -50,43 +50,43 @@
     }
 }
 
-/// One measured value.
+/// Measured value of a figure at a size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample {
-    /// The size.
+    /// Size, in the unit of its experiment.
     pub size: f64,
-    /// The figure at that size.
+    /// Value of the figure, in the unit that its name says.
     pub value: f64,
 }
 
-/// A fitted line: `fixed + slope * basis(size)`.
+/// Fitted function of the size: `fixed + slope * term`, where the shape determines the term.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// How it grows.
+    /// Shape of the function.
     pub shape: Shape,
-    /// What does not depend on the size.
+    /// Part that does not depend on the size, at least 0.
     pub fixed: f64,
-    /// What each unit of the shape adds.
+    /// Factor of the shape's term, at least 0; 0 for a flat shape.
     pub slope: f64,
-    /// Root mean square of the relative differences between the samples and the line.
+    /// Root mean square of the relative differences between the samples and the function.
     pub spread: f64,
 }
 
 impl Fit {
-    /// The figure at `size`.
-    pub fn at(&self, size: f64) -> f64 {
-        self.fixed + self.slope * self.shape.basis(size)
+    /// Returns the value of the function at `size`.
+    pub fn value_at(&self, size: f64) -> f64 {
+        self.fixed + self.slope * self.shape.term(size)
     }
 }
 
-/// The least value there is but zero, as which a zero counts in relative errors.
-fn scale(samples: &[Sample]) -> f64 {
-    let least = samples.iter().map(|sample| sample.value.abs()).filter(|value| *value > 0.0).reduce(f64::min);
-    least.unwrap_or(1.0)
+/// Returns the minimum magnitude of the nonzero values, or 1 without any; relative errors of zeros are relative to it.
+fn min_magnitude(samples: &[Sample]) -> f64 {
+    let min = samples.iter().map(|sample| sample.value.abs()).filter(|value| *value > 0.0).reduce(f64::min);
+    min.unwrap_or(1.0)
 }
 
-fn relative(fit: &Fit, sample: &Sample, least: f64) -> f64 {
-    (fit.at(sample.size) - sample.value) / sample.value.abs().max(least)
+fn relative_error(fit: &Fit, sample: &Sample, min_magnitude: f64) -> f64 {
+    (fit.value_at(sample.size) - sample.value) / sample.value.abs().max(min_magnitude)
 }
 
 fn root_mean_square(errors: impl Iterator<Item = f64>) -> f64 {
@@ -94,18 +94,20 @@
     (sum / f64::from(count.max(1))).sqrt()
 }
 
-/// The line of one shape with the least relative errors; neither part is below zero, as no cost is.
+/// Returns the function of one shape with the minimum relative errors.
+///
+/// Neither its fixed part nor its slope is negative, as costs never are.
 pub fn fit_shape(shape: Shape, samples: &[Sample]) -> Fit {
-    let least = scale(samples);
+    let min_magnitude = min_magnitude(samples);
     let (mut s_w, mut s_g, mut s_gg, mut s_y, mut s_gy) = (0.0, 0.0, 0.0, 0.0, 0.0);
     for sample in samples {
-        let weight = sample.value.abs().max(least).powi(-2);
-        let basis = shape.basis(sample.size);
+        let weight = sample.value.abs().max(min_magnitude).powi(-2);
+        let term = shape.term(sample.size);
         s_w += weight;
-        s_g += weight * basis;
-        s_gg += weight * basis * basis;
+        s_g += weight * term;
+        s_gg += weight * term * term;
         s_y += weight * sample.value;
-        s_gy += weight * basis * sample.value;
+        s_gy += weight * term * sample.value;
     }
     let flat = (if s_w > 0.0 { s_y / s_w } else { 0.0 }, 0.0);
     let through_zero = (0.0, if s_gg > 0.0 { s_gy / s_gg } else { 0.0 });
@@ -121,11 +123,11 @@
         both => both,
     };
     let mut fit = Fit { shape, fixed, slope, spread: 0.0 };
-    fit.spread = root_mean_square(samples.iter().map(|sample| relative(&fit, sample, least)));
+    fit.spread = root_mean_square(samples.iter().map(|sample| relative_error(&fit, sample, min_magnitude)));
     fit
 }
 
-/// The sizes there are, rising.
+/// Returns the distinct sizes of the samples in increasing order.
 fn sizes(samples: &[Sample]) -> Vec<f64> {
     let mut sizes: Vec<f64> = samples.iter().map(|sample| sample.size).collect();
     sizes.sort_by(f64::total_cmp);
@@ -133,19 +135,21 @@
     sizes
 }
 
-/// The error of predicting each size from the others.
+/// Returns the root mean square relative error of predicting each size from the others.
 fn prediction_error(shape: Shape, samples: &[Sample]) -> f64 {
-    let least = scale(samples);
+    let min_magnitude = min_magnitude(samples);
     let errors = sizes(samples).into_iter().flat_map(|left_out| {
         let (out, others): (Vec<Sample>, Vec<Sample>) =
             samples.iter().copied().partition(|sample| sample.size == left_out);
         let fit = fit_shape(shape, &others);
-        out.into_iter().map(move |sample| relative(&fit, &sample, least))
+        out.into_iter().map(move |sample| relative_error(&fit, &sample, min_magnitude))
     });
     root_mean_square(errors)
 }
 
-/// The simplest shape that no other predicts clearly better than; nothing without samples of two sizes.
+/// Returns the fit of the simplest shape whose prediction error no other shape lowers clearly.
+///
+/// Returns `None` without samples of at least two sizes.
 pub fn fit(samples: &[Sample]) -> Option<Fit> {
     if sizes(samples).len() < 2 {
         return None;
@@ -153,55 +157,57 @@
     let mut best = (Shape::Flat, prediction_error(Shape::Flat, samples));
     for shape in &Shape::ALL[1..] {
         let error = prediction_error(*shape, samples);
-        if error < best.1 * BETTER {
+        if error < best.1 * MAX_ERROR_RATIO {
             best = (*shape, error);
         }
     }
     Some(fit_shape(best.0, samples))
 }
 
-/// The largest size as predicted from the others, beside what was measured there.
+/// Prediction of the largest size from the others, with the value measured there.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldOut {
-    /// The largest size.
+    /// Largest size of the samples.
     pub size: f64,
-    /// The fit of the others.
+    /// Fit of the samples of all smaller sizes.
     pub fit: Fit,
-    /// What it predicts.
+    /// Predicted value at the largest size.
     pub predicted: f64,
-    /// Mean of what was measured.
+    /// Mean of the values measured at the largest size.
     pub measured: f64,
 }
 
 impl HeldOut {
-    /// Predicted over measured, less one.
+    /// Returns the relative difference of the predicted value from the measured one, negative if it is too low.
     pub fn difference(&self) -> f64 {
         if self.measured == 0.0 && self.predicted == 0.0 { 0.0 } else { self.predicted / self.measured - 1.0 }
     }
 
-    /// Whether the largest size is predicted within the aim.
-    pub fn holds(&self) -> bool {
-        self.difference().abs() <= AIM
+    /// Returns `true` if the predicted value is within 15% of the measured one.
+    pub fn is_accurate(&self) -> bool {
+        self.difference().abs() <= MAX_DIFFERENCE
     }
 
-    /// Whether `all`, the fit of all sizes, may be relied upon beyond them: the others predict the largest, and by
-    /// the same shape.
-    pub fn carries(&self, all: &Fit) -> bool {
-        self.holds() && self.fit.shape == all.shape
+    /// Returns `true` if `all`, the fit of all sizes, may be used beyond the largest one.
+    ///
+    /// This requires that the prediction is accurate and that both fits have the same shape.
+    pub fn supports_extrapolation(&self, all: &Fit) -> bool {
+        self.is_accurate() && self.fit.shape == all.shape
     }
 }
 
-/// Fits all sizes but the largest, then looks at that one; nothing with fewer than three sizes.
+/// Predicts the largest size from the others; `None` with fewer than three sizes.
 pub fn held_out(samples: &[Sample]) -> Option<HeldOut> {
     let largest = *sizes(samples).last()?;
     let (out, others): (Vec<Sample>, Vec<Sample>) =
         samples.iter().copied().partition(|sample| sample.size == largest);
     let fit = fit(&others)?;
     let measured = out.iter().map(|sample| sample.value).sum::<f64>() / out.len() as f64;
-    Some(HeldOut { size: largest, fit, predicted: fit.at(largest), measured })
+    Some(HeldOut { size: largest, fit, predicted: fit.value_at(largest), measured })
 }
 
-/// Mean of the samples of each size, and half of the range between the least and the most of them over the mean.
+/// Returns for each size, in increasing order: the size, the mean of its samples, and half of their range as a share of
+/// the mean.
 pub fn by_size(samples: &[Sample]) -> Vec<(f64, f64, f64)> {
     let mut groups: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
     for sample in samples {
