--- a/crates/quillhub-experiments/src/capacity/needs.rs
+++ b/crates/quillhub-experiments/src/capacity/needs.rs
@@ -4,7 +4,7 @@
 use super::target::{self, *};
 use crate::scale::short;
 use quillhub_scale::figure;
-use quillhub_scale::plan::Slope::{self, Backlog, Changes, Couriers, Destinations};
+use quillhub_scale::plan::Slope::{self, Backlog, Changes, Destinations, Instances};
 use quillhub_server::MAX_LIST_BYTES;
 
 /// Microseconds of a second.
@@ -232,12 +232,12 @@
         idle("idle processor, all destinations known, % of a core", Destinations, DESTINATIONS)?
             .by(PLACEMENT),
         idle("idle processor, a share of 740 known, % of a core", Destinations, SHARE)?.by(MODULE),
-        idle("idle processor beside 1,300 couriers, % of a core", Couriers, COURIERS)?.by(MODULE),
-        need("control, bytes a second", Couriers, figure::CONTROL_BYTES, COURIERS)?
+        idle("idle processor beside 1,300 couriers, % of a core", Instances, COURIERS)?.by(MODULE),
+        need("control, bytes a second", Instances, figure::CONTROL_BYTES, COURIERS)?
             .plus(change_bytes, changes_per_hour, "71 changes an hour")
             .under(operators(CONTROL_BYTES_PER_S))
             .by(WATCH),
-        need("control, packets a second", Couriers, figure::CONTROL_PACKETS, COURIERS)?.by(WATCH),
+        need("control, packets a second", Instances, figure::CONTROL_PACKETS, COURIERS)?.by(WATCH),
         need("the whole list, bytes of one line", Destinations, figure::LIST_BYTES, DESTINATIONS)?
             .under(Limit { value: MAX_LIST_BYTES as f64, source: "discovery.rs, MAX_LIST_BYTES" })
             .by(PLACEMENT),
@@ -286,7 +286,7 @@
 
 fn control(evidence: &Evidence) -> Result<Vec<Need>, String> {
     let role = Role::Control;
-    let need = |what, name| Ok::<_, String>(Need::of(role, what, evidence.at(Couriers, name, COURIERS)?));
+    let need = |what, name| Ok::<_, String>(Need::of(role, what, evidence.at(Instances, name, COURIERS)?));
     let changes_per_s = CHANGES_PER_DAY / DAY_S;
     let machines = || Limit { value: CONTROL_MACHINES, source: "operators: machines, taken as a core each" };
     Ok(vec![
@@ -322,7 +322,7 @@
     let finals = MESSAGES_PER_S * DOWN;
     let steps =
         format!("{} messages a second x {} down = {}", short(MESSAGES_PER_S), short(DOWN), short(finals));
-    let bytes = evidence.at(Couriers, figure::RESTART_PLATFORM_BYTES, COURIERS)?;
+    let bytes = evidence.at(Instances, figure::RESTART_PLATFORM_BYTES, COURIERS)?;
     Ok(vec![
         Need::plain(
             role,
@@ -406,7 +406,7 @@
         let need = cores(evidence, role, what, Destinations, SHARE, target::rate(couriers))?;
         Ok::<_, String>(need.by(MODULE))
     };
-    let need = |what, name| Ok::<_, String>(Need::of(role, what, evidence.at(Couriers, name, COURIERS)?));
+    let need = |what, name| Ok::<_, String>(Need::of(role, what, evidence.at(Instances, name, COURIERS)?));
     let list = evidence.at(Destinations, figure::LIST_BYTES, DESTINATIONS)?;
     let drained = target::rate(COURIERS) + target::backlog_each() / DAY_S;
     let message = evidence.at(Destinations, figure::MESSAGE_US, SHARE)?;
--- a/crates/quillhub-experiments/src/capacity/tables.rs
+++ b/crates/quillhub-experiments/src/capacity/tables.rs
@@ -36,7 +36,7 @@
 pub fn slope(slope: Slope, points: &[Point]) -> String {
     let sizes: BTreeSet<u64> = points.iter().map(|point| point.size).collect();
     let head: Vec<String> = sizes.iter().map(u64::to_string).collect();
-    let mut text = format!("Means by {} (half of the range between plays):\n\n", slope.counts());
+    let mut text = format!("Means by {} (half of the range between plays):\n\n", slope.unit());
     let _ = writeln!(text, "| figure | {} |", head.join(" | "));
     let _ = writeln!(text, "| --- |{}", " --- |".repeat(sizes.len()));
     let rows = scale::rows(points);
--- a/crates/quillhub-experiments/src/scale.rs
+++ b/crates/quillhub-experiments/src/scale.rs
@@ -59,7 +59,7 @@
     let (mut points, all) = (Vec::new(), plan.sizes.len() * plan.plays as usize);
     for (size, sizes) in plan.points() {
         for number in 1..=plan.plays {
-            eprintln!("{experiment}: {} of {all}: {size} {}", points.len() + 1, plan.slope.counts());
+            eprintln!("{experiment}: {} of {all}: {size} {}", points.len() + 1, plan.slope.unit());
             let before = machine::load_average();
             let seed = plan.seed + u64::from(number);
             let Played { figures, breaks } = play(plan, &sizes, seed, program)?;
@@ -137,7 +137,7 @@
         let points = sizes.map(|size| (size, fit.value_at(size))).collect();
         lines.push(Line { name: format!("{} fit", fit.shape.name()), points });
     }
-    chart::over_sizes(&row.name, slope.counts(), &lines)
+    chart::over_sizes(&row.name, slope.unit(), &lines)
 }
 
 /// A number with as many digits as it is sure of.
--- a/crates/quillhub-scale/src/bounds.rs
+++ b/crates/quillhub-scale/src/bounds.rs
@@ -1,80 +1,82 @@
-//! What a run may take of the machine, checked before anything starts.
+//! Resource needs of a run, and their limits, checked before anything starts.
 
 use crate::plan::{Load, Refusal, Sizes, refuse};
 
-/// Processes of one run.
-pub const MOST_PROCESSES: u64 = 300;
-/// Descriptors of one process.
-pub const MOST_DESCRIPTORS: u64 = 20_000;
-/// Lightweight instances that share one thread: its share of a second stays well under one.
+/// Maximum number of processes of one run.
+const MAX_PROCESSES: u64 = 300;
+/// Maximum number of file descriptors of one process.
+const MAX_DESCRIPTORS: u64 = 20_000;
+/// Maximum number of lightweight instances on one thread, which then uses far less than all of a core.
 pub const LIGHTWEIGHT_PER_THREAD: u64 = 200;
-/// Descriptors of one lightweight instance and of those that serve it: a watch and a call with two ends each, and a
-/// datagram socket.
-const DESCRIPTORS_EACH: u64 = 5;
-/// Descriptors for all else.
+/// File descriptors for each lightweight instance: both ends of a watch and of a call, and a datagram socket.
+const DESCRIPTORS_PER_LIGHTWEIGHT: u64 = 5;
+/// File descriptors for everything that does not grow with the sizes.
 const OTHER_DESCRIPTORS: u64 = 512;
-/// Memory of a destination in an instance, told by its configuration: twice what was seen at 40,000.
-const DESTINATION_BYTES: u64 = 14 * 1024;
-/// Memory of the list of one destination in the process that serves it.
-const LISTED_BYTES: u64 = 2 * 1024;
-/// Memory of a message that is held, beside its body: twice what was seen at 22,500.
-const MESSAGE_BYTES: u64 = 2 * 1024;
-/// Memory of an instance that knows and holds nothing.
-const COURIER_BYTES: u64 = 8 * 1024 * 1024;
-/// Memory of a lightweight instance that knows and holds nothing.
-const LIGHTWEIGHT_BYTES: u64 = 128 * 1024;
+/// Memory of an instance for each destination in its configuration, in bytes: twice the usage with 40,000 destinations.
+const MEMORY_PER_DESTINATION_BYTES: u64 = 14 * 1024;
+/// Memory of the process that serves the endpoint list for each destination, in bytes.
+const MEMORY_PER_LIST_ENTRY_BYTES: u64 = 2 * 1024;
+/// Memory of an instance for each pending message without its body, in bytes: twice the usage with 22,500 messages.
+const MEMORY_PER_MESSAGE_BYTES: u64 = 2 * 1024;
+/// Memory of a real instance without destinations and messages, in bytes.
+const INSTANCE_MEMORY_BYTES: u64 = 8 * 1024 * 1024;
+/// Memory of a lightweight instance without destinations, in bytes.
+const LIGHTWEIGHT_MEMORY_BYTES: u64 = 128 * 1024;
 
-/// What a run takes.
+/// Resources that a point needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Need {
-    /// Processes that it starts, and itself.
+    /// Number of processes running at a time, with the one that starts the others.
     pub processes: u64,
-    /// Descriptors of its own process.
+    /// File descriptors of the process that runs the scale test.
     pub descriptors: u64,
-    /// Memory of all its processes.
+    /// Memory of all processes, in bytes.
     pub memory: u64,
 }
 
-/// What the machine has for it.
+/// Resources that the machine offers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Descriptors that this process may open.
+    /// File descriptors that this process may open.
     pub descriptors: u64,
-    /// Memory of the machine.
+    /// Total memory of the machine, in bytes.
     pub memory: u64,
 }
 
-/// What a point of these sizes takes. A backlog is measured once more in a restarted instance, after the first has
-/// ended.
+/// Returns the resources that a point of these sizes needs.
+///
+/// At most one real instance runs at a time: the instance that is started again with a backlog starts after the first
+/// has ended.
 pub fn need(sizes: &Sizes, load: &Load) -> Need {
-    let Sizes { destinations, backlog, couriers, .. } = *sizes;
-    let real = COURIER_BYTES
-        .saturating_add(destinations.saturating_mul(DESTINATION_BYTES))
-        .saturating_add(backlog.saturating_mul(MESSAGE_BYTES + load.body as u64));
-    let lightweight = couriers
-        .saturating_mul(destinations.saturating_mul(DESTINATION_BYTES).saturating_add(LIGHTWEIGHT_BYTES));
-    let serving = destinations.saturating_mul(LISTED_BYTES);
+    let Sizes { destinations, backlog, lightweight_instances, .. } = *sizes;
+    let real = INSTANCE_MEMORY_BYTES
+        .saturating_add(destinations.saturating_mul(MEMORY_PER_DESTINATION_BYTES))
+        .saturating_add(backlog.saturating_mul(MEMORY_PER_MESSAGE_BYTES + load.body as u64));
+    let lightweight = lightweight_instances.saturating_mul(
+        destinations.saturating_mul(MEMORY_PER_DESTINATION_BYTES).saturating_add(LIGHTWEIGHT_MEMORY_BYTES),
+    );
+    let listing = destinations.saturating_mul(MEMORY_PER_LIST_ENTRY_BYTES);
     Need {
         processes: 2,
-        descriptors: couriers
-            .saturating_mul(DESCRIPTORS_EACH)
+        descriptors: lightweight_instances
+            .saturating_mul(DESCRIPTORS_PER_LIGHTWEIGHT)
             .saturating_add(4 * load.connections as u64)
             .saturating_add(OTHER_DESCRIPTORS + crate::settings::CALLS),
-        memory: real.saturating_add(lightweight).saturating_add(serving),
+        memory: real.saturating_add(lightweight).saturating_add(listing),
     }
 }
 
-/// Whether it may start.
+/// Refuses a need over the limits; `place` names the size in the refusal.
 pub fn check(place: &str, need: &Need, limits: &Limits) -> Result<(), Refusal> {
     const MB: u64 = 1024 * 1024;
     let half = limits.memory / 2;
-    let descriptors = limits.descriptors.min(MOST_DESCRIPTORS);
+    let descriptors = limits.descriptors.min(MAX_DESCRIPTORS);
     if need.memory > half {
         let expected = format!("at most {} MB, half of the machine's memory", half / MB);
         return refuse(place, expected, format!("a need of {} MB", need.memory / MB));
     }
-    if need.processes > MOST_PROCESSES {
-        return refuse(place, format!("at most {MOST_PROCESSES} processes"), need.processes);
+    if need.processes > MAX_PROCESSES {
+        return refuse(place, format!("at most {MAX_PROCESSES} processes"), need.processes);
     }
     if need.descriptors >= descriptors {
         return refuse(
--- a/crates/quillhub-scale/src/fleet.rs
+++ b/crates/quillhub-scale/src/fleet.rs
@@ -58,15 +58,15 @@
         let common = Common {
             control: control.for_lightweight,
             peers: relay.at,
-            couriers: sizes.couriers + real,
+            instances: sizes.lightweight_instances + real,
             destinations: sizes.destinations,
             seed,
             beginning,
         };
         let mut groups = Vec::new();
         let mut first = 0;
-        while first < sizes.couriers {
-            let count = LIGHTWEIGHT_PER_THREAD.min(sizes.couriers - first);
+        while first < sizes.lightweight_instances {
+            let count = LIGHTWEIGHT_PER_THREAD.min(sizes.lightweight_instances - first);
             let group = Group::start(common, first, count)?;
             group.addresses.iter().for_each(|address| relay.join(*address));
             groups.push(group);
--- a/crates/quillhub-scale/src/lightweight.rs
+++ b/crates/quillhub-scale/src/lightweight.rs
@@ -69,7 +69,7 @@
     /// What reaches all peers.
     pub peers: SocketAddr,
     /// Instances in all, real ones too.
-    pub couriers: u64,
+    pub instances: u64,
     /// Destinations numbered from 1 that messages may be for.
     pub destinations: u64,
     pub seed: u64,
@@ -352,7 +352,7 @@
     /// A message every so often whose first calls fail: its destination's return is then told to all. The instances'
     /// turns are spread over the gap.
     async fn make_gossip(&self) {
-        let turn = self.number as f64 / self.common.couriers.max(1) as f64;
+        let turn = self.number as f64 / self.common.instances.max(1) as f64;
         sleep(GOSSIP_GAP.mul_f64(turn)).await;
         loop {
             self.submit(1 + self.number % self.common.destinations, GOSSIP_DEADLINE);
@@ -362,7 +362,7 @@
 }
 
 async fn live(common: Common, number: u64, status: Arc<Status>, socket: Rc<UdpSocket>) {
-    let read = quillhub_settings::read(common.seed + number, &settings::decisions(common.couriers));
+    let read = quillhub_settings::read(common.seed + number, &settings::decisions(common.instances));
     let (mut dispatcher, _) = read.expect("the rig's own settings can be read");
     dispatcher.disable_batching();
     let state = State {
--- a/crates/quillhub-scale/src/plan.rs
+++ b/crates/quillhub-scale/src/plan.rs
@@ -1,34 +1,34 @@
-//! Reading a scale experiment: one size that varies, all others held still.
+//! Experiment files of scale tests: one size varies, and all others are fixed.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::path::Path;
 use std::time::Duration;
 
-/// Longest body of a message that an instance accepts.
+/// Maximum size of a message's body that an instance accepts, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// The version of the format.
+/// Version of the file format.
 const FORMAT: u32 = 1;
-/// Fewer sizes show no shape: one is held out, and two lie on any line.
-const LEAST_SIZES: usize = 4;
-/// Fewer plays show no spread.
-const LEAST_PLAYS: u32 = 2;
-/// More points are taken for a mistake.
-const MOST_POINTS: usize = 200;
-/// Sizes are spaced by factors of at least this.
-const LEAST_FACTOR: f64 = 1.5;
-/// Longer spans of one point are taken for a mistake.
-const LONGEST_POINT: Duration = Duration::from_secs(600);
+/// Minimum number of sizes. Fewer cannot show a shape: one is held out for the prediction, and any two lie on a line.
+const MIN_SIZES: usize = 4;
+/// Minimum number of repetitions of each size; fewer cannot show a spread.
+const MIN_REPETITIONS: u32 = 2;
+/// Maximum number of points; more are probably a mistake in the file.
+const MAX_POINTS: usize = 200;
+/// Minimum ratio of a size to the one before.
+const MIN_SIZE_RATIO: f64 = 1.5;
+/// Maximum time limit of a point, and of its load; longer ones are probably a mistake in the file.
+const MAX_POINT_TIME: Duration = Duration::from_secs(600);
 
-/// Why a run does not start.
+/// Reason why a run does not start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The key of the experiment, or what else the fault lies in.
+    /// Key in the experiment file, or another place of the error.
     pub place: String,
-    /// What may stand there.
+    /// Description of the allowed values.
     pub expected: String,
-    /// What stands there.
+    /// Value that was found.
     pub found: String,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// A [`Refusal`] as a result.
+/// Returns a [`Refusal`] as an error.
 pub fn refuse<T>(
     place: impl Into<String>,
     expected: impl Into<String>,
@@ -47,121 +47,124 @@
     Err(Refusal { place: place.into(), expected: expected.into(), found: found.to_string() })
 }
 
-/// The size that an experiment varies.
+/// Size that an experiment varies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Slope {
-    /// Destinations that an instance knows.
+    /// Number of destinations in the endpoint list.
     Destinations,
-    /// Messages that an instance holds for destinations that hang.
+    /// Number of pending messages for destinations that do not respond.
     Backlog,
-    /// Lightweight instances beside the real one.
-    Couriers,
-    /// Changes of the endpoint list an hour.
+    /// Number of lightweight instances beside the real one.
+    #[serde(rename = "couriers")]
+    Instances,
+    /// Number of changes of the endpoint list per hour.
     Changes,
 }
 
 impl Slope {
-    /// All, in the order of the capacity page.
-    pub const ALL: [Slope; 4] = [Self::Destinations, Self::Backlog, Self::Couriers, Self::Changes];
+    /// All varied sizes, in the order of the capacity page.
+    pub const ALL: [Slope; 4] = [Self::Destinations, Self::Backlog, Self::Instances, Self::Changes];
 
-    /// As written in experiment files.
+    /// Returns the name in experiment files and kept results.
     pub fn name(self) -> &'static str {
         match self {
             Self::Destinations => "destinations",
             Self::Backlog => "backlog",
-            Self::Couriers => "couriers",
+            Self::Instances => "couriers",
             Self::Changes => "changes",
         }
     }
 
-    /// What a size counts.
-    pub fn counts(self) -> &'static str {
+    /// Returns the unit of the size for tables and charts.
+    pub fn unit(self) -> &'static str {
         match self {
             Self::Destinations => "destinations known",
             Self::Backlog => "messages held",
-            Self::Couriers => "hollow couriers",
+            Self::Instances => "hollow couriers",
             Self::Changes => "changes an hour",
         }
     }
 }
 
-/// The sizes of one point.
+/// Sizes of one point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sizes {
-    /// Destinations that discovery lists, one endpoint each.
+    /// Destinations in the endpoint list that respond, with one endpoint each.
     pub destinations: u64,
-    /// Messages held for destinations that hang.
+    /// Pending messages for destinations that do not respond.
     pub backlog: u64,
-    /// Lightweight instances.
-    pub couriers: u64,
-    /// Changes of the endpoint list an hour.
+    /// Lightweight instances beside the real one.
+    #[serde(rename = "couriers")]
+    pub lightweight_instances: u64,
+    /// Changes of the endpoint list per hour.
     pub changes: u64,
 }
 
 impl Sizes {
-    /// The same with the size that `slope` varies.
+    /// Returns these sizes with the one that `slope` varies set to `size`.
     pub fn with(mut self, slope: Slope, size: u64) -> Self {
         *match slope {
             Slope::Destinations => &mut self.destinations,
             Slope::Backlog => &mut self.backlog,
-            Slope::Couriers => &mut self.couriers,
+            Slope::Instances => &mut self.lightweight_instances,
             Slope::Changes => &mut self.changes,
         } = size;
         self
     }
 }
 
-/// The load on the real instance.
+/// Load on the real instance.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Messages offered a second.
+    /// Messages submitted per second.
     pub per_s: f64,
-    /// Connections that offer them.
+    /// Number of client connections that submit messages.
     pub connections: usize,
-    /// Bytes of a message's body.
+    /// Size of a message's body in bytes.
     pub body: usize,
-    /// How long the instance is watched without load.
+    /// Time for which the instance is measured without load.
     #[serde(with = "humantime_serde")]
     pub idle: Duration,
-    /// How long it is loaded.
+    /// Time for which the instance is measured under load.
     #[serde(with = "humantime_serde")]
     pub loaded: Duration,
 }
 
-/// A scale experiment as written.
+/// Scale experiment, as in its file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Version of the format.
+    /// Version of the file format, 1.
     pub format: u32,
-    /// What is asked.
+    /// Question that the experiment answers, for its readers.
     pub question: String,
-    /// What was found.
+    /// Answer found by the experiment; empty if there is none yet.
     #[serde(default)]
     pub found: String,
-    /// The size that varies.
+    /// Size that the experiment varies.
     pub slope: Slope,
-    /// Its values, rising.
+    /// Values of the varied size, in increasing order.
     pub sizes: Vec<u64>,
-    /// How often each is played.
+    /// Number of repetitions of each size.
     pub plays: u32,
-    /// Seed of the instances' chance; each play adds its number.
+    /// Seed of the instances' random draws, to which the number of the repetition is added.
     pub seed: u64,
-    /// A point that takes longer breaks there, and larger sizes are not played.
-    #[serde(with = "humantime_serde")]
-    pub most_per_point: Duration,
-    /// The sizes that are held still; that of the slope is replaced.
+    /// Time limit of a point. A point that exceeds it ends early; if its load was not measured, larger sizes are not
+    /// measured either.
+    #[serde(rename = "most_per_point", with = "humantime_serde")]
+    pub point_time_limit: Duration,
+    /// Sizes that are fixed; the varied one is replaced by the values in `sizes`.
     pub base: Sizes,
-    /// The load on the real instance.
+    /// Load on the real instance.
     pub load: Load,
 }
 
-/// Line and column of a byte, from 1.
-pub fn position(text: &str, at: usize) -> (usize, usize) {
-    let before = &text[..at.min(text.len())];
+/// Returns the line and the column of the byte at `offset` in `text`, both counted from 1.
+pub fn position(text: &str, offset: usize) -> (usize, usize) {
+    let before = &text[..offset.min(text.len())];
     let line = before.matches('\n').count() + 1;
     (line, before.len() - before.rfind('\n').map_or(0, |end| end + 1) + 1)
 }
@@ -173,7 +176,7 @@
         Self::parse(&text).map_err(|what| format!("{}:{what}", path.display()))
     }
 
-    /// Reads and checks `text`; a fault is told with line and column where the text itself is at fault.
+    /// Parses and checks `text`; errors start with line and column.
     pub fn parse(text: &str) -> Result<Self, String> {
         let plan: Self = toml::from_str(text).map_err(|e| {
             let (line, column) = position(text, e.span().map_or(0, |span| span.start));
@@ -183,47 +186,47 @@
         plan.check().map_err(|refusal| {
             let key = refusal.place.rsplit('.').next().unwrap_or_default().to_owned();
             let key = key.split('[').next().unwrap_or_default();
-            let at = text.find(&format!("\n{key} =")).map_or(0, |at| at + 1);
-            let (line, column) = position(text, at);
+            let offset = text.find(&format!("\n{key} =")).map_or(0, |newline| newline + 1);
+            let (line, column) = position(text, offset);
             format!("{line}:{column}: {refusal}")
         })?;
         Ok(plan)
     }
 
-    /// Whether the experiment can be played at all, wherever it is.
-    pub fn check(&self) -> Result<(), Refusal> {
+    /// Checks all values that can be checked without knowing the machine.
+    fn check(&self) -> Result<(), Refusal> {
         if self.format != FORMAT {
             return refuse("format", FORMAT.to_string(), self.format);
         }
         if self.question.trim().is_empty() {
             return refuse("question", "a text", "none");
         }
-        if self.sizes.len() < LEAST_SIZES {
-            return refuse("sizes", format!("at least {LEAST_SIZES}"), self.sizes.len());
+        if self.sizes.len() < MIN_SIZES {
+            return refuse("sizes", format!("at least {MIN_SIZES}"), self.sizes.len());
         }
-        for (nth, pair) in self.sizes.windows(2).enumerate() {
-            if pair[0] == 0 || (pair[1] as f64) < pair[0] as f64 * LEAST_FACTOR {
-                let place = format!("sizes[{}]", nth + 1);
-                let least = pair[0] as f64 * LEAST_FACTOR;
+        for (index, pair) in self.sizes.windows(2).enumerate() {
+            if pair[0] == 0 || (pair[1] as f64) < pair[0] as f64 * MIN_SIZE_RATIO {
+                let place = format!("sizes[{}]", index + 1);
+                let min = pair[0] as f64 * MIN_SIZE_RATIO;
                 return refuse(
                     place,
-                    format!("at least {least:.0}, {LEAST_FACTOR} times the one before"),
+                    format!("at least {min:.0}, {MIN_SIZE_RATIO} times the one before"),
                     pair[1],
                 );
             }
         }
-        if self.plays < LEAST_PLAYS {
-            return refuse("plays", format!("at least {LEAST_PLAYS}"), self.plays);
+        if self.plays < MIN_REPETITIONS {
+            return refuse("plays", format!("at least {MIN_REPETITIONS}"), self.plays);
         }
         let points = self.sizes.len().saturating_mul(self.plays as usize);
-        if points > MOST_POINTS {
-            return refuse("plays", format!("at most {MOST_POINTS} points in all"), points);
+        if points > MAX_POINTS {
+            return refuse("plays", format!("at most {MAX_POINTS} points in all"), points);
         }
-        if self.most_per_point.is_zero() || self.most_per_point > LONGEST_POINT {
-            let found = format!("{} s", self.most_per_point.as_secs_f64());
+        if self.point_time_limit.is_zero() || self.point_time_limit > MAX_POINT_TIME {
+            let found = format!("{} s", self.point_time_limit.as_secs_f64());
             return refuse(
                 "most_per_point",
-                format!("over 0 s, at most {} s", LONGEST_POINT.as_secs()),
+                format!("over 0 s, at most {} s", MAX_POINT_TIME.as_secs()),
                 found,
             );
         }
@@ -245,15 +248,15 @@
             return refuse("load.body", format!("at most {MAX_BODY_BYTES}"), load.body);
         }
         for (place, span) in [("load.idle", load.idle), ("load.loaded", load.loaded)] {
-            if span.is_zero() || span > LONGEST_POINT {
-                let expected = format!("over 0 s, at most {} s", LONGEST_POINT.as_secs());
+            if span.is_zero() || span > MAX_POINT_TIME {
+                let expected = format!("over 0 s, at most {} s", MAX_POINT_TIME.as_secs());
                 return refuse(place, expected, format!("{} s", span.as_secs_f64()));
             }
         }
         Ok(())
     }
 
-    /// Every size with what it stands for.
+    /// Returns each value of the varied size with all sizes of its point.
     pub fn points(&self) -> impl Iterator<Item = (u64, Sizes)> + '_ {
         self.sizes.iter().map(|size| (*size, self.base.with(self.slope, *size)))
     }
--- a/crates/quillhub-scale/src/plan_tests.rs
+++ b/crates/quillhub-scale/src/plan_tests.rs
@@ -23,22 +23,22 @@
 loaded = "3 s"
 "#;
 
-fn fault(old: &str, new: &str) -> String {
+fn parse_error(old: &str, new: &str) -> String {
     assert!(TEXT.contains(old), "{old}");
     Plan::parse(&TEXT.replace(old, new)).unwrap_err()
 }
 
 #[test]
-fn the_sizes_of_the_slope_replace_those_held_still() {
+fn the_values_of_the_varied_size_replace_the_fixed_one() {
     let plan = Plan::parse(TEXT).unwrap();
     let points: Vec<_> =
-        plan.points().map(|(size, sizes)| (size, sizes.destinations, sizes.couriers)).collect();
+        plan.points().map(|(size, sizes)| (size, sizes.destinations, sizes.lightweight_instances)).collect();
     assert_eq!(points, [(10, 10, 0), (40, 40, 0), (160, 160, 0), (640, 640, 0)]);
 }
 
 #[test]
-fn a_fault_is_told_with_line_place_expected_and_found() {
-    for (old, new, told) in [
+fn an_error_names_line_column_key_expected_and_found_value() {
+    for (old, new, message) in [
         ("format = 1", "format = 2", "2:1: format: expected 1, found 2"),
         ("[10, 40, 160, 640]", "[10, 40, 160]", "5:1: sizes: expected at least 4, found 3"),
         (
@@ -54,15 +54,15 @@
         ("body = 200", "body = 99999999", "19:1: load.body: expected at most 65536, found 99999999"),
         ("How does it grow?", " ", "3:1: question: expected a text, found none"),
     ] {
-        assert_eq!(fault(old, new), told);
+        assert_eq!(parse_error(old, new), message);
     }
 }
 
 #[test]
-fn what_is_no_experiment_is_told_where_it_stands() {
-    assert!(fault("slope = \"destinations\"", "slope = \"zones\"").starts_with("4:9: unknown variant"));
-    assert!(fault("seed = 1", "seeds = 1").starts_with("7:1: unknown field"));
-    assert!(fault("plays = 2", "plays = 2.5").starts_with("6:9: "));
+fn the_error_of_a_malformed_experiment_starts_with_its_place() {
+    assert!(parse_error("slope = \"destinations\"", "slope = \"zones\"").starts_with("4:9: unknown variant"));
+    assert!(parse_error("seed = 1", "seeds = 1").starts_with("7:1: unknown field"));
+    assert!(parse_error("plays = 2", "plays = 2.5").starts_with("6:9: "));
     assert!(Plan::parse("").unwrap_err().contains("missing field"));
     assert!(Plan::read(Path::new("/nowhere/scale.toml")).unwrap_err().starts_with("/nowhere/scale.toml: "));
 }
--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -126,7 +126,7 @@
 pub fn play(plan: &Plan, sizes: &Sizes, seed: u64, program: &Path) -> Result<Played, String> {
     let mut played = Played::default();
     let ended = on_one_thread(async {
-        let until = Instant::now() + plan.most_per_point;
+        let until = Instant::now() + plan.point_time_limit;
         let mut point = Point::start(plan, sizes, seed, program, until).await?;
         point.measure(&mut played).await
     });
@@ -226,7 +226,7 @@
         self.idle(played).await?;
         self.loaded(played).await?;
         match self.plan.slope {
-            Slope::Couriers => self.serving(played).await,
+            Slope::Instances => self.serving(played).await,
             Slope::Backlog => self.restarted(played).await,
             Slope::Destinations => self.by_discovery(played).await,
             Slope::Changes => Ok(()),
@@ -276,7 +276,7 @@
             figure::CONTROL_PACKETS,
             (discovery.packets() + platform.packets() + datagrams) as f64 / span,
         );
-        if self.plan.slope == Slope::Couriers {
+        if self.plan.slope == Slope::Instances {
             let exchanged = self.fleet.exchanged();
             let serving = self.fleet.control_time() - serving;
             let bytes = (exchanged.discovery - served.discovery).bytes();
@@ -426,7 +426,8 @@
     let at = Addresses { listen, discovery: fleet.control.for_real, gossip, peers: fleet.relay.at };
     let path = folder.0.join(format!("{name}.json"));
     let told = |e: std::io::Error| format!("a courier's files cannot be written: {e}");
-    std::fs::write(&path, settings::configuration(seed, sizes.couriers + 1, &at, known)).map_err(told)?;
+    std::fs::write(&path, settings::configuration(seed, sizes.lightweight_instances + 1, &at, known))
+        .map_err(told)?;
     std::fs::create_dir_all(state_directory(folder, name)).map_err(told)?;
     Ok(path)
 }
--- a/crates/quillhub-scale/src/settings.rs
+++ b/crates/quillhub-scale/src/settings.rs
@@ -22,9 +22,9 @@
 const SECOND_US: u64 = 1_000_000;
 
 /// What the decisions go by, with so many instances in all.
-pub fn decisions(couriers: u64) -> Value {
+pub fn decisions(instances: u64) -> Value {
     json!({
-        "nInstances": couriers,
+        "nInstances": instances,
         "zone": ZONE,
         "familyInfo": {"maxCalls": CALLS, "losesWorth": "evenly", "separateRoutes": [false]},
         "limits": {"retryAfter": true, "maxRetryAfterUs": 2 * SECOND_US, "idleCloseUs": 60 * SECOND_US,
@@ -52,7 +52,7 @@
 
 /// The configuration of a real instance. `known` is the endpoint list as text, spliced in as it is: a large one is
 /// not read into values here.
-pub fn configuration(seed: u64, couriers: u64, at: &Addresses, known: Option<&str>) -> String {
+pub fn configuration(seed: u64, instances: u64, at: &Addresses, known: Option<&str>) -> String {
     let rest = json!({
         "listen": at.listen.to_string(),
         "discovery": at.discovery.to_string(),
@@ -60,7 +60,7 @@
         "limits": {"sockets": DESCRIPTORS, "disk_mb": STATE_MB},
         "peer_listen": at.gossip.to_string(),
         "peers_all": at.peers.to_string(),
-        "settings": decisions(couriers),
+        "settings": decisions(instances),
     })
     .to_string();
     match known {
--- a/crates/quillhub-scale/tests/counts.rs
+++ b/crates/quillhub-scale/tests/counts.rs
@@ -5,7 +5,7 @@
 use quillhub_scale::plan::Sizes;
 use std::time::{Duration, Instant};
 
-const SIZES: Sizes = Sizes { destinations: 10, backlog: 0, couriers: 12, changes: 0 };
+const SIZES: Sizes = Sizes { destinations: 10, backlog: 0, lightweight_instances: 12, changes: 0 };
 
 fn soon() -> Instant {
     Instant::now() + Duration::from_secs(60)
@@ -17,10 +17,10 @@
         let fleet = Fleet::start(&SIZES, 1, 0).unwrap();
         assert!(fleet.ready(soon()).await);
         let exchanged = fleet.exchanged();
-        assert_eq!(exchanged.finals, SIZES.couriers);
-        assert_eq!(exchanged.platform.connections, SIZES.couriers);
-        assert_eq!(exchanged.platform.requests, SIZES.couriers);
-        assert_eq!(exchanged.discovery.connections, 2 * SIZES.couriers);
+        assert_eq!(exchanged.finals, SIZES.lightweight_instances);
+        assert_eq!(exchanged.platform.connections, SIZES.lightweight_instances);
+        assert_eq!(exchanged.platform.requests, SIZES.lightweight_instances);
+        assert_eq!(exchanged.discovery.connections, 2 * SIZES.lightweight_instances);
     });
 }
 
@@ -33,9 +33,9 @@
         fleet.restart_each(1);
         assert!(fleet.ready(soon()).await);
         let now = fleet.exchanged();
-        assert_eq!((now.discovery - before.discovery).connections, 2 * SIZES.couriers);
-        assert_eq!((now.platform - before.platform).requests, SIZES.couriers);
-        assert_eq!(now.finals - before.finals, SIZES.couriers);
+        assert_eq!((now.discovery - before.discovery).connections, 2 * SIZES.lightweight_instances);
+        assert_eq!((now.platform - before.platform).requests, SIZES.lightweight_instances);
+        assert_eq!(now.finals - before.finals, SIZES.lightweight_instances);
     });
 }
 
@@ -59,7 +59,7 @@
 fn a_list_of_ten_times_as_many_destinations_is_ten_times_as_long() {
     let bytes = |destinations| {
         on_one_thread(async move {
-            let sizes = Sizes { destinations, couriers: 1, ..SIZES };
+            let sizes = Sizes { destinations, lightweight_instances: 1, ..SIZES };
             let fleet = Fleet::start(&sizes, 1, 0).unwrap();
             assert!(fleet.ready(soon()).await);
             fleet.exchanged().discovery.bytes_out
--- a/crates/quillhub-scale/tests/points.rs
+++ b/crates/quillhub-scale/tests/points.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const BASE: Sizes = Sizes { destinations: 10, backlog: 0, couriers: 0, changes: 0 };
+const BASE: Sizes = Sizes { destinations: 10, backlog: 0, lightweight_instances: 0, changes: 0 };
 
 /// The instance's program: an example of this package, built beside its tests.
 fn courier() -> PathBuf {
@@ -13,16 +13,16 @@
     own.parent().and_then(|deps| deps.parent()).unwrap().join("examples/courier")
 }
 
-fn plan(slope: Slope, most_per_point: Duration) -> Plan {
+fn plan(slope: Slope, point_time_limit: Duration) -> Plan {
     let (idle, loaded) = (Duration::from_millis(100), Duration::from_millis(500));
     let load = Load { per_s: 100.0, connections: 4, body: 50, idle, loaded };
     let (question, found) = ("What does it count?".to_owned(), String::new());
     let (sizes, plays, seed, base) = (vec![1, 2, 4, 8], 2, 1, BASE);
-    Plan { format: 1, question, found, slope, sizes, plays, seed, most_per_point, base, load }
+    Plan { format: 1, question, found, slope, sizes, plays, seed, point_time_limit, base, load }
 }
 
-fn played(slope: Slope, size: u64, most_per_point: Duration) -> Played {
-    let plan = plan(slope, most_per_point);
+fn played(slope: Slope, size: u64, point_time_limit: Duration) -> Played {
+    let plan = plan(slope, point_time_limit);
     play(&plan, &BASE.with(slope, size), 1, &courier()).unwrap()
 }
 
@@ -70,7 +70,7 @@
 
 #[test]
 fn what_serves_the_couriers_is_counted_for_each_of_them() {
-    let point = played(Slope::Couriers, 6, LONG);
+    let point = played(Slope::Instances, 6, LONG);
     assert_eq!(point.breaks, None);
     assert_eq!(point.figures[figure::CONNECTIONS], 6.0);
     assert_eq!(point.figures[figure::RESTART_CONNECTIONS], 12.0);
