--- a/crates/quillhub-scale/src/bounds.rs
+++ b/crates/quillhub-scale/src/bounds.rs
@@ -61,7 +61,7 @@
         descriptors: lightweight_instances
             .saturating_mul(DESCRIPTORS_PER_LIGHTWEIGHT)
             .saturating_add(4 * load.connections as u64)
-            .saturating_add(OTHER_DESCRIPTORS + crate::settings::CALLS),
+            .saturating_add(OTHER_DESCRIPTORS + crate::settings::MAX_CALLS),
         memory: real.saturating_add(lightweight).saturating_add(listing),
     }
 }
--- a/crates/quillhub-scale/src/clients.rs
+++ b/crates/quillhub-scale/src/clients.rs
@@ -3,7 +3,7 @@
 
 use crate::destinations::HANGING;
 use crate::plan::Load;
-use crate::settings::{CLASS, LONGEST_MS};
+use crate::settings::{MAX_DEADLINE_MS, SERVICE_CLASS};
 use quillhub_fakes::clients::{command, open, send_command};
 use std::cell::Cell;
 use std::io;
@@ -39,7 +39,7 @@
 
 fn submit(prefix: &str, number: u64, deadline_ms: u64, destination: u64, body: &[u8]) -> Vec<u8> {
     let id = format!("{prefix}{number:015x}");
-    let list = format!("c={CLASS},d={deadline_ms},dest={destination}");
+    let list = format!("c={SERVICE_CLASS},d={deadline_ms},dest={destination}");
     command(&[b"SUBMIT", b"0000000000000000", id.as_bytes(), list.as_bytes(), body])
 }
 
@@ -67,7 +67,8 @@
             while next.get() < count && Instant::now() < until {
                 let number = next.replace(next.get() + 1);
                 let destination = healthy + 1 + number % HANGING;
-                let taken = offer(&mut stream, &submit("b", number, LONGEST_MS, destination, &body)).await?;
+                let taken =
+                    offer(&mut stream, &submit("b", number, MAX_DEADLINE_MS, destination, &body)).await?;
                 *(if taken { &mut offered.accepted } else { &mut offered.refused }) += 1;
             }
             Ok::<_, io::Error>(offered)
--- a/crates/quillhub-scale/src/lightweight.rs
+++ b/crates/quillhub-scale/src/lightweight.rs
@@ -192,7 +192,7 @@
         let limit = self.state.borrow().started.elapsed() + deadline;
         let message = NewMessage {
             id,
-            service_class: settings::CLASS,
+            service_class: settings::SERVICE_CLASS,
             ordering_key: None,
             deadline: limit,
             tenant: None,
