--- a/crates/quillhub-experiments/src/scale.rs
+++ b/crates/quillhub-experiments/src/scale.rs
@@ -7,7 +7,7 @@
 use quillhub_scale::machine;
 use quillhub_scale::plan::{Plan, Slope};
 use quillhub_scale::results::{self, Point};
-use quillhub_scale::{Played, figure, play};
+use quillhub_scale::{Measurement, figure, measure};
 use std::fmt::Write;
 use std::path::Path;
 
@@ -62,7 +62,7 @@
             eprintln!("{experiment}: {} of {all}: {size} {}", points.len() + 1, plan.slope.unit());
             let before = machine::load_average();
             let seed = plan.seed + u64::from(number);
-            let Played { figures, breaks } = play(plan, &sizes, seed, program)?;
+            let Measurement { figures, breaks } = measure(plan, &sizes, seed, program)?;
             let figures = figures.into_iter().map(|(name, value)| (name, round(value))).collect();
             if let Some(breaks) = &breaks {
                 eprintln!("{experiment}: breaks at {size}: {breaks}");
--- a/crates/quillhub-scale/src/control.rs
+++ b/crates/quillhub-scale/src/control.rs
@@ -1,5 +1,5 @@
-//! Discovery and platform on a thread of their own. Real and lightweight instances have an address each, so that
-//! their traffic is counted apart; both serve one endpoint list.
+//! Discovery and platform on a separate thread. They have one address for real and one for lightweight instances, so
+//! that the traffic of each is counted separately; both addresses serve the same endpoint list.
 
 use crate::thread::Worker;
 use quillhub_fakes::endpoints::ListedEndpoint;
@@ -13,111 +13,122 @@
 use tokio::task::spawn_local;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// What discovery is asked to do.
+/// Command to the thread of discovery.
 enum Command {
-    /// Change the phase of an endpoint, and tell the new revision and when that was.
+    /// Change the phase of an endpoint, and return the new revision and the time of the change.
     Change(String, oneshot::Sender<(u64, Instant)>),
-    /// Change it again and again, so long from one change to the next.
-    Steadily(String, Duration),
-    /// The whole list as it is written.
+    /// Change the phase of an endpoint periodically from now on.
+    ChangePeriodically(String, Duration),
+    /// Return the text of the complete list.
     List(oneshot::Sender<Arc<str>>),
 }
 
-/// The servers of discovery and platform.
+/// Running servers of discovery and platform, stopped when this is dropped.
 pub struct Control {
-    /// Where real instances find them.
-    pub for_real: SocketAddr,
-    /// Where lightweight instances find them.
-    pub for_lightweight: SocketAddr,
+    /// Address for real instances.
+    pub real_address: SocketAddr,
+    /// Address for lightweight instances.
+    pub lightweight_address: SocketAddr,
     /// Traffic with real instances.
-    pub with_real: ControlTraffic,
+    pub real_traffic: ControlTraffic,
     /// Traffic with lightweight instances.
-    pub with_lightweight: ControlTraffic,
-    finals: Arc<AtomicU64>,
+    pub lightweight_traffic: ControlTraffic,
+    final_outcomes: Arc<AtomicU64>,
     commands: UnboundedSender<Command>,
     worker: Worker,
 }
 
-/// The other of the two phases that a change goes between.
-fn toggle(register: &mut Discovery, id: &str, drains: &mut bool) {
-    *drains = !*drains;
-    register.change(id, if *drains { "draining" } else { "up" });
+/// Changes the phase of an endpoint from `up` to `draining` or back.
+fn toggle(discovery: &mut Discovery, id: &str, is_draining: &mut bool) {
+    *is_draining = !*is_draining;
+    discovery.change(id, if *is_draining { "draining" } else { "up" });
 }
 
 impl Control {
-    pub fn start(listed: Vec<ListedEndpoint>) -> Result<Self, String> {
-        let (with_real, with_lightweight) = (ControlTraffic::default(), ControlTraffic::default());
-        let (real, lightweight) = (with_real.clone(), with_lightweight.clone());
-        let (commands, mut asked) = unbounded_channel::<Command>();
-        let finals = Arc::new(AtomicU64::new(0));
-        let counted = finals.clone();
-        let (worker, (for_real, for_lightweight)) = Worker::start(move || async move {
-            let register = Discovery::new(&listed);
-            drop(listed);
-            let (tell, mut told) = unbounded_channel();
-            let for_real = platform::start_with_traffic(register.clone(), tell.clone(), real).await?;
-            let for_lightweight = platform::start_with_traffic(register.clone(), tell, lightweight).await?;
+    /// Starts the servers with these endpoints in the list.
+    pub fn start(endpoints: Vec<ListedEndpoint>) -> Result<Self, String> {
+        let (real_traffic, lightweight_traffic) = (ControlTraffic::default(), ControlTraffic::default());
+        let (real, lightweight) = (real_traffic.clone(), lightweight_traffic.clone());
+        let (commands, mut command_receiver) = unbounded_channel::<Command>();
+        let final_outcomes = Arc::new(AtomicU64::new(0));
+        let received = final_outcomes.clone();
+        let (worker, (real_address, lightweight_address)) = Worker::start(move || async move {
+            let discovery = Discovery::new(&endpoints);
+            drop(endpoints);
+            let (outcome_sender, mut outcomes) = unbounded_channel();
+            let real_address =
+                platform::start_with_traffic(discovery.clone(), outcome_sender.clone(), real).await?;
+            let lightweight_address =
+                platform::start_with_traffic(discovery.clone(), outcome_sender, lightweight).await?;
             spawn_local(async move {
-                while told.recv().await.is_some() {
-                    counted.fetch_add(1, Ordering::Relaxed);
+                while outcomes.recv().await.is_some() {
+                    received.fetch_add(1, Ordering::Relaxed);
                 }
             });
             spawn_local(async move {
-                let mut drains = false;
-                while let Some(command) = asked.recv().await {
+                let mut is_draining = false;
+                while let Some(command) = command_receiver.recv().await {
                     match command {
-                        Command::Change(id, done) => {
-                            toggle(&mut register.borrow_mut(), &id, &mut drains);
-                            let _ = done.send((register.borrow().revision, Instant::now()));
+                        Command::Change(id, reply) => {
+                            toggle(&mut discovery.borrow_mut(), &id, &mut is_draining);
+                            let _ = reply.send((discovery.borrow().revision, Instant::now()));
                         }
-                        Command::Steadily(id, gap) => {
-                            let register = register.clone();
+                        Command::ChangePeriodically(id, period) => {
+                            let discovery = discovery.clone();
                             spawn_local(async move {
-                                let mut ticks = interval(gap);
+                                let mut ticks = interval(period);
                                 ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
-                                let mut drains = false;
+                                let mut is_draining = false;
                                 loop {
                                     ticks.tick().await;
-                                    toggle(&mut register.borrow_mut(), &id, &mut drains);
+                                    toggle(&mut discovery.borrow_mut(), &id, &mut is_draining);
                                 }
                             });
                         }
-                        Command::List(done) => {
-                            let _ = done.send(Arc::from(&*register.borrow_mut().list_text()));
+                        Command::List(reply) => {
+                            let _ = reply.send(Arc::from(&*discovery.borrow_mut().list_text()));
                         }
                     }
                 }
             });
-            Ok((for_real, for_lightweight))
+            Ok((real_address, lightweight_address))
         })?;
-        Ok(Self { for_real, for_lightweight, with_real, with_lightweight, finals, commands, worker })
+        Ok(Self {
+            real_address,
+            lightweight_address,
+            real_traffic,
+            lightweight_traffic,
+            final_outcomes,
+            commands,
+            worker,
+        })
     }
 
-    /// Changes the phase of the endpoint `id`; the new revision and when that was.
+    /// Changes the phase of the endpoint `id`; returns the new revision and the time of the change.
     pub async fn change(&self, id: &str) -> Result<(u64, Instant), String> {
-        let (tell, told) = oneshot::channel();
-        let _ = self.commands.send(Command::Change(id.into(), tell));
-        told.await.map_err(|_| "discovery's thread ended".into())
+        let (reply_sender, reply) = oneshot::channel();
+        let _ = self.commands.send(Command::Change(id.into(), reply_sender));
+        reply.await.map_err(|_| "discovery's thread ended".into())
     }
 
-    /// Changes the phase of the endpoint `id` from now on, `gap` from one change to the next.
-    pub fn change_steadily(&self, id: &str, gap: Duration) {
-        let _ = self.commands.send(Command::Steadily(id.into(), gap));
+    /// Changes the phase of the endpoint `id` at once and then once per `period`.
+    pub fn change_periodically(&self, id: &str, period: Duration) {
+        let _ = self.commands.send(Command::ChangePeriodically(id.into(), period));
     }
 
-    /// The whole list as it is written.
+    /// Returns the text of the complete endpoint list.
     pub async fn list(&self) -> Result<Arc<str>, String> {
-        let (tell, told) = oneshot::channel();
-        let _ = self.commands.send(Command::List(tell));
-        told.await.map_err(|_| "discovery's thread ended".into())
+        let (reply_sender, reply) = oneshot::channel();
+        let _ = self.commands.send(Command::List(reply_sender));
+        reply.await.map_err(|_| "discovery's thread ended".into())
     }
 
-    /// Final outcomes that the platform was told.
-    pub fn finals(&self) -> u64 {
-        self.finals.load(Ordering::Relaxed)
+    /// Returns the number of final outcomes that the platform has received.
+    pub fn final_outcomes(&self) -> u64 {
+        self.final_outcomes.load(Ordering::Relaxed)
     }
 
-    /// Processor time of both servers by now.
+    /// Returns the processor time that the servers have used so far.
     pub fn processor_time(&self) -> Duration {
         self.worker.processor_time()
     }
--- a/crates/quillhub-scale/src/destinations.rs
+++ b/crates/quillhub-scale/src/destinations.rs
@@ -1,5 +1,5 @@
-//! Lightweight destinations: ids without number on two shared listeners, one whose calls are answered at once and
-//! one whose calls are never answered.
+//! Lightweight destinations: any number of ids on two shared listeners, one that responds to each call at once and one
+//! that never responds.
 
 use crate::settings;
 use crate::thread::Worker;
@@ -12,66 +12,67 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// Destinations that hang, among which a backlog is spread.
-pub const HANGING: u64 = 20;
+/// Number of destinations that do not respond, to which the messages of a backlog are submitted in turn.
+pub const UNRESPONSIVE: u64 = 20;
 
-/// The listeners behind all destinations.
+/// Running listeners of all destinations, stopped when this is dropped.
 pub struct Destinations {
-    healthy: SocketAddr,
-    hanging: SocketAddr,
+    responding: SocketAddr,
+    unresponsive: SocketAddr,
     delivered: Arc<AtomicU64>,
     _worker: Worker,
 }
 
-async fn answer_all(stream: TcpStream, delivered: Arc<AtomicU64>) {
-    let mut link = ServerConnection::new(stream);
-    while let Ok(Some(_)) = link.next().await {
-        if link.answer(200, "", b"ok").await.is_err() {
+async fn respond(stream: TcpStream, delivered: Arc<AtomicU64>) {
+    let mut connection = ServerConnection::new(stream);
+    while let Ok(Some(_)) = connection.next().await {
+        if connection.answer(200, "", b"ok").await.is_err() {
             return;
         }
         delivered.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-async fn answer_none(stream: TcpStream) {
-    let mut link = ServerConnection::new(stream);
-    while let Ok(Some(_)) = link.next().await {}
+async fn read_only(stream: TcpStream) {
+    let mut connection = ServerConnection::new(stream);
+    while let Ok(Some(_)) = connection.next().await {}
 }
 
 impl Destinations {
+    /// Starts both listeners.
     pub fn start() -> Result<Self, String> {
         let delivered = Arc::new(AtomicU64::new(0));
-        let counted = delivered.clone();
-        let (worker, (healthy, hanging)) = Worker::start(move || async move {
-            let (healthy, hanging) =
+        let counter = delivered.clone();
+        let (worker, (responding, unresponsive)) = Worker::start(move || async move {
+            let (responding, unresponsive) =
                 (TcpListener::bind("127.0.0.1:0").await?, TcpListener::bind("127.0.0.1:0").await?);
-            let addresses = (healthy.local_addr()?, hanging.local_addr()?);
-            spawn_local(accept_each(healthy, move |stream| answer_all(stream, counted.clone())));
-            spawn_local(accept_each(hanging, answer_none));
+            let addresses = (responding.local_addr()?, unresponsive.local_addr()?);
+            spawn_local(accept_each(responding, move |stream| respond(stream, counter.clone())));
+            spawn_local(accept_each(unresponsive, read_only));
             Ok(addresses)
         })?;
-        Ok(Self { healthy, hanging, delivered, _worker: worker })
+        Ok(Self { responding, unresponsive, delivered, _worker: worker })
     }
 
-    /// The endpoints of so many destinations that answer, numbered from 1, and after them of those that hang.
-    pub fn listed(&self, healthy: u64, hanging: u64) -> Vec<ListedEndpoint> {
+    /// Returns the endpoints of `responding` destinations, numbered from 1, and then of `unresponsive` ones.
+    pub fn endpoints(&self, responding: u64, unresponsive: u64) -> Vec<ListedEndpoint> {
         let endpoint = |destination: u64| ListedEndpoint {
-            id: endpoint(destination),
-            address: if destination <= healthy { self.healthy } else { self.hanging },
+            id: endpoint_id(destination),
+            address: if destination <= responding { self.responding } else { self.unresponsive },
             zone: settings::ZONE.into(),
             kind: settings::KIND.into(),
             destination,
         };
-        (1..=healthy + hanging).map(endpoint).collect()
+        (1..=responding + unresponsive).map(endpoint).collect()
     }
 
-    /// Calls that were answered.
+    /// Returns the counter of calls with a response, which is incremented as long as the listeners run.
     pub fn delivered(&self) -> Arc<AtomicU64> {
         self.delivered.clone()
     }
 }
 
-/// The id of a destination's endpoint.
-pub fn endpoint(destination: u64) -> String {
+/// Returns the id of a destination's endpoint.
+pub fn endpoint_id(destination: u64) -> String {
     format!("e{destination}")
 }
--- a/crates/quillhub-scale/src/fleet.rs
+++ b/crates/quillhub-scale/src/fleet.rs
@@ -1,136 +1,139 @@
-//! All that surrounds the real instances of one point: discovery and platform, destinations, the relay between
-//! peers, and the lightweight instances.
+//! Environment of the real instance of one point: discovery and platform, destinations, the relay of gossip, and the
+//! lightweight instances.
 
 use crate::bounds::LIGHTWEIGHT_PER_THREAD;
 use crate::control::Control;
-use crate::destinations::{self, Destinations, HANGING};
+use crate::destinations::{self, Destinations, UNRESPONSIVE};
 use crate::gossip::Relay;
-use crate::lightweight::{Common, Group, Status};
+use crate::lightweight::{FleetParameters, Group, Status};
 use crate::plan::Sizes;
 use quillhub_fakes::traffic::Counts;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How often a condition is looked at.
-const LOOK: Duration = Duration::from_millis(2);
+/// Time between two checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How long after a change it was in force at the instance in the middle, and at the last.
+/// Time from a change of the endpoint list until lightweight instances have applied it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct InForce {
-    /// At half of the instances.
+pub struct ApplyTime {
+    /// Median over all lightweight instances.
     pub median: Duration,
-    /// At the last.
-    pub worst: Duration,
+    /// Time until the last of them has applied it.
+    pub max: Duration,
 }
 
-/// What the lightweight instances have exchanged with discovery and platform.
+/// Traffic of all lightweight instances with discovery and platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Exchanged {
-    /// With discovery.
+pub struct FleetTraffic {
+    /// Traffic with discovery.
     pub discovery: Counts,
-    /// With the platform.
+    /// Traffic with the platform.
     pub platform: Counts,
-    /// Final outcomes that the platform confirmed, of real instances too.
-    pub finals: u64,
-    /// Watches and other connections to discovery that are open.
-    pub open: u64,
+    /// Final outcomes that the platform has received, from real instances, too.
+    pub final_outcomes: u64,
+    /// Open connections to discovery, most of which are watches.
+    pub open_connections: u64,
 }
 
-/// The surroundings, running.
+/// Running environment of a point, stopped when this is dropped.
 pub struct Fleet {
     pub(crate) control: Control,
     pub(crate) destinations: Destinations,
     pub(crate) relay: Relay,
     groups: Vec<Group>,
-    /// Destinations that answer.
-    healthy: u64,
-    beginning: Instant,
+    /// Number of destinations that respond.
+    responding: u64,
+    started: Instant,
 }
 
 impl Fleet {
-    /// Starts all of it; `real` instances will join later.
+    /// Starts the environment for these sizes. `real` is the number of real instances to be started later, and `seed`
+    /// determines the random draws of the lightweight ones.
     pub fn start(sizes: &Sizes, seed: u64, real: u64) -> Result<Self, String> {
-        let beginning = Instant::now();
+        let started = Instant::now();
         let destinations = Destinations::start()?;
-        let hanging = if sizes.backlog > 0 { HANGING } else { 0 };
-        let control = Control::start(destinations.listed(sizes.destinations, hanging))?;
+        let unresponsive = if sizes.backlog > 0 { UNRESPONSIVE } else { 0 };
+        let control = Control::start(destinations.endpoints(sizes.destinations, unresponsive))?;
         let relay = Relay::start()?;
-        let common = Common {
-            control: control.for_lightweight,
-            peers: relay.at,
+        let parameters = FleetParameters {
+            control: control.lightweight_address,
+            peers: relay.address,
             instances: sizes.lightweight_instances + real,
             destinations: sizes.destinations,
             seed,
-            beginning,
+            fleet_started: started,
         };
         let mut groups = Vec::new();
         let mut first = 0;
         while first < sizes.lightweight_instances {
             let count = LIGHTWEIGHT_PER_THREAD.min(sizes.lightweight_instances - first);
-            let group = Group::start(common, first, count)?;
-            group.addresses.iter().for_each(|address| relay.join(*address));
+            let group = Group::start(parameters, first, count)?;
+            group.addresses.iter().for_each(|address| relay.add_member(*address));
             groups.push(group);
             first += count;
         }
-        Ok(Self { control, destinations, relay, groups, healthy: sizes.destinations, beginning })
+        Ok(Self { control, destinations, relay, groups, responding: sizes.destinations, started })
     }
 
     fn statuses(&self) -> impl Iterator<Item = &Status> {
         self.groups.iter().flat_map(|group| &group.statuses).map(AsRef::as_ref)
     }
 
-    /// Waits until all lightweight instances are ready; false if some are not by `until`.
-    pub async fn ready(&self, until: Instant) -> bool {
-        while !self.statuses().all(Status::ready) {
-            if Instant::now() >= until {
+    /// Waits until all lightweight instances are ready; returns `false` if some are not by `deadline`.
+    pub async fn wait_until_ready(&self, deadline: Instant) -> bool {
+        while !self.statuses().all(Status::is_ready) {
+            if Instant::now() >= deadline {
                 return false;
             }
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
         true
     }
 
-    /// Ends and starts anew one lightweight instance of every `of`.
-    pub fn restart_each(&self, of: usize) {
+    /// Restarts every `step`th lightweight instance on each thread.
+    pub fn restart_every(&self, step: usize) {
         for group in &self.groups {
-            (0..group.statuses.len()).step_by(of.max(1)).for_each(|nth| group.restart(nth));
+            (0..group.statuses.len()).step_by(step.max(1)).for_each(|index| group.restart(index));
         }
     }
 
-    /// The endpoint that changes: of the last destination that answers, which gets no load.
-    pub fn changing(&self) -> String {
-        destinations::endpoint(self.healthy)
+    /// Returns the id of the endpoint that changes: that of the last responding destination, which gets no load.
+    pub fn changing_endpoint(&self) -> String {
+        destinations::endpoint_id(self.responding)
     }
 
-    /// Makes one change and waits until it is in force at all lightweight instances; nothing if it is not by `until`.
-    pub async fn change(&self, until: Instant) -> Result<Option<InForce>, String> {
-        let (revision, at) = self.control.change(&self.changing()).await?;
-        let at = at.saturating_duration_since(self.beginning);
-        while !self.statuses().all(|status| status.in_force().0 >= revision) {
-            if Instant::now() >= until {
+    /// Changes the endpoint list and waits until all lightweight instances have applied the change.
+    ///
+    /// Returns `None` if some have not by `deadline`.
+    pub async fn change(&self, deadline: Instant) -> Result<Option<ApplyTime>, String> {
+        let (revision, changed) = self.control.change(&self.changing_endpoint()).await?;
+        let changed = changed.saturating_duration_since(self.started);
+        while !self.statuses().all(|status| status.applied_revision().0 >= revision) {
+            if Instant::now() >= deadline {
                 return Ok(None);
             }
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
-        let mut waits: Vec<_> =
-            self.statuses().map(|status| status.in_force().1.saturating_sub(at)).collect();
-        waits.sort();
-        Ok(waits.last().map(|worst| InForce { median: waits[waits.len() / 2], worst: *worst }))
+        let mut times: Vec<_> =
+            self.statuses().map(|status| status.applied_revision().1.saturating_sub(changed)).collect();
+        times.sort();
+        Ok(times.last().map(|max| ApplyTime { median: times[times.len() / 2], max: *max }))
     }
 
-    /// Totals by now.
-    pub fn exchanged(&self) -> Exchanged {
-        let with = &self.control.with_lightweight;
-        Exchanged {
-            discovery: with.discovery.counts(),
-            platform: with.platform.counts(),
-            finals: self.control.finals(),
-            open: with.discovery.open_connections(),
+    /// Returns the traffic so far.
+    pub fn traffic(&self) -> FleetTraffic {
+        let traffic = &self.control.lightweight_traffic;
+        FleetTraffic {
+            discovery: traffic.discovery.counts(),
+            platform: traffic.platform.counts(),
+            final_outcomes: self.control.final_outcomes(),
+            open_connections: traffic.discovery.open_connections(),
         }
     }
 
-    /// Processor time of the servers of discovery and platform by now.
-    pub fn control_time(&self) -> Duration {
+    /// Returns the processor time that discovery and platform have used so far.
+    pub fn control_processor_time(&self) -> Duration {
         self.control.processor_time()
     }
 }
--- a/crates/quillhub-scale/src/gossip.rs
+++ b/crates/quillhub-scale/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The address that reaches all peers: a relay that passes each datagram on to all instances but its sender.
+//! Relay of gossip: passes each datagram on to all instances but its sender.
 
 use crate::thread::Worker;
 use std::net::SocketAddr;
@@ -9,40 +9,40 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Bytes of a datagram.
-const MOST: usize = 512;
-/// Pause after a failed read.
-const PAUSE: Duration = Duration::from_millis(5);
-/// Bytes of the headers of IPv4 and UDP.
+/// Maximum size of a datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 512;
+/// Delay after a failed read.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Size of the headers of IPv4 and UDP, in bytes.
 pub const HEADER_BYTES: u64 = 28;
 
-/// Datagrams passed on to the instance that is watched, and their bytes.
+/// Traffic from the relay to the measured instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
-    /// Datagrams to the instance that is watched.
-    pub to_watched: u64,
-    /// Bytes of those, without headers.
-    pub bytes_to_watched: u64,
+pub struct RelayTraffic {
+    /// Number of datagrams.
+    pub datagrams: u64,
+    /// Bytes of the datagrams, without headers.
+    pub bytes: u64,
 }
 
 #[derive(Default)]
 struct Shared {
     members: Mutex<Vec<SocketAddr>>,
-    watched: Mutex<Option<SocketAddr>>,
-    to_watched: AtomicU64,
-    bytes_to_watched: AtomicU64,
+    measured: Mutex<Option<SocketAddr>>,
+    datagrams: AtomicU64,
+    bytes: AtomicU64,
 }
 
-/// The running relay.
+/// Running relay, stopped when this is dropped.
 pub struct Relay {
-    /// What instances send to.
-    pub at: SocketAddr,
+    /// Address that instances send gossip to.
+    pub address: SocketAddr,
     shared: Arc<Shared>,
     _worker: Worker,
 }
 
-fn add(counter: &AtomicU64, more: u64) {
-    counter.fetch_add(more, Ordering::Relaxed);
+fn add(counter: &AtomicU64, increment: u64) {
+    counter.fetch_add(increment, Ordering::Relaxed);
 }
 
 fn locked<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
@@ -50,53 +50,51 @@
 }
 
 async fn pass_on(socket: UdpSocket, shared: Arc<Shared>) {
-    let mut octets = [0; MOST];
+    let mut octets = [0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut octets).await else {
-            sleep(PAUSE).await;
+            sleep(READ_RETRY_DELAY).await;
             continue;
         };
         let members = locked(&shared.members).clone();
-        let watched = *locked(&shared.watched);
+        let measured = *locked(&shared.measured);
         for to in members.into_iter().filter(|to| *to != from) {
-            // One that cannot be sent at once is lost, as on a network.
-            if socket.try_send_to(&octets[..length], to).is_ok() && Some(to) == watched {
-                add(&shared.to_watched, 1);
-                add(&shared.bytes_to_watched, length as u64);
+            // A datagram that cannot be sent at once is lost, as on a network.
+            if socket.try_send_to(&octets[..length], to).is_ok() && Some(to) == measured {
+                add(&shared.datagrams, 1);
+                add(&shared.bytes, length as u64);
             }
         }
     }
 }
 
 impl Relay {
+    /// Starts the relay without any instances.
     pub fn start() -> Result<Self, String> {
         let shared = Arc::new(Shared::default());
-        let inside = shared.clone();
-        let (worker, at) = Worker::start(move || async move {
+        let relayed = shared.clone();
+        let (worker, address) = Worker::start(move || async move {
             let socket = UdpSocket::bind("127.0.0.1:0").await?;
-            let at = socket.local_addr()?;
-            spawn_local(pass_on(socket, inside));
-            Ok(at)
+            let address = socket.local_addr()?;
+            spawn_local(pass_on(socket, relayed));
+            Ok(address)
         })?;
-        Ok(Self { at, shared, _worker: worker })
+        Ok(Self { address, shared, _worker: worker })
     }
 
-    /// One more instance hears what is told.
-    pub fn join(&self, member: SocketAddr) {
+    /// Adds an instance that receives gossip at the address `member`.
+    pub fn add_member(&self, member: SocketAddr) {
         locked(&self.shared.members).push(member);
     }
 
-    /// What goes to `member` is counted apart.
-    pub fn watch(&self, member: SocketAddr) {
-        *locked(&self.shared.watched) = Some(member);
+    /// Counts the datagrams to `member` from now on, and no longer those to an earlier one.
+    pub fn measure(&self, member: SocketAddr) {
+        *locked(&self.shared.measured) = Some(member);
     }
 
-    /// Totals by now.
-    pub fn passed(&self) -> Passed {
+    /// Returns the traffic to measured instances so far.
+    pub fn traffic(&self) -> RelayTraffic {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        Passed {
-            to_watched: read(&self.shared.to_watched),
-            bytes_to_watched: read(&self.shared.bytes_to_watched),
-        }
+        RelayTraffic { datagrams: read(&self.shared.datagrams), bytes: read(&self.shared.bytes) }
     }
 }
--- a/crates/quillhub-scale/src/lib.rs
+++ b/crates/quillhub-scale/src/lib.rs
@@ -25,4 +25,4 @@
 mod settings;
 mod thread;
 
-pub use point::{Played, figure, play};
+pub use point::{Measurement, figure, measure};
--- a/crates/quillhub-scale/src/lightweight.rs
+++ b/crates/quillhub-scale/src/lightweight.rs
@@ -1,5 +1,5 @@
-//! Lightweight instances: the decision module with its real state and the real protocol to discovery, platform and
-//! peers, but no clients, no state directory and no calls to endpoints. Many share one thread.
+//! Lightweight instances: they have a real dispatcher and speak the real protocols to discovery, platform and peers, but
+//! have no clients and no state directory and make no calls to endpoints. Many share one thread.
 
 use crate::settings;
 use crate::thread::Worker;
@@ -26,237 +26,253 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// From one message that makes an instance gossip to its next: what each of them is assumed to tell.
-pub const GOSSIP_GAP: Duration = Duration::from_secs(60);
-/// A watch silent for so long has ended, as for a real instance.
-const SILENCE: Duration = Duration::from_millis(2_500);
-/// Pause after a watch or a call that ended.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Deadline of the messages that make an instance gossip.
-const GOSSIP_DEADLINE: Duration = Duration::from_secs(30);
-/// Calls of such a message that fail before one succeeds: two in a row make its destination's return news.
-const FAILED_CALLS: u32 = 2;
-/// Bytes of a datagram.
-const MOST_DATAGRAM: usize = 256;
+/// Time between two messages that make an instance send gossip; each instance is assumed to send gossip so often.
+const GOSSIP_INTERVAL: Duration = Duration::from_secs(60);
+/// Time without data after which a watch or a response has failed, as for a real instance.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Delay before the next attempt after a watch ended or a request failed.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Time to live of the messages that make an instance send gossip.
+const GOSSIP_TIME_TO_LIVE: Duration = Duration::from_secs(30);
+/// Number of simulated attempts of a message that fail before one succeeds: after two failures in a row, an instance
+/// sends gossip of the destination's recovery.
+const FAILED_ATTEMPTS: u32 = 2;
+/// Maximum size of a datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// What is seen of a lightweight instance from outside its thread.
+/// Status of a lightweight instance, for other threads.
 #[derive(Debug, Default)]
 pub struct Status {
     revision: AtomicU64,
-    /// Nanoseconds from the fleet's beginning until that revision was in force.
-    in_force_ns: AtomicU64,
+    /// Nanoseconds from the start of the fleet until `revision` was applied.
+    applied_ns: AtomicU64,
     confirmed: AtomicU64,
 }
 
 impl Status {
-    /// The last revision in force, 0 before the first, and when it came into force since the fleet's beginning.
-    pub fn in_force(&self) -> (u64, Duration) {
-        let at = Duration::from_nanos(self.in_force_ns.load(Ordering::Acquire));
-        (self.revision.load(Ordering::Acquire), at)
+    /// Returns the last revision of the endpoint list that was applied, 0 before the first, and the time from the start
+    /// of the fleet until then.
+    pub fn applied_revision(&self) -> (u64, Duration) {
+        let applied = Duration::from_nanos(self.applied_ns.load(Ordering::Acquire));
+        (self.revision.load(Ordering::Acquire), applied)
     }
 
-    /// Whether its list is in force and the platform has confirmed its final outcome.
-    pub fn ready(&self) -> bool {
+    /// Returns `true` if the instance has applied an endpoint list and the platform has confirmed a final outcome.
+    pub fn is_ready(&self) -> bool {
         self.revision.load(Ordering::Acquire) > 0 && self.confirmed.load(Ordering::Acquire) > 0
     }
 }
 
-/// What all lightweight instances of a run have in common.
+/// Parameters shared by all lightweight instances of a run.
 #[derive(Clone, Copy)]
-pub struct Common {
-    /// Discovery and platform.
+pub struct FleetParameters {
+    /// Address of discovery and platform.
     pub control: SocketAddr,
-    /// What reaches all peers.
+    /// Address of the relay that passes gossip on to all other instances.
     pub peers: SocketAddr,
-    /// Instances in all, real ones too.
+    /// Number of instances, with the real ones.
     pub instances: u64,
-    /// Destinations numbered from 1 that messages may be for.
+    /// Number of destinations that messages may be for; they are numbered from 1.
     pub destinations: u64,
+    /// Seed of the instances' random draws, to which the number of the instance is added.
     pub seed: u64,
-    /// The instant that times count from.
-    pub beginning: Instant,
+    /// Start of the fleet, from which times of [`Status`] count.
+    pub fleet_started: Instant,
 }
 
-/// What the dispatcher asked for in one round.
+/// Actions that the dispatcher requested while it handled one event.
 #[derive(Default)]
 struct Actions {
-    calls: Vec<MessageId>,
-    ended: Vec<(MessageId, bool)>,
+    attempts: Vec<MessageId>,
+    /// Messages with a final outcome; `true` if the message was rejected.
+    outcomes: Vec<(MessageId, bool)>,
     gossip: Vec<Vec<u8>>,
-    wakes: Vec<Duration>,
+    timers: Vec<Duration>,
 }
 
 impl Driver for Actions {
     fn start_attempt(&mut self, id: MessageId, _endpoint: &str, _timeout: Duration) {
-        self.calls.push(id);
+        self.attempts.push(id);
     }
     fn reject(&mut self, id: MessageId, _retry_after: Option<Duration>) {
-        self.ended.push((id, true));
+        self.outcomes.push((id, true));
     }
     fn abandon(&mut self, id: MessageId) {
-        self.ended.push((id, false));
+        self.outcomes.push((id, false));
     }
     fn close_idle_connections(&mut self, _endpoint: &str) {}
     fn broadcast(&mut self, gossip: &[u8]) {
         self.gossip.push(gossip.to_vec());
     }
     fn set_timer(&mut self, wait: Duration) {
-        self.wakes.push(wait);
+        self.timers.push(wait);
     }
     fn watch_endpoints(&mut self) {}
-    fn log(&mut self, _line: &LogEvent) {}
+    fn log(&mut self, _event: &LogEvent) {}
 }
 
-/// The state of one lightweight instance.
+/// State of one lightweight instance.
 struct State {
     dispatcher: Dispatcher,
     started: Instant,
-    wakes: BinaryHeap<Reverse<Instant>>,
-    /// Calls of each message so far, by its id; ids count up.
-    calls: std::collections::BTreeMap<MessageId, u32>,
+    timers: BinaryHeap<Reverse<Instant>>,
+    /// Number of the last attempt of each pending message that was attempted, counted from 0.
+    attempts: std::collections::BTreeMap<MessageId, u32>,
+    /// Final outcomes that the platform has not confirmed yet; `true` if the message was rejected.
     outcomes: VecDeque<(MessageId, bool)>,
     gossip: VecDeque<Vec<u8>>,
-    next: MessageId,
+    last_id: MessageId,
 }
 
 struct Lightweight {
     state: RefCell<State>,
-    /// There is something to do for the tasks that wait: a timer, a final outcome, gossip.
-    timer: Notify,
-    outcomes: Notify,
-    gossip: Notify,
+    /// Notified when a timer is set.
+    timer_set: Notify,
+    /// Notified when a message has its final outcome.
+    outcome_added: Notify,
+    /// Notified when there is gossip to send.
+    gossip_added: Notify,
     status: Arc<Status>,
-    common: Common,
+    parameters: FleetParameters,
+    /// Number of the instance among the lightweight ones, from 0.
     number: u64,
 }
 
 impl Lightweight {
-    fn event<T>(&self, event: impl FnOnce(&mut Dispatcher) -> T) -> T {
+    /// Handles an event, and simulates all attempts that it leads to.
+    fn handle<T>(&self, event: impl FnOnce(&mut Dispatcher) -> T) -> T {
         let mut state = self.state.borrow_mut();
-        let (told, calls) = self.round(&mut state, event);
-        // Calls end at once, so what they lead to is told before anything else.
-        let mut calls = VecDeque::from(calls);
-        while let Some(id) = calls.pop_front() {
-            let nth = *state.calls.entry(id).and_modify(|calls| *calls += 1).or_insert(0);
-            let delivered = nth >= FAILED_CALLS;
+        let (returned, attempts) = self.handle_one(&mut state, event);
+        // Simulated attempts end at once, so their results are reported before any other event.
+        let mut attempts = VecDeque::from(attempts);
+        while let Some(id) = attempts.pop_front() {
+            let attempt = *state.attempts.entry(id).and_modify(|attempts| *attempts += 1).or_insert(0);
+            let delivered = attempt >= FAILED_ATTEMPTS;
             let outcome = if delivered { AttemptOutcome::Delivered } else { AttemptOutcome::ConnectFailed };
             if delivered {
-                state.calls.remove(&id);
+                state.attempts.remove(&id);
             }
-            let more = self.round(&mut state, |dispatcher| {
+            let more = self.handle_one(&mut state, |dispatcher| {
                 dispatcher.attempt_ended(AttemptResult {
                     message: id,
-                    attempt: nth,
+                    attempt,
                     outcome,
                     duration: Duration::from_millis(1),
                     finished: delivered,
                     load_report: None,
                 });
             });
-            calls.extend(more.1);
+            attempts.extend(more.1);
         }
-        told
+        returned
     }
 
-    /// One event, and the calls that it leads to.
-    fn round<T>(&self, state: &mut State, event: impl FnOnce(&mut Dispatcher) -> T) -> (T, Vec<MessageId>) {
+    /// Handles one event; returns its result and the messages whose attempts are to be simulated.
+    fn handle_one<T>(
+        &self,
+        state: &mut State,
+        event: impl FnOnce(&mut Dispatcher) -> T,
+    ) -> (T, Vec<MessageId>) {
         let mut actions = Actions::default();
         state.dispatcher.advance_to(state.started.elapsed());
-        let told = event(&mut state.dispatcher);
+        let returned = event(&mut state.dispatcher);
         state.dispatcher.apply_rules(&mut actions);
         let now = Instant::now();
-        if !actions.wakes.is_empty() {
-            state.wakes.extend(actions.wakes.iter().map(|wait| Reverse(now + *wait)));
-            self.timer.notify_one();
+        if !actions.timers.is_empty() {
+            state.timers.extend(actions.timers.iter().map(|wait| Reverse(now + *wait)));
+            self.timer_set.notify_one();
         }
-        if !actions.ended.is_empty() {
-            actions.ended.iter().for_each(|(id, _)| {
-                state.calls.remove(id);
+        if !actions.outcomes.is_empty() {
+            actions.outcomes.iter().for_each(|(id, _)| {
+                state.attempts.remove(id);
             });
-            state.outcomes.extend(actions.ended);
-            self.outcomes.notify_one();
+            state.outcomes.extend(actions.outcomes);
+            self.outcome_added.notify_one();
         }
         if !actions.gossip.is_empty() {
             state.gossip.extend(actions.gossip);
-            self.gossip.notify_one();
+            self.gossip_added.notify_one();
         }
-        (told, actions.calls)
+        (returned, actions.attempts)
     }
 
-    fn submit(&self, destination: u64, deadline: Duration) {
+    /// Submits a message that expires after `time_to_live`.
+    fn submit(&self, destination: u64, time_to_live: Duration) {
         let id = {
             let mut state = self.state.borrow_mut();
-            state.next += 1;
-            state.next
+            state.last_id += 1;
+            state.last_id
         };
-        let limit = self.state.borrow().started.elapsed() + deadline;
+        let deadline = self.state.borrow().started.elapsed() + time_to_live;
         let message = NewMessage {
             id,
             service_class: settings::SERVICE_CLASS,
             ordering_key: None,
-            deadline: limit,
+            deadline,
             tenant: None,
             destination,
         };
-        let accepted = self.event(|dispatcher| dispatcher.accept(message));
+        let accepted = self.handle(|dispatcher| dispatcher.accept(message));
         accepted.expect("the settings have this service class");
     }
 
-    /// Tells the dispatcher a list or changes of it.
+    /// Reports a complete list or changes of it to the dispatcher; returns its revision.
     fn apply(&self, list: &Value) -> io::Result<u64> {
         let malformed = || io::Error::from(io::ErrorKind::InvalidData);
         let revision = list["revision"].as_u64().ok_or_else(malformed)?;
         let rows = list["members"].as_array().ok_or_else(malformed)?;
-        let whole = list["complete"].as_bool().unwrap_or(false);
-        let word = |row: &Value, name: &str| row[name].as_str().unwrap_or_default().to_owned();
-        let names: BTreeSet<String> = rows.iter().map(|row| word(row, "id")).collect();
-        self.event(|dispatcher| {
+        let is_complete = list["complete"].as_bool().unwrap_or(false);
+        let text = |row: &Value, name: &str| row[name].as_str().unwrap_or_default().to_owned();
+        let names: BTreeSet<String> = rows.iter().map(|row| text(row, "id")).collect();
+        self.handle(|dispatcher| {
             for row in rows {
-                let listing = match row["phase"].as_str() {
+                let state = match row["phase"].as_str() {
                     Some("up") => EndpointState::Available,
                     Some("draining") => EndpointState::Draining,
                     _ => EndpointState::Removed,
                 };
-                let (name, zone, kind) = (word(row, "id"), word(row, "locality"), word(row, "flavor"));
-                let owner = row["cell"].as_u64().unwrap_or_default();
+                let (name, zone, kind) = (text(row, "id"), text(row, "locality"), text(row, "flavor"));
+                let destination = row["cell"].as_u64().unwrap_or_default();
                 dispatcher.endpoint_updated(EndpointUpdate {
                     name: &name,
                     zone: &zone,
                     kind: &kind,
-                    destination: owner,
-                    state: listing,
+                    destination,
+                    state,
                     listed_rate: row["size"].as_f64(),
                 });
             }
-            dispatcher.endpoint_list_ended(whole.then_some(&names), true);
+            dispatcher.endpoint_list_ended(is_complete.then_some(&names), true);
         });
-        let since = self.common.beginning.elapsed().as_nanos() as u64;
-        self.status.in_force_ns.store(since, Ordering::Release);
+        let applied_ns = self.parameters.fleet_started.elapsed().as_nanos() as u64;
+        self.status.applied_ns.store(applied_ns, Ordering::Release);
         self.status.revision.store(revision, Ordering::Release);
         Ok(revision)
     }
 
+    /// Fetches the complete list if no `revision` is known, then applies changes until the watch ends.
     async fn watch_once(&self, revision: &mut Option<u64>) -> io::Result<()> {
-        let at = self.common.control;
+        let address = self.parameters.control;
         let after = match *revision {
             Some(revision) => revision,
             None => {
-                let mut link = HttpConnection::open(at).await?;
-                let head = ask(&mut link, at, "GET", "/registry/instances", &[]).await?;
+                let mut connection = HttpConnection::open(address).await?;
+                let head = request(&mut connection, address, "GET", "/registry/instances", &[]).await?;
                 let framing = head.framing().map_err(ConnectionError::from)?;
-                let body = timeout(SILENCE, link.body(framing, MAX_LIST_BYTES)).await??;
+                let body = timeout(SILENCE_TIMEOUT, connection.body(framing, MAX_LIST_BYTES)).await??;
                 let first = self.apply(&serde_json::from_slice(&body)?)?;
                 *revision = Some(first);
-                // Its one final outcome: a message whose deadline is over when it comes.
+                // This message has expired when it is submitted, which gives the platform a final outcome to confirm.
                 self.submit(1, Duration::ZERO);
                 first
             }
         };
-        let mut link = HttpConnection::open(at).await?;
-        ask(&mut link, at, "GET", &format!("/registry/instances?watch=1&after={after}"), &[]).await?;
+        let mut connection = HttpConnection::open(address).await?;
+        request(&mut connection, address, "GET", &format!("/registry/instances?watch=1&after={after}"), &[])
+            .await?;
         let mut text = Vec::new();
         loop {
-            let chunk = timeout(SILENCE, link.chunk(MAX_LIST_BYTES)).await??;
+            let chunk = timeout(SILENCE_TIMEOUT, connection.chunk(MAX_LIST_BYTES)).await??;
             if chunk.is_empty() {
                 return Ok(());
             }
@@ -270,17 +286,19 @@
         }
     }
 
+    /// Keeps the endpoint list up to date, without end.
     async fn follow_discovery(&self) {
         let mut revision = None;
         loop {
             let _ = self.watch_once(&mut revision).await;
-            self.event(Dispatcher::endpoint_list_failed);
-            sleep(PAUSE).await;
+            self.handle(Dispatcher::endpoint_list_failed);
+            sleep(RETRY_DELAY).await;
         }
     }
 
+    /// Reports final outcomes to the platform until it confirms them, without end.
     async fn report_outcomes(&self) {
-        let mut link = None;
+        let mut idle = None;
         loop {
             let (count, body) = {
                 let state = self.state.borrow();
@@ -291,150 +309,160 @@
                 (state.outcomes.len(), state.outcomes.iter().map(line).collect::<String>())
             };
             if count == 0 {
-                self.outcomes.notified().await;
+                self.outcome_added.notified().await;
                 continue;
             }
-            match self.post(link.take(), body.as_bytes()).await {
-                Ok(kept) => {
+            match self.post(idle.take(), body.as_bytes()).await {
+                Ok(connection) => {
                     self.state.borrow_mut().outcomes.drain(..count);
                     self.status.confirmed.fetch_add(count as u64, Ordering::Release);
-                    link = Some(kept);
+                    idle = Some(connection);
                 }
-                Err(_) => sleep(PAUSE).await,
+                Err(_) => sleep(RETRY_DELAY).await,
             }
         }
     }
 
-    async fn post(&self, link: Option<HttpConnection>, body: &[u8]) -> io::Result<HttpConnection> {
-        let at = self.common.control;
-        let mut link = match link {
-            Some(link) => link,
-            None => HttpConnection::open(at).await?,
+    /// Reports `body` on an idle or a new connection; returns the connection if the platform confirms it.
+    async fn post(&self, idle: Option<HttpConnection>, body: &[u8]) -> io::Result<HttpConnection> {
+        let address = self.parameters.control;
+        let mut connection = match idle {
+            Some(connection) => connection,
+            None => HttpConnection::open(address).await?,
         };
-        let head = timeout(SILENCE, ask(&mut link, at, "POST", "/v2/finals", body)).await??;
-        if head.status == 204 { Ok(link) } else { Err(io::ErrorKind::InvalidData.into()) }
+        let head =
+            timeout(SILENCE_TIMEOUT, request(&mut connection, address, "POST", "/v2/finals", body)).await??;
+        if head.status == 204 { Ok(connection) } else { Err(io::ErrorKind::InvalidData.into()) }
     }
 
-    async fn keep_timers(&self) {
+    /// Reports timers to the dispatcher when they fire, without end.
+    async fn run_timers(&self) {
         loop {
-            let next = self.state.borrow().wakes.peek().map(|Reverse(at)| *at);
+            let next = self.state.borrow().timers.peek().map(|Reverse(time)| *time);
             let Some(next) = next else {
-                self.timer.notified().await;
+                self.timer_set.notified().await;
                 continue;
             };
             tokio::select! {
                 () = sleep_until(next.into()) => {
-                    self.state.borrow_mut().wakes.pop();
-                    self.event(Dispatcher::timer_fired);
+                    self.state.borrow_mut().timers.pop();
+                    self.handle(Dispatcher::timer_fired);
                 }
-                () = self.timer.notified() => {}
+                () = self.timer_set.notified() => {}
             }
         }
     }
 
+    /// Sends and receives gossip, without end.
     async fn exchange_gossip(&self, socket: &UdpSocket) {
-        let mut octets = [0; MOST_DATAGRAM];
+        let mut octets = [0; MAX_DATAGRAM_BYTES];
         loop {
             tokio::select! {
-                came = socket.recv_from(&mut octets) => if let Ok((length, _)) = came {
-                    self.event(|dispatcher| dispatcher.gossip_received(&octets[..length]));
+                received = socket.recv_from(&mut octets) => if let Ok((length, _)) = received {
+                    self.handle(|dispatcher| dispatcher.gossip_received(&octets[..length]));
                 },
-                () = self.gossip.notified() => {
+                () = self.gossip_added.notified() => {
                     let messages = std::mem::take(&mut self.state.borrow_mut().gossip);
                     for message in messages {
-                        let _ = socket.send_to(&message, self.common.peers).await;
+                        let _ = socket.send_to(&message, self.parameters.peers).await;
                     }
                 }
             }
         }
     }
 
-    /// A message every so often whose first calls fail: its destination's return is then told to all. The instances'
-    /// turns are spread over the gap.
-    async fn make_gossip(&self) {
-        let turn = self.number as f64 / self.common.instances.max(1) as f64;
-        sleep(GOSSIP_GAP.mul_f64(turn)).await;
+    /// Submits a message per [`GOSSIP_INTERVAL`], without end. Its first attempts fail, so that its delivery makes the
+    /// instance send gossip of a recovery. The instances start at different times, spread evenly over the interval.
+    async fn cause_gossip(&self) {
+        let share = self.number as f64 / self.parameters.instances.max(1) as f64;
+        sleep(GOSSIP_INTERVAL.mul_f64(share)).await;
         loop {
-            self.submit(1 + self.number % self.common.destinations, GOSSIP_DEADLINE);
-            sleep(GOSSIP_GAP).await;
+            self.submit(1 + self.number % self.parameters.destinations, GOSSIP_TIME_TO_LIVE);
+            sleep(GOSSIP_INTERVAL).await;
         }
     }
 }
 
-async fn live(common: Common, number: u64, status: Arc<Status>, socket: Rc<UdpSocket>) {
-    let read = quillhub_settings::read(common.seed + number, &settings::decisions(common.instances));
-    let (mut dispatcher, _) = read.expect("the rig's own settings can be read");
+/// Runs a lightweight instance until its task is aborted.
+async fn run(parameters: FleetParameters, number: u64, status: Arc<Status>, socket: Rc<UdpSocket>) {
+    let read = quillhub_settings::read(parameters.seed + number, &settings::decisions(parameters.instances));
+    let (mut dispatcher, _) = read.expect("the settings of lightweight instances are valid");
     dispatcher.disable_batching();
     let state = State {
         dispatcher,
         started: Instant::now(),
-        wakes: BinaryHeap::new(),
-        calls: Default::default(),
+        timers: BinaryHeap::new(),
+        attempts: Default::default(),
         outcomes: VecDeque::new(),
         gossip: VecDeque::new(),
-        next: 0,
+        last_id: 0,
     };
     let lightweight = Lightweight {
         state: RefCell::new(state),
-        timer: Notify::new(),
-        outcomes: Notify::new(),
-        gossip: Notify::new(),
+        timer_set: Notify::new(),
+        outcome_added: Notify::new(),
+        gossip_added: Notify::new(),
         status,
-        common,
+        parameters,
         number,
     };
     tokio::join!(
         lightweight.follow_discovery(),
         lightweight.report_outcomes(),
-        lightweight.keep_timers(),
+        lightweight.run_timers(),
         lightweight.exchange_gossip(&socket),
-        lightweight.make_gossip(),
+        lightweight.cause_gossip(),
     );
 }
 
-/// Asks on `link`, a connection to `at`; the answer's head.
-async fn ask(
-    link: &mut HttpConnection,
-    at: SocketAddr,
+/// Sends a request on a connection to `address` and returns the head of the response.
+async fn request(
+    connection: &mut HttpConnection,
+    address: SocketAddr,
     method: &str,
     path: &str,
     body: &[u8],
 ) -> io::Result<Head> {
-    link.write(&http::request(method, path, &at.to_string(), &[], body)).await?;
-    Ok(link.head().await?)
+    connection.write(&http::request(method, path, &address.to_string(), &[], body)).await?;
+    Ok(connection.head().await?)
 }
 
-/// Lightweight instances that share one thread.
+/// Lightweight instances that share one thread, stopped when this is dropped.
 pub struct Group {
-    /// One for each, in order.
+    /// Status of each instance, in the order of their numbers.
     pub statuses: Vec<Arc<Status>>,
-    /// Where each hears gossip.
+    /// Address at which each instance receives gossip.
     pub addresses: Vec<SocketAddr>,
     restart: UnboundedSender<usize>,
     _worker: Worker,
 }
 
 impl Group {
-    /// Starts those numbered from `first` on.
-    pub fn start(common: Common, first: u64, count: u64) -> Result<Self, String> {
+    /// Starts `count` instances, numbered from `first`.
+    pub fn start(parameters: FleetParameters, first: u64, count: u64) -> Result<Self, String> {
         let statuses: Vec<Arc<Status>> = (0..count).map(|_| Arc::default()).collect();
         let (restart, mut restarts) = unbounded_channel::<usize>();
-        let told = statuses.clone();
+        let thread_statuses = statuses.clone();
         let (worker, addresses) = Worker::start(move || async move {
             let mut sockets = Vec::new();
-            for _ in &told {
+            for _ in &thread_statuses {
                 sockets.push(Rc::new(UdpSocket::bind("127.0.0.1:0").await?));
             }
             let addresses =
                 sockets.iter().map(|socket| socket.local_addr()).collect::<io::Result<Vec<_>>>()?;
-            let begin = move |nth: usize| -> JoinHandle<()> {
-                spawn_local(live(common, first + nth as u64, told[nth].clone(), sockets[nth].clone()))
+            let start = move |index: usize| -> JoinHandle<()> {
+                spawn_local(run(
+                    parameters,
+                    first + index as u64,
+                    thread_statuses[index].clone(),
+                    sockets[index].clone(),
+                ))
             };
-            let mut running: Vec<_> = (0..count as usize).map(&begin).collect();
+            let mut running: Vec<_> = (0..count as usize).map(&start).collect();
             spawn_local(async move {
-                while let Some(nth) = restarts.recv().await {
-                    running[nth].abort();
-                    running[nth] = begin(nth);
+                while let Some(index) = restarts.recv().await {
+                    running[index].abort();
+                    running[index] = start(index);
                 }
             });
             Ok(addresses)
@@ -442,10 +470,10 @@
         Ok(Self { statuses, addresses, restart, _worker: worker })
     }
 
-    /// Ends one as if it were killed, and starts it anew: all that it knew is gone.
-    pub fn restart(&self, nth: usize) {
-        self.statuses[nth].revision.store(0, Ordering::Release);
-        self.statuses[nth].confirmed.store(0, Ordering::Release);
-        let _ = self.restart.send(nth);
+    /// Restarts the instance at `index` without any state, as if it had been killed.
+    pub fn restart(&self, index: usize) {
+        self.statuses[index].revision.store(0, Ordering::Release);
+        self.statuses[index].confirmed.store(0, Ordering::Release);
+        let _ = self.restart.send(index);
     }
 }
--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -1,6 +1,6 @@
-//! Plays one point: one real instance amid its surroundings, first idle, then loaded.
+//! Measurement of one point: a real instance in its environment, first without load and then under load.
 
-use crate::clients::{self, Offered};
+use crate::clients::{self, Submissions};
 use crate::fleet::Fleet;
 use crate::plan::{Plan, Sizes, Slope};
 use crate::settings::{self, Addresses};
@@ -15,99 +15,100 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How long the instance is left alone after its start: what it does then is part of starting.
-const SETTLING: Duration = Duration::from_millis(500);
-/// How long the last messages of a load may take to be delivered.
-const DRAINING: Duration = Duration::from_secs(2);
-/// How long an instance may take to get a first message to its destination by the list of discovery alone.
-const FIRST_DELIVERY: Duration = Duration::from_secs(5);
-/// Changes whose coming into force is timed.
+/// Time after the start of an instance before it is measured, so that the work of starting is not included.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Time after the end of a load in which its last messages may be delivered.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time in which an instance that has no endpoint list but that of discovery must deliver a first message.
+const FIRST_DELIVERY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Number of changes of the endpoint list for which the time until they are applied is measured.
 const TIMED_CHANGES: u32 = 3;
-/// One lightweight instance in so many restarts beside such a change.
-const TENTH: usize = 10;
-/// From one look at a condition to the next.
-const LOOK: Duration = Duration::from_millis(2);
-const SECONDS_AN_HOUR: f64 = 3_600.0;
-const MICROSECONDS: f64 = 1e6;
+/// Step between the lightweight instances that restart at the time of a change, so that a tenth of them do.
+const RESTART_STEP: usize = 10;
+/// Time between two checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(2);
+const SECONDS_PER_HOUR: f64 = 3_600.0;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// Names of figures that the capacity page goes by.
+/// Names of figures in kept results, which the capacity page uses.
 pub mod figure {
-    /// Processor time of the instance over the messages delivered.
+    /// Processor time of the instance per delivered message.
     pub const MESSAGE_US: &str = "cpu us a message";
     /// Processor time of the instance without load, as a share of one core.
     pub const IDLE_PERCENT: &str = "idle cpu % of a core";
     /// Resident memory after the load.
     pub const MEMORY_MB: &str = "memory MB";
-    /// Bytes that the instance exchanges with discovery, platform and peers.
+    /// Bytes per second between the instance and discovery, platform and peers, without load.
     pub const CONTROL_BYTES: &str = "control bytes a second";
-    /// Packets of that.
+    /// Packets per second between the instance and discovery, platform and peers, without load.
     pub const CONTROL_PACKETS: &str = "control packets a second";
-    /// From the process's start to its first answer.
+    /// Time from the start of the process to its first reply.
     pub const READY_S: &str = "ready s";
-    /// Messages delivered.
+    /// Messages delivered per second under load.
     pub const DELIVERED: &str = "delivered a second";
-    /// Messages of the load that the instance rejected or did not answer, over all that were offered.
+    /// Share of the load's messages that the instance did not accept.
     pub const REJECTED: &str = "rejected share";
-    /// Time to hand in a backlog, over its messages: what it grows by is half of what the last one takes.
+    /// Time to submit a backlog per message: if it grows with the size of the backlog, the growth is half of that of the
+    /// time for the last message.
     pub const FILL_US: &str = "us to hand in a message of the backlog";
-    /// From the start of an instance that was killed with a backlog to its first answer.
+    /// Time from the restart of an instance that was killed with a backlog to its first reply.
     pub const READY_AGAIN_S: &str = "ready after a kill s";
-    /// Bytes of its state directory.
+    /// Size on disk of the state directory with a backlog.
     pub const STATE_MB: &str = "state directory MB";
-    /// From the start of an instance that knows no list to its first delivery.
+    /// Time from the start of an instance without an endpoint list in its configuration to its first delivery.
     pub const BY_DISCOVERY_S: &str = "first delivery by discovery s";
-    /// Bytes of the whole list.
+    /// Size of the complete endpoint list.
     pub const LIST_BYTES: &str = "whole list bytes";
-    /// Open connections at discovery.
+    /// Open connections from lightweight instances to discovery.
     pub const CONNECTIONS: &str = "discovery connections";
-    /// Bytes that discovery exchanges with all lightweight instances while nothing changes.
+    /// Bytes per second between discovery and all lightweight instances while the list does not change.
     pub const DISCOVERY_BYTES: &str = "discovery bytes a second";
-    /// Processor time of discovery and platform while nothing changes.
+    /// Processor time of discovery and platform per second while the list does not change.
     pub const DISCOVERY_US: &str = "discovery cpu us a second";
-    /// Processor time of discovery for one change told to all.
+    /// Processor time of discovery to send one change to all lightweight instances.
     pub const CHANGE_MS: &str = "discovery cpu ms a change";
-    /// Bytes of one change told to all.
+    /// Bytes that discovery exchanges for one change that is sent to all lightweight instances.
     pub const CHANGE_BYTES: &str = "discovery bytes a change";
     /// Time until all lightweight instances that restart at once are ready again.
     pub const RESTART_S: &str = "mass restart s";
-    /// Processor time of discovery and platform for that.
+    /// Processor time of discovery and platform during the restart of all lightweight instances.
     pub const RESTART_CPU_S: &str = "mass restart control cpu s";
-    /// Bytes of discovery for that.
+    /// Bytes that discovery exchanges during the restart of all lightweight instances.
     pub const RESTART_BYTES: &str = "mass restart discovery bytes";
-    /// Connections of discovery for that.
+    /// Connections to discovery that are opened during the restart of all lightweight instances.
     pub const RESTART_CONNECTIONS: &str = "mass restart discovery connections";
-    /// Bytes of the platform for that.
+    /// Bytes that the platform exchanges during the restart of all lightweight instances.
     pub const RESTART_PLATFORM_BYTES: &str = "mass restart platform bytes";
-    /// Until a change is in force at half of the instances.
+    /// Time until half of the lightweight instances have applied a change, on average over the changes.
     pub const CALM_MEDIAN_S: &str = "in force median s";
-    /// Until it is in force at the last.
+    /// Time until the last lightweight instance has applied a change, maximum over the changes.
     pub const CALM_WORST_S: &str = "in force worst s";
-    /// The same while a tenth of the instances restarts.
+    /// Time until half of the lightweight instances have applied a change while a tenth of them restarts.
     pub const RESTARTING_MEDIAN_S: &str = "in force median s, a tenth restarting";
-    /// The same at the last.
+    /// Time until the last lightweight instance has applied a change while a tenth of them restarts.
     pub const RESTARTING_WORST_S: &str = "in force worst s, a tenth restarting";
 }
 
-/// What was measured at one size.
+/// Figures measured at one point.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Played {
-    /// By name.
+pub struct Measurement {
+    /// Measured figures by name.
     pub figures: BTreeMap<String, f64>,
-    /// Where it broke, if it did; the figures are those measured before.
+    /// Reason why the measurement ended early, if it did; `figures` then has those measured before.
     pub breaks: Option<String>,
 }
 
-impl Played {
+impl Measurement {
     fn put(&mut self, name: &str, value: f64) {
         self.figures.insert(name.into(), value);
     }
 }
 
-/// Why a point ends early.
+/// Reason why the measurement of a point ends early.
 enum Stop {
-    /// The size is where it breaks: a result.
+    /// Failure due to the size; this is a result.
     Breaks(String),
-    /// The rig itself failed: no result.
+    /// Failure of the test environment; there is no result.
     Fails(String),
 }
 
@@ -121,36 +122,38 @@
     Err(Stop::Breaks(what.into()))
 }
 
-/// Plays `sizes` once with the instance's `program`. A size at which it breaks is a result; `Err` says that the scale tests
-/// failed.
-pub fn play(plan: &Plan, sizes: &Sizes, seed: u64, program: &Path) -> Result<Played, String> {
-    let mut played = Played::default();
+/// Measures a point with `sizes` once, with the instance's `program`.
+///
+/// A failure due to the sizes is part of the measurement; an error means that the test environment failed.
+pub fn measure(plan: &Plan, sizes: &Sizes, seed: u64, program: &Path) -> Result<Measurement, String> {
+    let mut measurement = Measurement::default();
     let ended = on_one_thread(async {
-        let until = Instant::now() + plan.point_time_limit;
-        let mut point = Point::start(plan, sizes, seed, program, until).await?;
-        point.measure(&mut played).await
+        let deadline = Instant::now() + plan.point_time_limit;
+        let mut point = Point::start(plan, sizes, seed, program, deadline).await?;
+        point.measure(&mut measurement).await
     });
     match ended {
-        Ok(()) => Ok(played),
-        Err(Stop::Breaks(what)) => Ok(Played { breaks: Some(what), ..played }),
+        Ok(()) => Ok(measurement),
+        Err(Stop::Breaks(what)) => Ok(Measurement { breaks: Some(what), ..measurement }),
         Err(Stop::Fails(what)) => Err(what),
     }
 }
 
-/// A port on loopback that was free a moment ago.
+/// Returns a loopback address with a TCP port that was free at the time of the call.
 fn free_port() -> Result<SocketAddr, String> {
     let found = std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
     found.map_err(|e| format!("no port is free: {e}"))
 }
 
+/// Returns a loopback address with a UDP port that was free at the time of the call.
 fn free_datagram_port() -> Result<SocketAddr, String> {
     let found = std::net::UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr());
     found.map_err(|e| format!("no port is free: {e}"))
 }
 
-/// Control traffic of the real instance by one instant.
+/// Traffic of the real instance with discovery, platform and peers so far.
 #[derive(Clone, Copy)]
-struct Control {
+struct ControlCounts {
     discovery: Counts,
     platform: Counts,
     datagrams: u64,
@@ -162,14 +165,15 @@
     sizes: Sizes,
     seed: u64,
     program: &'a Path,
-    until: Instant,
+    deadline: Instant,
     fleet: Fleet,
-    folder: ScratchDirectory,
+    directory: ScratchDirectory,
     instance: InstanceProcess,
     listen: SocketAddr,
-    ready: Duration,
-    /// Messages submitted before the measurement.
-    warmed: u64,
+    /// Time from the start of the process to its first reply.
+    startup: Duration,
+    /// Number of messages submitted before the measurement to open connections.
+    warm_up_messages: u64,
 }
 
 impl<'a> Point<'a> {
@@ -178,242 +182,262 @@
         sizes: &Sizes,
         seed: u64,
         program: &'a Path,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Self, Stop> {
         let fleet = Fleet::start(sizes, seed, 1)?;
-        if !fleet.ready(until).await {
-            return breaks("hollow couriers are not ready within the time of a point");
+        if !fleet.wait_until_ready(deadline).await {
+            return breaks("lightweight instances are not ready within the time limit of a point");
         }
-        let folder = ScratchDirectory::new();
+        let directory = ScratchDirectory::new();
         let known = fleet.control.list().await?;
         let listen = free_port()?;
-        let configured = configure(&fleet, &folder, "real", listen, sizes, seed, Some(&known))?;
+        let configured = configure(&fleet, &directory, "real", listen, sizes, seed, Some(&known))?;
         drop(known);
         let begun = Instant::now();
-        let instance = start(program, &folder, "real", &configured)?;
-        if !wait_until_ready(listen, until.saturating_duration_since(begun)).await {
-            return breaks("the courier does not answer within the time of a point");
+        let instance = start(program, &directory, "real", &configured)?;
+        if !wait_until_ready(listen, deadline.saturating_duration_since(begun)).await {
+            return breaks("the instance does not respond within the time limit of a point");
         }
-        let ready = begun.elapsed();
+        let startup = begun.elapsed();
         Ok(Self {
             plan,
             sizes: *sizes,
             seed,
             program,
-            until,
+            deadline,
             fleet,
-            folder,
+            directory,
             instance,
             listen,
-            ready,
-            warmed: 0,
+            startup,
+            warm_up_messages: 0,
         })
     }
 
-    async fn measure(&mut self, played: &mut Played) -> Result<(), Stop> {
-        played.put(figure::READY_S, self.ready.as_secs_f64());
+    async fn measure(&mut self, measurement: &mut Measurement) -> Result<(), Stop> {
+        measurement.put(figure::READY_S, self.startup.as_secs_f64());
         if self.sizes.backlog > 0 {
-            self.fill(played).await?;
+            self.submit_backlog(measurement).await?;
         }
         let counter = self.fleet.destinations.delivered();
-        self.warmed =
-            clients::warm(self.listen, &self.plan.load, self.loaded_destinations(), &counter).await?;
+        self.warm_up_messages = clients::open_instance_connections(
+            self.listen,
+            &self.plan.load,
+            self.loaded_destinations(),
+            &counter,
+        )
+        .await?;
         if self.sizes.changes > 0 {
-            let gap = Duration::from_secs_f64(SECONDS_AN_HOUR / self.sizes.changes as f64);
-            self.fleet.control.change_steadily(&self.fleet.changing(), gap);
+            let period = Duration::from_secs_f64(SECONDS_PER_HOUR / self.sizes.changes as f64);
+            self.fleet.control.change_periodically(&self.fleet.changing_endpoint(), period);
         }
-        sleep(SETTLING).await;
-        self.idle(played).await?;
-        self.loaded(played).await?;
+        sleep(SETTLE_TIME).await;
+        self.measure_idle(measurement).await?;
+        self.measure_loaded(measurement).await?;
         match self.plan.slope {
-            Slope::Instances => self.serving(played).await,
-            Slope::Backlog => self.restarted(played).await,
-            Slope::Destinations => self.by_discovery(played).await,
+            Slope::Instances => self.measure_control(measurement).await,
+            Slope::Backlog => self.measure_restart(measurement).await,
+            Slope::Destinations => self.measure_first_delivery(measurement).await,
             Slope::Changes => Ok(()),
         }
     }
 
     fn processor_time(&self) -> Result<Duration, Stop> {
-        let lost = || Stop::Breaks("the courier's process ended".into());
+        let lost = || Stop::Breaks("the instance's process ended".into());
         self.instance.processor_time().ok_or_else(lost)
     }
 
-    fn control(&self) -> Control {
-        let (with, passed) = (&self.fleet.control.with_real, self.fleet.relay.passed());
-        Control {
-            discovery: with.discovery.counts(),
-            platform: with.platform.counts(),
-            datagrams: passed.to_watched,
-            datagram_bytes: passed.bytes_to_watched,
+    fn control_counts(&self) -> ControlCounts {
+        let (traffic, relayed) = (&self.fleet.control.real_traffic, self.fleet.relay.traffic());
+        ControlCounts {
+            discovery: traffic.discovery.counts(),
+            platform: traffic.platform.counts(),
+            datagrams: relayed.datagrams,
+            datagram_bytes: relayed.bytes,
         }
     }
 
-    async fn fill(&self, played: &mut Played) -> Result<(), Stop> {
+    async fn submit_backlog(&self, measurement: &mut Measurement) -> Result<(), Stop> {
         let (begun, count) = (Instant::now(), self.sizes.backlog);
         let load = &self.plan.load;
-        let offered = clients::fill(self.listen, load, self.sizes.destinations, count, self.until).await?;
-        let took = begun.elapsed().as_secs_f64();
-        if offered.accepted < count {
-            let Offered { accepted, refused } = offered;
-            return breaks(format!("{accepted} messages are held and {refused} refused after {took:.0} s"));
+        let submissions =
+            clients::submit_backlog(self.listen, load, self.sizes.destinations, count, self.deadline).await?;
+        let seconds = begun.elapsed().as_secs_f64();
+        if submissions.accepted < count {
+            let Submissions { accepted, not_accepted } = submissions;
+            return breaks(format!(
+                "{accepted} messages are accepted and {not_accepted} are not after {seconds:.0} s"
+            ));
         }
-        played.put(figure::FILL_US, took * MICROSECONDS / count as f64);
+        measurement.put(figure::FILL_US, seconds * MICROSECONDS_PER_SECOND / count as f64);
         Ok(())
     }
 
-    async fn idle(&self, played: &mut Played) -> Result<(), Stop> {
-        let (begun, time, control) = (Instant::now(), self.processor_time()?, self.control());
-        let (serving, served) = (self.fleet.control_time(), self.fleet.exchanged());
+    async fn measure_idle(&self, measurement: &mut Measurement) -> Result<(), Stop> {
+        let (begun, time, control) = (Instant::now(), self.processor_time()?, self.control_counts());
+        let (control_time, traffic_before) = (self.fleet.control_processor_time(), self.fleet.traffic());
         sleep(self.plan.load.idle).await;
         let spent = (self.processor_time()? - time).as_secs_f64();
-        let (now, span) = (self.control(), begun.elapsed().as_secs_f64());
-        played.put(figure::IDLE_PERCENT, 100.0 * spent / span);
+        let (now, span) = (self.control_counts(), begun.elapsed().as_secs_f64());
+        measurement.put(figure::IDLE_PERCENT, 100.0 * spent / span);
         let (discovery, platform) = (now.discovery - control.discovery, now.platform - control.platform);
         let datagrams = now.datagrams - control.datagrams;
         let gossip = now.datagram_bytes - control.datagram_bytes + datagrams * crate::gossip::HEADER_BYTES;
-        played.put(figure::CONTROL_BYTES, (discovery.bytes() + platform.bytes() + gossip) as f64 / span);
-        played.put(
+        measurement.put(figure::CONTROL_BYTES, (discovery.bytes() + platform.bytes() + gossip) as f64 / span);
+        measurement.put(
             figure::CONTROL_PACKETS,
             (discovery.packets() + platform.packets() + datagrams) as f64 / span,
         );
         if self.plan.slope == Slope::Instances {
-            let exchanged = self.fleet.exchanged();
-            let serving = self.fleet.control_time() - serving;
-            let bytes = (exchanged.discovery - served.discovery).bytes();
-            played.put(figure::CONNECTIONS, exchanged.open as f64);
-            played.put(figure::DISCOVERY_BYTES, bytes as f64 / span);
-            played.put(figure::DISCOVERY_US, serving.as_secs_f64() * MICROSECONDS / span);
+            let traffic = self.fleet.traffic();
+            let control_time = self.fleet.control_processor_time() - control_time;
+            let bytes = (traffic.discovery - traffic_before.discovery).bytes();
+            measurement.put(figure::CONNECTIONS, traffic.open_connections as f64);
+            measurement.put(figure::DISCOVERY_BYTES, bytes as f64 / span);
+            measurement
+                .put(figure::DISCOVERY_US, control_time.as_secs_f64() * MICROSECONDS_PER_SECOND / span);
         }
         Ok(())
     }
 
-    /// Destinations that the load goes to: all that answer but the last, which is the one that changes.
+    /// Returns the number of destinations under load: all responding ones but the last, whose endpoint changes.
     fn loaded_destinations(&self) -> u64 {
         self.sizes.destinations - 1
     }
 
-    async fn loaded(&self, played: &mut Played) -> Result<(), Stop> {
+    async fn measure_loaded(&self, measurement: &mut Measurement) -> Result<(), Stop> {
         let counter = self.fleet.destinations.delivered();
         let (begun, time) = (Instant::now(), self.processor_time()?);
         let before = counter.load(Ordering::Relaxed);
         let (load, loaded) = (&self.plan.load, self.loaded_destinations());
-        let offered = clients::play(self.listen, load, loaded, &counter, self.warmed).await?;
+        let submissions =
+            clients::submit_load(self.listen, load, loaded, &counter, self.warm_up_messages).await?;
         let delivered = || counter.load(Ordering::Relaxed) - before;
-        let drained = Instant::now() + DRAINING;
-        while delivered() < offered.accepted && Instant::now() < drained {
-            sleep(LOOK).await;
+        let drain_deadline = Instant::now() + DRAIN_TIMEOUT;
+        while delivered() < submissions.accepted && Instant::now() < drain_deadline {
+            sleep(CHECK_INTERVAL).await;
         }
         let (spent, span) = (self.processor_time()? - time, begun.elapsed().as_secs_f64());
         if delivered() == 0 {
-            return breaks(format!("none of {} messages is delivered", offered.accepted));
+            return breaks(format!("none of {} messages is delivered", submissions.accepted));
         }
-        played.put(figure::MESSAGE_US, spent.as_secs_f64() * MICROSECONDS / delivered() as f64);
-        played.put(figure::DELIVERED, delivered() as f64 / span);
-        let all = (offered.accepted + offered.refused).max(1);
-        played.put(figure::REJECTED, offered.refused as f64 / all as f64);
-        let used = self.instance.usage().ok_or_else(|| Stop::Breaks("the courier's process ended".into()))?;
-        played.put(figure::MEMORY_MB, used.memory_kb as f64 / 1_024.0);
+        measurement
+            .put(figure::MESSAGE_US, spent.as_secs_f64() * MICROSECONDS_PER_SECOND / delivered() as f64);
+        measurement.put(figure::DELIVERED, delivered() as f64 / span);
+        let all = (submissions.accepted + submissions.not_accepted).max(1);
+        measurement.put(figure::REJECTED, submissions.not_accepted as f64 / all as f64);
+        let used =
+            self.instance.usage().ok_or_else(|| Stop::Breaks("the instance's process ended".into()))?;
+        measurement.put(figure::MEMORY_MB, used.memory_kb as f64 / 1_024.0);
         Ok(())
     }
 
-    /// What serves the instances: changes, first calm and then beside restarts, and a restart of all.
-    async fn serving(&self, played: &mut Played) -> Result<(), Stop> {
-        let (time, before) = (self.fleet.control_time(), self.fleet.exchanged());
-        let calm = self.changes(|| ()).await?;
+    /// Measures discovery and platform: changes of the list, first alone and then during restarts of a tenth of the
+    /// lightweight instances, and a restart of all of them.
+    async fn measure_control(&self, measurement: &mut Measurement) -> Result<(), Stop> {
+        let (time, before) = (self.fleet.control_processor_time(), self.fleet.traffic());
+        let calm = self.measure_changes(|| ()).await?;
         let each = f64::from(TIMED_CHANGES);
-        let spent = (self.fleet.control_time() - time).as_secs_f64();
-        let bytes = (self.fleet.exchanged().discovery - before.discovery).bytes();
-        played.put(figure::CHANGE_MS, spent * 1e3 / each);
-        played.put(figure::CHANGE_BYTES, bytes as f64 / each);
-        played.put(figure::CALM_MEDIAN_S, calm.0);
-        played.put(figure::CALM_WORST_S, calm.1);
-        let restarting = self.changes(|| self.fleet.restart_each(TENTH)).await?;
-        played.put(figure::RESTARTING_MEDIAN_S, restarting.0);
-        played.put(figure::RESTARTING_WORST_S, restarting.1);
-        let (begun, time, before) = (Instant::now(), self.fleet.control_time(), self.fleet.exchanged());
-        self.fleet.restart_each(1);
-        if !self.fleet.ready(self.until).await {
-            return breaks("hollow couriers that restart at once are not ready within the time of a point");
+        let spent = (self.fleet.control_processor_time() - time).as_secs_f64();
+        let bytes = (self.fleet.traffic().discovery - before.discovery).bytes();
+        measurement.put(figure::CHANGE_MS, spent * 1e3 / each);
+        measurement.put(figure::CHANGE_BYTES, bytes as f64 / each);
+        measurement.put(figure::CALM_MEDIAN_S, calm.0);
+        measurement.put(figure::CALM_WORST_S, calm.1);
+        let restarting = self.measure_changes(|| self.fleet.restart_every(RESTART_STEP)).await?;
+        measurement.put(figure::RESTARTING_MEDIAN_S, restarting.0);
+        measurement.put(figure::RESTARTING_WORST_S, restarting.1);
+        let (begun, time, before) =
+            (Instant::now(), self.fleet.control_processor_time(), self.fleet.traffic());
+        self.fleet.restart_every(1);
+        if !self.fleet.wait_until_ready(self.deadline).await {
+            return breaks(
+                "lightweight instances that restart at once are not ready within the time limit of a point",
+            );
         }
-        let now = self.fleet.exchanged();
+        let now = self.fleet.traffic();
         let (discovery, platform) = (now.discovery - before.discovery, now.platform - before.platform);
-        played.put(figure::RESTART_S, begun.elapsed().as_secs_f64());
-        played.put(figure::RESTART_CPU_S, (self.fleet.control_time() - time).as_secs_f64());
-        played.put(figure::RESTART_BYTES, discovery.bytes() as f64);
-        played.put(figure::RESTART_CONNECTIONS, discovery.connections as f64);
-        played.put(figure::RESTART_PLATFORM_BYTES, platform.bytes() as f64);
+        measurement.put(figure::RESTART_S, begun.elapsed().as_secs_f64());
+        measurement.put(figure::RESTART_CPU_S, (self.fleet.control_processor_time() - time).as_secs_f64());
+        measurement.put(figure::RESTART_BYTES, discovery.bytes() as f64);
+        measurement.put(figure::RESTART_CONNECTIONS, discovery.connections as f64);
+        measurement.put(figure::RESTART_PLATFORM_BYTES, platform.bytes() as f64);
         Ok(())
     }
 
-    /// Several changes, each made after `beside` and waited for: mean of their medians, and the worst of all.
-    async fn changes(&self, beside: impl Fn()) -> Result<(f64, f64), Stop> {
+    /// Makes several changes, each after a call of `before_each`, and waits until each is applied.
+    ///
+    /// Returns the mean of the median times and the maximum time, in seconds.
+    async fn measure_changes(&self, before_each: impl Fn()) -> Result<(f64, f64), Stop> {
         let (mut medians, mut worst) = (0.0, 0.0);
         for _ in 0..TIMED_CHANGES {
-            beside();
-            let Some(found) = self.fleet.change(self.until).await? else {
-                return breaks("a change is not in force everywhere within the time of a point");
+            before_each();
+            let Some(found) = self.fleet.change(self.deadline).await? else {
+                return breaks("a change is not applied by all instances within the time limit of a point");
             };
             medians += found.median.as_secs_f64();
-            worst = f64::max(worst, found.worst.as_secs_f64());
-            if !self.fleet.ready(self.until).await {
-                return breaks("hollow couriers are not ready within the time of a point");
+            worst = f64::max(worst, found.max.as_secs_f64());
+            if !self.fleet.wait_until_ready(self.deadline).await {
+                return breaks("lightweight instances are not ready within the time limit of a point");
             }
         }
         Ok((medians / f64::from(TIMED_CHANGES), worst))
     }
 
-    /// Kills the instance with its backlog and starts it anew on the same state directory.
-    async fn restarted(&mut self, played: &mut Played) -> Result<(), Stop> {
-        let state = size_on_disk(&state_directory(&self.folder, "real"));
-        played.put(figure::STATE_MB, state as f64 / (1024.0 * 1024.0));
-        let fails = |e: std::io::Error| Stop::Fails(format!("the courier cannot be ended: {e}"));
+    /// Kills the instance with its backlog and starts it again on the same state directory.
+    async fn measure_restart(&mut self, measurement: &mut Measurement) -> Result<(), Stop> {
+        let state = size_on_disk(&state_directory(&self.directory, "real"));
+        measurement.put(figure::STATE_MB, state as f64 / (1024.0 * 1024.0));
+        let fails = |e: std::io::Error| Stop::Fails(format!("the instance cannot be stopped: {e}"));
         self.instance.signal("KILL").map_err(fails)?;
         self.instance.wait_for_exit().await.map_err(fails)?;
         let begun = Instant::now();
-        self.instance = start(self.program, &self.folder, "real", &self.folder.0.join("real.json"))?;
-        if !wait_until_ready(self.listen, self.until.saturating_duration_since(begun)).await {
-            return breaks("the restarted courier does not answer within the time of a point");
+        self.instance = start(self.program, &self.directory, "real", &self.directory.0.join("real.json"))?;
+        if !wait_until_ready(self.listen, self.deadline.saturating_duration_since(begun)).await {
+            return breaks("the restarted instance does not respond within the time limit of a point");
         }
-        played.put(figure::READY_AGAIN_S, begun.elapsed().as_secs_f64());
+        measurement.put(figure::READY_AGAIN_S, begun.elapsed().as_secs_f64());
         Ok(())
     }
 
-    /// Starts a second instance that knows no list, and waits for its first delivery.
-    async fn by_discovery(&mut self, played: &mut Played) -> Result<(), Stop> {
+    /// Starts a second instance without an endpoint list in its configuration, and waits for its first delivery.
+    async fn measure_first_delivery(&mut self, measurement: &mut Measurement) -> Result<(), Stop> {
         let list = self.fleet.control.list().await?;
-        played.put(figure::LIST_BYTES, list.len() as f64);
+        measurement.put(figure::LIST_BYTES, list.len() as f64);
         self.instance.signal("KILL").map_err(|e| Stop::Fails(e.to_string()))?;
         let listen = free_port()?;
-        let configured = configure(&self.fleet, &self.folder, "bare", listen, &self.sizes, self.seed, None)?;
+        let configured =
+            configure(&self.fleet, &self.directory, "bare", listen, &self.sizes, self.seed, None)?;
         let begun = Instant::now();
-        let _instance = start(self.program, &self.folder, "bare", &configured)?;
-        let timeout_span = self.until.saturating_duration_since(begun);
-        if !wait_until_ready(listen, timeout_span).await {
-            return breaks("the courier does not answer within the time of a point");
+        let _instance = start(self.program, &self.directory, "bare", &configured)?;
+        let time_left = self.deadline.saturating_duration_since(begun);
+        if !wait_until_ready(listen, time_left).await {
+            return breaks("the instance does not respond within the time limit of a point");
         }
         let counter = self.fleet.destinations.delivered();
         let before = counter.load(Ordering::Relaxed);
-        let load = crate::plan::Load { connections: 1, per_s: 1.0, loaded: LOOK, ..self.plan.load };
-        clients::play(listen, &load, 1, &counter, 1 << 32).await?;
-        let most = begun + FIRST_DELIVERY.min(timeout_span);
+        let load = crate::plan::Load { connections: 1, per_s: 1.0, loaded: CHECK_INTERVAL, ..self.plan.load };
+        clients::submit_load(listen, &load, 1, &counter, 1 << 32).await?;
+        let deadline = begun + FIRST_DELIVERY_TIMEOUT.min(time_left);
         while counter.load(Ordering::Relaxed) == before {
-            if Instant::now() >= most {
-                let (bytes, span) = (list.len(), FIRST_DELIVERY.as_secs());
+            if Instant::now() >= deadline {
+                let (bytes, limit) = (list.len(), FIRST_DELIVERY_TIMEOUT.as_secs());
                 return breaks(format!(
-                    "a list of {bytes} bytes is not taken from discovery within {span} s"
+                    "a list of {bytes} bytes is not applied from discovery within {limit} s"
                 ));
             }
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
-        played.put(figure::BY_DISCOVERY_S, begun.elapsed().as_secs_f64());
+        measurement.put(figure::BY_DISCOVERY_S, begun.elapsed().as_secs_f64());
         Ok(())
     }
 }
 
-/// Writes the configuration and makes the state directory of the real instance `name`.
+/// Writes the configuration and creates the state directory of the real instance `name`; returns the configuration's
+/// path.
 fn configure(
     fleet: &Fleet,
-    folder: &ScratchDirectory,
+    directory: &ScratchDirectory,
     name: &str,
     listen: SocketAddr,
     sizes: &Sizes,
@@ -421,28 +445,29 @@
     known: Option<&str>,
 ) -> Result<PathBuf, String> {
     let gossip = free_datagram_port()?;
-    fleet.relay.join(gossip);
-    fleet.relay.watch(gossip);
-    let at = Addresses { listen, discovery: fleet.control.for_real, gossip, peers: fleet.relay.at };
-    let path = folder.0.join(format!("{name}.json"));
-    let told = |e: std::io::Error| format!("a courier's files cannot be written: {e}");
-    std::fs::write(&path, settings::configuration(seed, sizes.lightweight_instances + 1, &at, known))
-        .map_err(told)?;
-    std::fs::create_dir_all(state_directory(folder, name)).map_err(told)?;
+    fleet.relay.add_member(gossip);
+    fleet.relay.measure(gossip);
+    let addresses =
+        Addresses { listen, discovery: fleet.control.real_address, gossip, peers: fleet.relay.address };
+    let path = directory.0.join(format!("{name}.json"));
+    let failed = |e: std::io::Error| format!("the files of an instance cannot be written: {e}");
+    std::fs::write(&path, settings::configuration(seed, sizes.lightweight_instances + 1, &addresses, known))
+        .map_err(failed)?;
+    std::fs::create_dir_all(state_directory(directory, name)).map_err(failed)?;
     Ok(path)
 }
 
-fn state_directory(folder: &ScratchDirectory, name: &str) -> PathBuf {
-    folder.0.join(format!("{name}-state"))
+fn state_directory(directory: &ScratchDirectory, name: &str) -> PathBuf {
+    directory.0.join(format!("{name}-state"))
 }
 
 fn start(
     program: &Path,
-    folder: &ScratchDirectory,
+    directory: &ScratchDirectory,
     name: &str,
     configuration: &Path,
 ) -> Result<InstanceProcess, String> {
-    let (state, log) = (state_directory(folder, name), folder.0.join(format!("{name}.log")));
+    let (state, log) = (state_directory(directory, name), directory.0.join(format!("{name}.log")));
     InstanceProcess::start(program, configuration, &state, &log)
-        .map_err(|e| format!("a courier cannot be started: {e}"))
+        .map_err(|e| format!("an instance cannot be started: {e}"))
 }
--- a/crates/quillhub-scale/tests/points.rs
+++ b/crates/quillhub-scale/tests/points.rs
@@ -1,16 +1,16 @@
-//! Small points with a real instance's process: what is counted, not what is timed.
+//! Small points with the process of a real instance. The tests check counts and no times.
 
 use quillhub_scale::plan::{Load, Plan, Sizes, Slope};
-use quillhub_scale::{Played, figure, play};
+use quillhub_scale::{Measurement, figure, measure};
 use std::path::PathBuf;
 use std::time::Duration;
 
 const BASE: Sizes = Sizes { destinations: 10, backlog: 0, lightweight_instances: 0, changes: 0 };
 
-/// The instance's program: an example of this package, built beside its tests.
-fn courier() -> PathBuf {
+/// Returns the path of the instance's program: an example of this package, built beside its tests.
+fn instance_program() -> PathBuf {
     let own = std::env::current_exe().unwrap();
-    own.parent().and_then(|deps| deps.parent()).unwrap().join("examples/courier")
+    own.parent().and_then(|deps| deps.parent()).unwrap().join("examples/instance")
 }
 
 fn plan(slope: Slope, point_time_limit: Duration) -> Plan {
@@ -21,39 +21,39 @@
     Plan { format: 1, question, found, slope, sizes, plays, seed, point_time_limit, base, load }
 }
 
-fn played(slope: Slope, size: u64, point_time_limit: Duration) -> Played {
+fn measured(slope: Slope, size: u64, point_time_limit: Duration) -> Measurement {
     let plan = plan(slope, point_time_limit);
-    play(&plan, &BASE.with(slope, size), 1, &courier()).unwrap()
+    measure(&plan, &BASE.with(slope, size), 1, &instance_program()).unwrap()
 }
 
-const LONG: Duration = Duration::from_secs(120);
+const TEST_TIME_LIMIT: Duration = Duration::from_secs(120);
 
 #[test]
-fn a_courier_that_knows_its_list_delivers_and_takes_the_list_from_discovery() {
-    let point = played(Slope::Destinations, 20, LONG);
+fn an_instance_delivers_with_the_list_in_its_configuration_and_with_that_of_discovery() {
+    let point = measured(Slope::Destinations, 20, TEST_TIME_LIMIT);
     assert_eq!(point.breaks, None);
     assert!(point.figures[figure::DELIVERED] > 0.0);
     assert_eq!(point.figures[figure::REJECTED], 0.0);
-    // 20 rows, of which eleven have an id and a number of one digit more.
-    let longer = played(Slope::Destinations, 21, LONG);
+    // One more entry of the list, with an id and a destination of two digits.
+    let longer = measured(Slope::Destinations, 21, TEST_TIME_LIMIT);
     let row = longer.figures[figure::LIST_BYTES] - point.figures[figure::LIST_BYTES];
     assert!((130.0..150.0).contains(&row), "{row} bytes a row");
     assert!(point.figures.contains_key(figure::BY_DISCOVERY_S));
 }
 
 #[test]
-fn a_list_over_the_bound_of_a_line_breaks_and_keeps_what_was_measured_before() {
-    let point = played(Slope::Destinations, 40_000, LONG);
+fn a_list_over_the_size_limit_ends_the_measurement_and_keeps_earlier_figures() {
+    let point = measured(Slope::Destinations, 40_000, TEST_TIME_LIMIT);
     let breaks = point.breaks.expect("the list is over 4 MiB");
-    assert!(breaks.contains("is not taken from discovery"), "{breaks}");
+    assert!(breaks.contains("is not applied from discovery"), "{breaks}");
     assert!(point.figures[figure::LIST_BYTES] > 4.0 * 1024.0 * 1024.0);
     assert!(point.figures[figure::DELIVERED] > 0.0);
     assert!(!point.figures.contains_key(figure::BY_DISCOVERY_S));
 }
 
 #[test]
-fn a_backlog_is_held_and_outlasts_a_kill() {
-    let point = played(Slope::Backlog, 50, LONG);
+fn a_backlog_is_accepted_and_the_instance_is_ready_again_after_a_kill() {
+    let point = measured(Slope::Backlog, 50, TEST_TIME_LIMIT);
     assert_eq!(point.breaks, None);
     assert!(point.figures[figure::DELIVERED] > 0.0);
     assert!(point.figures[figure::STATE_MB] > 0.0);
@@ -61,19 +61,19 @@
 }
 
 #[test]
-fn a_backlog_that_takes_longer_than_a_point_may_breaks_there() {
-    let point = played(Slope::Backlog, 10_000_000, Duration::from_secs(3));
-    let breaks = point.breaks.expect("so many cannot be handed in");
-    assert!(breaks.contains("messages are held and 0 refused after "), "{breaks}");
+fn a_backlog_that_exceeds_the_time_limit_ends_the_measurement() {
+    let point = measured(Slope::Backlog, 10_000_000, Duration::from_secs(3));
+    let breaks = point.breaks.expect("so many messages cannot be submitted in time");
+    assert!(breaks.contains("messages are accepted and 0 are not after "), "{breaks}");
     assert!(!point.figures.contains_key(figure::MESSAGE_US));
 }
 
 #[test]
-fn what_serves_the_couriers_is_counted_for_each_of_them() {
-    let point = played(Slope::Instances, 6, LONG);
+fn traffic_of_discovery_and_platform_is_counted_for_each_lightweight_instance() {
+    let point = measured(Slope::Instances, 6, TEST_TIME_LIMIT);
     assert_eq!(point.breaks, None);
     assert_eq!(point.figures[figure::CONNECTIONS], 6.0);
     assert_eq!(point.figures[figure::RESTART_CONNECTIONS], 12.0);
     let each = point.figures[figure::RESTART_PLATFORM_BYTES] / 6.0;
-    assert_eq!(each, each.round(), "the same bytes of the platform for each");
+    assert_eq!(each, each.round(), "the platform exchanges the same number of bytes with each instance");
 }
