--- a/crates/quillhub-fakes/src/platform.rs
+++ b/crates/quillhub-fakes/src/platform.rs
@@ -38,11 +38,11 @@
 /// Endpoint list of service discovery; each change increments its revision.
 pub struct Discovery {
     /// Each endpoint with its phase: `up`, `draining` or `removed`.
-    pub members: Vec<(ListedEndpoint, &'static str)>,
+    members: Vec<(ListedEndpoint, &'static str)>,
     /// Revision of the list, 1 at first.
     pub revision: u64,
     /// `true` while requests to discovery get no response and watches send nothing.
-    pub is_unreachable: bool,
+    is_unreachable: bool,
     changed: watch::Sender<u64>,
     /// Changed entry of each revision after the first, in order.
     changes: Vec<(u64, Value)>,
@@ -112,7 +112,7 @@
     }
 
     /// Adds an endpoint with a new id and the address of the endpoint `old_id`; ignores an unknown id.
-    pub fn replace(&mut self, old_id: &str) {
+    fn replace(&mut self, old_id: &str) {
         let Some(index) = self.indices.get(old_id) else { return };
         let id = format!("e{}", self.members.len() + 1);
         let new = ListedEndpoint { id: id.clone(), ..self.members[*index].0.clone() };
--- a/crates/quillhub-fakes/src/traffic.rs
+++ b/crates/quillhub-fakes/src/traffic.rs
@@ -79,7 +79,7 @@
 
 /// Traffic of one connection, which counts for its server, too.
 #[derive(Debug)]
-pub struct ConnectionTraffic {
+pub(crate) struct ConnectionTraffic {
     server: std::sync::Arc<Traffic>,
     own: Counts,
 }
--- a/crates/quillhub-fakes/src/traffic_tests.rs
+++ b/crates/quillhub-fakes/src/traffic_tests.rs
@@ -1,6 +1,8 @@
 use super::*;
 use std::sync::Arc;
 
+// Discovery and platform share an address, and a connection counts for discovery until a request shows that it is for
+// the platform. Counts left behind would be attributed to discovery.
 #[test]
 fn a_connection_counts_for_its_server_until_it_moves_to_another() {
     let (discovery, platform) = (Arc::new(Traffic::default()), Arc::new(Traffic::default()));
--- a/crates/quillhub-scale/src/bounds_tests.rs
+++ b/crates/quillhub-scale/src/bounds_tests.rs
@@ -48,6 +48,7 @@
     );
 }
 
+// Sums that wrapped around would be small enough to start a run that no machine can hold.
 #[test]
 fn sizes_whose_need_overflows_are_refused() {
     let sizes =
--- a/crates/quillhub-scale/src/fit.rs
+++ b/crates/quillhub-scale/src/fit.rs
@@ -97,7 +97,7 @@
 /// Returns the function of one shape with the minimum relative errors.
 ///
 /// Neither its fixed part nor its slope is negative, as costs never are.
-pub fn fit_shape(shape: Shape, samples: &[Sample]) -> Fit {
+fn fit_shape(shape: Shape, samples: &[Sample]) -> Fit {
     let min_magnitude = min_magnitude(samples);
     let (mut s_w, mut s_g, mut s_gg, mut s_y, mut s_gy) = (0.0, 0.0, 0.0, 0.0, 0.0);
     for sample in samples {
--- a/crates/quillhub-scale/src/fit_tests.rs
+++ b/crates/quillhub-scale/src/fit_tests.rs
@@ -32,6 +32,7 @@
     assert!((found.value_at(2e6) / 6e6 - 1.0).abs() < 0.01);
 }
 
+// Shapes with a slope fit noise slightly better than a flat one; selecting them would predict growth that is not there.
 #[test]
 fn noise_alone_does_not_select_a_growing_shape() {
     let noise = [1.0, 1.04, 0.97, 1.02, 1.05, 0.99];
--- a/crates/quillhub-scale/src/plan.rs
+++ b/crates/quillhub-scale/src/plan.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Maximum size of a message's body that an instance accepts, in bytes.
-pub const MAX_BODY_BYTES: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Version of the file format.
 const FORMAT: u32 = 1;
@@ -39,7 +39,7 @@
 }
 
 /// Returns a [`Refusal`] as an error.
-pub fn refuse<T>(
+pub(crate) fn refuse<T>(
     place: impl Into<String>,
     expected: impl Into<String>,
     found: impl fmt::Display,
--- a/crates/quillhub-scale/tests/counts.rs
+++ b/crates/quillhub-scale/tests/counts.rs
@@ -11,6 +11,8 @@
     Instant::now() + Duration::from_secs(60)
 }
 
+// Figures of discovery and platform are divided by the number of lightweight instances, so requests repeated by a
+// lightweight instance would distort them.
 #[test]
 fn a_lightweight_instance_fetches_the_list_once_watches_once_and_reports_one_final_outcome() {
     on_one_thread(async {
@@ -24,6 +26,7 @@
     });
 }
 
+// A restart that kept state would make a mass restart look cheaper than it is.
 #[test]
 fn restarted_lightweight_instances_fetch_the_complete_list_again() {
     on_one_thread(async {
--- a/crates/quillhub-scale/tests/points.rs
+++ b/crates/quillhub-scale/tests/points.rs
@@ -26,6 +26,7 @@
     measure(&plan, &BASE.with(slope, size), 1, &instance_program()).unwrap()
 }
 
+/// Time limit of points that are to be measured completely.
 const TEST_TIME_LIMIT: Duration = Duration::from_secs(120);
 
 #[test]
@@ -37,10 +38,12 @@
     // One more entry of the list, with an id and a destination of two digits.
     let longer = measured(Slope::Destinations, 21, TEST_TIME_LIMIT);
     let row = longer.figures[figure::LIST_BYTES] - point.figures[figure::LIST_BYTES];
-    assert!((130.0..150.0).contains(&row), "{row} bytes a row");
+    assert!((130.0..150.0).contains(&row), "{row} bytes per entry");
     assert!(point.figures.contains_key(figure::BY_DISCOVERY_S));
 }
 
+// An instance that cannot read the list of discovery never delivers; without an early end, the point would last until its
+// time limit, and its earlier figures would be lost.
 #[test]
 fn a_list_over_the_size_limit_ends_the_measurement_and_keeps_earlier_figures() {
     let point = measured(Slope::Destinations, 40_000, TEST_TIME_LIMIT);
