--- a/crates/quillhub-experiments/src/capacity/evidence.rs
+++ b/crates/quillhub-experiments/src/capacity/evidence.rs
@@ -153,7 +153,8 @@
                 fit.shape.name()
             ));
         }
-        let is_conclusive = fit::held_out(&samples).is_some_and(|held_out| held_out.carries(&fit));
+        let is_conclusive =
+            fit::held_out(&samples).is_some_and(|held_out| held_out.supports_extrapolation(&fit));
         let steps = format!("{} for each (slope of {})", short(fit.slope), formula(&fit));
         Ok(Figure { value: fit.slope, steps, is_conclusive, experiment })
     }
@@ -186,8 +187,8 @@
         return (value, steps, true);
     }
     match (fit::fit(samples), fit::held_out(samples)) {
-        (Some(fit), Some(held_out)) if held_out.carries(&fit) => {
-            let value = fit.at(size);
+        (Some(fit), Some(held_out)) if held_out.supports_extrapolation(&fit) => {
+            let value = fit.value_at(size);
             (value, format!("{} at N = {}: {}", formula(&fit), format_size(size), short(value)), true)
         }
         _ => {
--- a/crates/quillhub-experiments/src/capacity/needs.rs
+++ b/crates/quillhub-experiments/src/capacity/needs.rs
@@ -5,7 +5,7 @@
 use super::target::{self, *};
 use crate::scale::short;
 use quillhub_scale::figure;
-use quillhub_scale::plan::Slope::{self, Backlog, Changes, Couriers, Destinations};
+use quillhub_scale::plan::Slope::{self, Backlog, Changes, Destinations, Instances};
 use quillhub_server::MAX_LIST_BYTES;
 
 /// Number of microseconds per second.
@@ -250,13 +250,13 @@
             .mechanism(PLACEMENT),
         idle("idle processor, a share of 740 known, % of a core", Destinations, DESTINATIONS_EACH)?
             .mechanism(DISPATCHER),
-        idle("idle processor beside 1,300 instances, % of a core", Couriers, INSTANCES)?
+        idle("idle processor beside 1,300 instances, % of a core", Instances, INSTANCES)?
             .mechanism(DISPATCHER),
-        need("control, bytes a second", Couriers, figure::CONTROL_BYTES, INSTANCES)?
+        need("control, bytes a second", Instances, figure::CONTROL_BYTES, INSTANCES)?
             .plus(change_bytes, changes_per_hour, "71 changes an hour")
             .limit(operators(MAX_CONTROL_BYTES_PER_S))
             .mechanism(WATCH),
-        need("control, packets a second", Couriers, figure::CONTROL_PACKETS, INSTANCES)?.mechanism(WATCH),
+        need("control, packets a second", Instances, figure::CONTROL_PACKETS, INSTANCES)?.mechanism(WATCH),
         need("the whole list, bytes of one line", Destinations, figure::LIST_BYTES, DESTINATIONS)?
             .limit(Limit { value: MAX_LIST_BYTES as f64, source: "discovery.rs, MAX_LIST_BYTES" })
             .mechanism(PLACEMENT),
@@ -315,7 +315,7 @@
 fn control(evidence: &Evidence) -> Result<Vec<Need>, String> {
     let role = Role::Control;
     let need = |quantity, name| {
-        Ok::<_, String>(Need::new(role, quantity, evidence.figure_at(Couriers, name, INSTANCES)?))
+        Ok::<_, String>(Need::new(role, quantity, evidence.figure_at(Instances, name, INSTANCES)?))
     };
     let changes_per_s = CHANGES_PER_DAY / SECONDS_PER_DAY;
     let machines = || Limit { value: CONTROL_MACHINES, source: "operators: machines, taken as a core each" };
@@ -356,7 +356,7 @@
         short(DOWN_SHARE),
         short(outcomes)
     );
-    let bytes = evidence.figure_at(Couriers, figure::RESTART_PLATFORM_BYTES, INSTANCES)?;
+    let bytes = evidence.figure_at(Instances, figure::RESTART_PLATFORM_BYTES, INSTANCES)?;
     Ok(vec![
         Need::computed(
             role,
@@ -448,7 +448,7 @@
         Ok::<_, String>(need.mechanism(DISPATCHER))
     };
     let need = |quantity, name| {
-        Ok::<_, String>(Need::new(role, quantity, evidence.figure_at(Couriers, name, INSTANCES)?))
+        Ok::<_, String>(Need::new(role, quantity, evidence.figure_at(Instances, name, INSTANCES)?))
     };
     let list = evidence.figure_at(Destinations, figure::LIST_BYTES, DESTINATIONS)?;
     let drained = target::messages_per_s_each(INSTANCES) + target::backlog_per_instance() / SECONDS_PER_DAY;
--- a/crates/quillhub-experiments/src/capacity/tables.rs
+++ b/crates/quillhub-experiments/src/capacity/tables.rs
@@ -36,7 +36,7 @@
 pub fn slope(slope: Slope, points: &[Point]) -> String {
     let sizes: BTreeSet<u64> = points.iter().map(|point| point.size).collect();
     let headings: Vec<String> = sizes.iter().map(u64::to_string).collect();
-    let mut text = format!("Means by {} (half of the range between plays):\n\n", slope.counts());
+    let mut text = format!("Means by {} (half of the range between plays):\n\n", slope.unit());
     let _ = writeln!(text, "| figure | {} |", headings.join(" | "));
     let _ = writeln!(text, "| --- |{}", " --- |".repeat(sizes.len()));
     let rows = scale::rows(points);
@@ -70,8 +70,8 @@
     let (Some(fit), Some(held_out)) = (row.fit, row.held_out) else {
         return format!("| {} | too few sizes | | | | | | no extrapolation |\n", row.name);
     };
-    let verdict = match held_out.holds() {
-        true if held_out.carries(&fit) => "holds",
+    let verdict = match held_out.is_accurate() {
+        true if held_out.supports_extrapolation(&fit) => "holds",
         true => "holds with another shape: not used to extrapolate",
         false => "misses: not used to extrapolate",
     };
--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -7,7 +7,7 @@
 use crate::results::round;
 use hdrhistogram::Histogram;
 use quillhub_fakes::clients::{self, RequestLog, ScheduledMessage};
-use quillhub_fakes::endpoints::{self, EndpointEvent, EndpointEventKind, Listed};
+use quillhub_fakes::endpoints::{self, EndpointEvent, EndpointEventKind, ListedEndpoint};
 use quillhub_fakes::platform::{self, Discovery, OutcomeNotification};
 use quillhub_fakes::process::{InstanceProcess, Usage};
 use quillhub_fakes::{configuration, scratch};
@@ -77,7 +77,7 @@
 /// Fake endpoints, discovery and platform on a thread of their own, so that they and the clients do not block each
 /// other.
 struct FakeServices {
-    listed: Vec<Listed>,
+    listed: Vec<ListedEndpoint>,
     platform: SocketAddr,
     events: UnboundedReceiver<EndpointEvent>,
     outcomes: UnboundedReceiver<OutcomeNotification>,
@@ -85,7 +85,7 @@
 }
 
 fn start_fakes(scenario: &'static Scenario, seed: u64, started: Instant) -> Result<FakeServices, String> {
-    type Started = Result<(Vec<Listed>, SocketAddr), String>;
+    type Started = Result<(Vec<ListedEndpoint>, SocketAddr), String>;
     let (started_sender, started_receiver) = std::sync::mpsc::channel::<Started>();
     let (event_sender, events) = unbounded_channel();
     let (outcome_sender, outcomes) = unbounded_channel();
@@ -96,7 +96,7 @@
                 let listed = endpoints::start(scenario, seed, started, event_sender).await?;
                 let discovery = Discovery::new(&listed);
                 let address = platform::start(discovery.clone(), outcome_sender).await?;
-                platform::play_faults(scenario, seed, started, &discovery);
+                platform::schedule_faults(scenario, seed, started, &discovery);
                 Ok::<_, std::io::Error>((listed, address))
             };
             let _ =
@@ -127,13 +127,13 @@
             EndpointEventKind::Arrived => self.attempts += 1,
             EndpointEventKind::Rejected => self.rejected += 1,
             EndpointEventKind::Failed => {}
-            EndpointEventKind::Delivered | EndpointEventKind::ExecutedUnheard => {
+            EndpointEventKind::Delivered | EndpointEventKind::ExecutedResponseLost => {
                 if let Some(key) = &event.idempotency_key {
                     self.repeated_executions += u64::from(!self.executed_keys.insert(key.clone()));
                 }
                 if event.kind == EndpointEventKind::Delivered {
                     self.delivered += 1;
-                    requests.finish(&event.id, event.at, FinalOutcome::Delivered);
+                    requests.finish(&event.id, event.time, FinalOutcome::Delivered);
                 }
             }
         }
@@ -173,14 +173,15 @@
     // Leaked once per step, because tasks on the fakes' thread use it until they end.
     let scenario: &'static Scenario = Box::leak(Box::new(scenario));
     let messages = scheduled(scenario, options.seed)?;
-    let directory = scratch::Folder::new();
+    let directory = scratch::ScratchDirectory::new();
     scratch::on_one_thread(async {
         let started = Instant::now() + STARTUP_TIME;
         let mut fakes = start_fakes(scenario, options.seed, started)?;
         let mut running = start(scenario, options, started, &fakes, &directory.0).await?;
         let count = messages.len();
         let (connections, body) = (options.connections, options.body_bytes);
-        let clients = clients::play(running.requests.clone(), running.listen, messages, connections, body);
+        let clients =
+            clients::submit_scheduled(running.requests.clone(), running.listen, messages, connections, body);
         let clients = spawn_local(clients);
         running.collect_events(&mut fakes, || clients.is_finished()).await?;
         let last = running.instance.usage().unwrap_or_default();
@@ -222,7 +223,7 @@
     std::fs::write(&config_path, config.to_string()).map_err(failed)?;
     std::fs::create_dir(&state).map_err(failed)?;
     let instance = InstanceProcess::start(options.program, &config_path, &state, &log).map_err(failed)?;
-    if !clients::ready(listen, STARTUP_TIME).await {
+    if !clients::wait_until_ready(listen, STARTUP_TIME).await {
         let log = std::fs::read_to_string(log).unwrap_or_default();
         return Err(format!("expected the instance to respond, found no response; its log: {}", log.trim()));
     }
@@ -251,7 +252,7 @@
         let longest = deadlines.max().unwrap_or_default();
         let end = self.started + self.scenario.length + longest + GRACE_AFTER_DEADLINES;
         let mut next_usage = self.started + Duration::from_secs(1);
-        while Instant::now() < end && !(clients_done() && self.requests.borrow().is_over()) {
+        while Instant::now() < end && !(clients_done() && self.requests.borrow().is_finished()) {
             tokio::select! {
                 Some(event) = fakes.events.recv() => self.endpoint_counts.record(&mut self.requests.borrow_mut(), &event),
                 Some(outcome) = fakes.outcomes.recv() => self.handle_outcome(&outcome),
@@ -279,7 +280,7 @@
                 clients::retry_rejected(requests, self.listen, request, outcome.retry_after, body);
             }
         } else {
-            self.requests.borrow_mut().finish(&outcome.id, outcome.at, FinalOutcome::Abandoned);
+            self.requests.borrow_mut().finish(&outcome.id, outcome.received_at, FinalOutcome::Abandoned);
         }
     }
 }
--- a/crates/quillhub-experiments/src/scale.rs
+++ b/crates/quillhub-experiments/src/scale.rs
@@ -8,7 +8,7 @@
 use quillhub_scale::machine;
 use quillhub_scale::plan::{Plan, Slope};
 use quillhub_scale::results::{self, Point};
-use quillhub_scale::{Played, figure, play};
+use quillhub_scale::{Measurement, figure, measure};
 use std::fmt::Write;
 use std::path::Path;
 
@@ -41,7 +41,7 @@
 
 /// Returns a row for each figure of these points.
 pub fn rows(points: &[Point]) -> Vec<Row> {
-    results::names(points).iter().filter_map(|name| Row::from_points(points, name)).collect()
+    results::figure_names(points).iter().filter_map(|name| Row::from_points(points, name)).collect()
 }
 
 /// Checks before anything starts that all sizes fit the limits of this machine.
@@ -60,10 +60,10 @@
     let (mut points, total) = (Vec::new(), plan.sizes.len() * plan.plays as usize);
     for (size, sizes) in plan.points() {
         for number in 1..=plan.plays {
-            eprintln!("{experiment}: {} of {total}: {size} {}", points.len() + 1, plan.slope.counts());
+            eprintln!("{experiment}: {} of {total}: {size} {}", points.len() + 1, plan.slope.unit());
             let before = machine::load_average();
             let seed = plan.seed + u64::from(number);
-            let Played { figures, breaks } = play(plan, &sizes, seed, program)?;
+            let Measurement { figures, breaks } = measure(plan, &sizes, seed, program)?;
             let figures = figures.into_iter().map(|(name, value)| (name, round(value))).collect();
             if let Some(breaks) = &breaks {
                 eprintln!("{experiment}: breaks at {size}: {breaks}");
@@ -78,7 +78,7 @@
                 load_average: [before, machine::load_average()],
                 machine: machine.clone(),
             });
-            write(folder, results::FILE, &results::written(&points)?)?;
+            write(folder, results::FILE_NAME, &results::to_text(&points)?)?;
             if points.last().is_some_and(|point| !point.figures.contains_key(figure::MESSAGE_US)) {
                 return Ok(points);
             }
@@ -121,7 +121,7 @@
 }
 
 fn csv(points: &[Point]) -> String {
-    let names = results::names(points);
+    let names = results::figure_names(points);
     let mut csv = format!("size,play,breaks,{}\n", names.join(",").replace(", ", "; "));
     for point in points {
         let breaks = point.breaks.as_deref().unwrap_or_default().replace(',', ";");
@@ -139,10 +139,10 @@
         let steps = CURVE_POINTS_PER_SIZE * row.means.len();
         let factor = (last.0 / first.0).powf(1.0 / steps as f64);
         let sizes = (0..=steps).map(|step| first.0 * factor.powi(step as i32));
-        let points = sizes.map(|size| (size, fit.at(size))).collect();
+        let points = sizes.map(|size| (size, fit.value_at(size))).collect();
         lines.push(Series { name: format!("{} fit", fit.shape.name()), points });
     }
-    chart::over_sizes(&row.name, slope.counts(), &lines)
+    chart::over_sizes(&row.name, slope.unit(), &lines)
 }
 
 /// Formats a number with a precision that depends on its magnitude.
--- a/crates/quillhub-experiments/tests/capacity.rs
+++ b/crates/quillhub-experiments/tests/capacity.rs
@@ -3,7 +3,7 @@
 
 use quillhub_experiments::capacity::evidence::Evidence;
 use quillhub_experiments::capacity::{self, needs};
-use quillhub_fakes::scratch::Folder;
+use quillhub_fakes::scratch::ScratchDirectory;
 use quillhub_scale::figure;
 use quillhub_scale::machine::Machine;
 use quillhub_scale::plan::Slope;
@@ -51,7 +51,7 @@
 /// Guards against figures edited by hand: a figure that no run produced must not pass the check.
 #[test]
 fn a_figure_on_the_page_that_differs_from_the_kept_results_is_reported_with_its_line() {
-    let (folder, text) = (Folder::new(), std::fs::read_to_string(page()).unwrap());
+    let (folder, text) = (ScratchDirectory::new(), std::fs::read_to_string(page()).unwrap());
     let changed = folder.0.join("CAPACITY.md");
     let (index, row) = text.lines().enumerate().find(|(_, line)| line.starts_with("| memory MB |")).unwrap();
     std::fs::write(&changed, text.replace(row, &row.replacen("memory MB | ", "memory MB | 9", 1))).unwrap();
@@ -64,7 +64,7 @@
 /// Without its results, a block must not be written with the remaining figures only.
 #[test]
 fn missing_results_are_reported() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let message = capacity::check(&page(), &folder.0).unwrap_err();
     assert!(message.contains("scale-destinations/points.jsonl"), "{message}");
     let empty = Evidence::from_points([]);
@@ -156,7 +156,7 @@
 /// Asserts that `scale` rejects the file `text` with one line that contains `message` and exit status 2, and creates no
 /// output.
 fn assert_rejected(text: &str, message: &str) {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     std::fs::write(folder.0.join("scale-bad.toml"), text).unwrap();
     let arguments =
         ["scale", "scale-bad.toml", "--out", "out", "--courier", env!("CARGO_BIN_EXE_quillhub-experiment")];
@@ -194,7 +194,7 @@
 
 #[test]
 fn a_failed_check_of_the_page_exits_with_status_2_and_names_the_line() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     std::fs::write(folder.0.join("page.md"), "it takes 72 us\n").unwrap();
     let results = results();
     let arguments = ["capacity", "--check", "--page", "page.md", "--results", results.to_str().unwrap()];
--- a/crates/quillhub-experiments/tests/digests.rs
+++ b/crates/quillhub-experiments/tests/digests.rs
@@ -4,7 +4,7 @@
 use quillhub_experiments::experiment::ExperimentPlan;
 use quillhub_experiments::results::RunRecord;
 use quillhub_experiments::{report, sweep};
-use quillhub_fakes::scratch::Folder;
+use quillhub_fakes::scratch::ScratchDirectory;
 
 const RETRY_STORM: &str = include_str!("experiments/short-retry-storm.toml");
 const ZONE_CUT: &str = include_str!("experiments/short-zone-cut.toml");
@@ -29,7 +29,7 @@
 }
 
 fn run(name: &str, text: &str, threads: usize) -> String {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let experiment = ExperimentPlan::parse(name, text).unwrap_or_else(|e| panic!("{name}: {e:?}"));
     let pool =
         rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("the thread pool can be created");
--- a/crates/quillhub-experiments/tests/fleet.rs
+++ b/crates/quillhub-experiments/tests/fleet.rs
@@ -5,7 +5,7 @@
 use quillhub_experiments::experiment::ExperimentPlan;
 use quillhub_experiments::results::{RunRecord, mean_and_deviation};
 use quillhub_experiments::sweep;
-use quillhub_fakes::scratch::Folder;
+use quillhub_fakes::scratch::ScratchDirectory;
 use std::path::Path;
 
 fn run_small(kind: &str) -> Vec<RunRecord> {
@@ -23,7 +23,7 @@
         text = text.replace(original, reduced);
     }
     let plan = ExperimentPlan::parse(kind, &text).unwrap_or_else(|e| panic!("{e:?}"));
-    sweep::run(&plan, &Folder::new().0, false).unwrap()
+    sweep::run(&plan, &ScratchDirectory::new().0, false).unwrap()
 }
 
 fn assert_keeps_all_rules_and_beats_single_attempts(kind: &str) {
--- a/crates/quillhub-experiments/tests/simulation.rs
+++ b/crates/quillhub-experiments/tests/simulation.rs
@@ -4,7 +4,7 @@
 use quillhub_experiments::experiment::ExperimentPlan;
 use quillhub_experiments::results::{RunRecord, mean_and_deviation};
 use quillhub_experiments::{explain, report, sweep};
-use quillhub_fakes::scratch::Folder;
+use quillhub_fakes::scratch::ScratchDirectory;
 
 /// Returns an experiment with one queue of `workers`, calls of 20 ms on average and `rate` calls per second.
 fn queue_plan(workers: usize, rate: f64) -> ExperimentPlan {
@@ -118,7 +118,7 @@
 whom = { endpoints = 1 }
 ";
 
-fn run_sweep(threads: usize, folder: &Folder) -> Vec<RunRecord> {
+fn run_sweep(threads: usize, folder: &ScratchDirectory) -> Vec<RunRecord> {
     let plan = ExperimentPlan::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().unwrap();
     pool.install(|| sweep::run(&plan, &folder.0, false)).unwrap()
@@ -127,7 +127,7 @@
 /// Guards against results that depend on the order in which threads finish their runs.
 #[test]
 fn one_thread_and_four_give_the_same_runs() {
-    let (one_folder, four_folder) = (Folder::new(), Folder::new());
+    let (one_folder, four_folder) = (ScratchDirectory::new(), ScratchDirectory::new());
     let (one, four) = (run_sweep(1, &one_folder), run_sweep(4, &four_folder));
     assert_eq!(one, four);
     let mut hashes: Vec<_> = one.iter().map(|run| &run.hash).collect();
@@ -152,7 +152,7 @@
 /// The program may be stopped while it writes a result, which leaves an incomplete last line.
 #[test]
 fn an_interrupted_sweep_is_resumed() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let complete = run_sweep(2, &folder);
     let path = folder.0.join("runs.jsonl");
     let text = std::fs::read_to_string(&path).unwrap();
@@ -165,7 +165,7 @@
 /// The page must not refer to other files, so that it can be read without them.
 #[test]
 fn a_message_is_explained_up_to_its_final_outcome_and_the_page_is_self_contained() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let runs = run_sweep(4, &folder);
     let plan = ExperimentPlan::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
     let lines = explain::explain(&plan, &runs[0], 1).unwrap();
--- a/crates/quillhub-fakes/examples/mixed_versions/instance.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/instance.rs
@@ -1,7 +1,7 @@
-//! The process of an instance, its configuration, and the servers that it calls.
+//! Process of an instance, parts of its configuration, and the servers that it calls.
 
 use quillhub_fakes::accept::accept_each;
-use quillhub_fakes::http::Served;
+use quillhub_fakes::http::ServerConnection;
 use serde_json::{Value, json};
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// A running `quillhub serve`, killed when this is dropped.
+/// Running `quillhub serve`, killed when this is dropped.
 pub struct Process {
     child: Child,
     log: PathBuf,
@@ -53,7 +53,7 @@
     }
 }
 
-/// A server on an address of its own that can be closed and opened again.
+/// Server with an address of its own that can be closed and opened again.
 pub struct Server {
     /// Address of the server, also while it is closed.
     pub address: SocketAddr,
@@ -68,12 +68,12 @@
     }
 
     /// Accepts connections from now on and handles each with `serve`.
-    pub async fn open<F>(&mut self, serve: impl Fn(Served) -> F + 'static) -> io::Result<()>
+    pub async fn open<F>(&mut self, serve: impl Fn(ServerConnection) -> F + 'static) -> io::Result<()>
     where
         F: Future<Output = ()> + 'static,
     {
         let listener = TcpListener::bind(self.address).await?;
-        let accept = move |stream: TcpStream| serve(Served::new(stream));
+        let accept = move |stream: TcpStream| serve(ServerConnection::new(stream));
         self.accepting = Some(spawn_local(async move { accept_each(listener, accept).await }));
         Ok(())
     }
@@ -97,7 +97,7 @@
 }
 
 /// Writes the chunked response to a request for the endpoint list or for its changes.
-pub async fn write_endpoint_list(stream: &mut Served, list: &Value) -> io::Result<()> {
+pub async fn write_endpoint_list(stream: &mut ServerConnection, list: &Value) -> io::Result<()> {
     let line = format!("{list}\n");
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     stream.write(format!("{head}{:x}\r\n{line}\r\n", line.len()).as_bytes()).await
--- a/crates/quillhub-server/src/attempts/tests.rs
+++ b/crates/quillhub-server/src/attempts/tests.rs
@@ -1,6 +1,6 @@
 use super::response::parse_load_report;
 use super::*;
-use crate::test_support::{OK, UNREACHED_TIMEOUT, answering, on_one_thread};
+use crate::test_support::{OK, UNREACHED_TIMEOUT, on_one_thread, scripted_server};
 use quillhub::{AttemptOutcome, LoadReport};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -25,7 +25,7 @@
 /// the connection can be reused.
 fn verdict_on(answer: &'static [u8]) -> (AttemptOutcome, bool, bool) {
     on_one_thread(async {
-        let (address, _requests) = answering(vec![answer]).await;
+        let (address, _requests) = scripted_server(vec![answer]).await;
         let (result, connection) =
             attempt(None, address, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await;
         let Verdict { outcome, finished } = Verdict::of(&result, false);
@@ -106,7 +106,7 @@
         (waiting, true, true, AttemptOutcome::Rejected { retry_after: Some(Duration::from_millis(9)) }),
     ] {
         on_one_thread(async {
-            let (address, _requests) = answering(vec![answer]).await;
+            let (address, _requests) = scripted_server(vec![answer]).await;
             let connection = if on_new_connection { None } else { HttpConnection::open(address).await.ok() };
             let (result, _) =
                 attempt(connection, address, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await;
--- a/crates/quillhub-server/src/discovery/return_tests.rs
+++ b/crates/quillhub-server/src/discovery/return_tests.rs
@@ -4,8 +4,10 @@
 use super::watch::{MAX_LIST_BYTES, PATH, REQUEST_TIMEOUT, SILENCE_TIMEOUT, request};
 use super::*;
 use crate::connection::ConnectionError;
-use crate::test_support::{StateDirectory, answering, configuration, full, instance_with, on_one_thread};
-use quillhub_fakes::http::Served;
+use crate::test_support::{
+    StateDirectory, configuration, instance_with, on_one_thread, scripted_server, unconnectable_address,
+};
+use quillhub_fakes::http::ServerConnection;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 use std::net::TcpStream as StdStream;
@@ -47,7 +49,7 @@
 
 /// Serves a connection to discovery during its outage.
 async fn serve_failing(loss: Loss, stream: TcpStream) -> std::io::Result<()> {
-    let mut stream = Served::new(stream);
+    let mut stream = ServerConnection::new(stream);
     let Some(requested) = stream.next().await? else { return Ok(()) };
     let is_watch = requested.path.contains("watch");
     let length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LIST.len());
@@ -71,7 +73,7 @@
 
 /// Serves a connection to discovery after its return: each request gets [`LIST`], followed by empty lines in a watch.
 async fn serve(stream: TcpStream) -> std::io::Result<()> {
-    let mut stream = Served::new(stream);
+    let mut stream = ServerConnection::new(stream);
     while let Some(requested) = stream.next().await? {
         if !requested.path.contains("watch") {
             stream.answer(200, "", LIST.as_bytes()).await?;
@@ -192,7 +194,7 @@
 fn a_request_has_one_timeout_for_its_connection_and_its_head() {
     on_one_thread(async {
         tokio::time::pause();
-        let (address, (socket, queued)) = full();
+        let (address, (socket, queued)) = unconnectable_address();
         let started = Instant::now();
         let response = spawn_local(request(address, PATH));
         yield_now().await;
@@ -227,7 +229,7 @@
         on_one_thread(async {
             tokio::time::pause();
             let watched = format!("{CHUNKED}{}", chunk(&format!("{LIST}\n"))).leak().as_bytes();
-            let (address, mut requested) = answering(vec![watched; 2]).await;
+            let (address, mut requested) = scripted_server(vec![watched; 2]).await;
             let instance =
                 instance_with(7, &settings(must_be_polled), &directory, "127.0.0.1:1".parse().unwrap());
             let (_address_sender, address_receiver) = watch_channel::channel(address);
@@ -276,7 +278,7 @@
                 Progress::new(Some(6).filter(|_| !complete)),
                 false,
             ));
-            let mut stream = Served::new(listener.accept().await.unwrap().0);
+            let mut stream = ServerConnection::new(listener.accept().await.unwrap().0);
             stream.next().await.unwrap();
             let length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
             stream.write(if complete { length.as_bytes() } else { CHUNKED.as_bytes() }).await.unwrap();
--- a/crates/quillhub-server/src/instance/recovery_tests.rs
+++ b/crates/quillhub-server/src/instance/recovery_tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 use crate::instance::{FinalOutcome, SubmitOutcome};
 use crate::test_support::{
-    InstanceBuilder, OK, StateDirectory, answering, configuration, full, instance, log_with, message,
-    on_one_thread, pending_in, silent_endpoint, submit, until_attempts_ended, until_idle,
+    InstanceBuilder, OK, StateDirectory, configuration, instance, log_with, message, on_one_thread,
+    pending_in, scripted_server, silent_endpoint, submit, unconnectable_address, until_attempts_ended,
+    until_idle,
 };
 use crate::wal::FinalResult;
 use std::cell::RefCell;
@@ -29,7 +30,7 @@
 fn messages_in_flight_at_a_crash_are_recovered_and_an_at_most_once_one_is_not_retried() {
     let directory = StateDirectory::new();
     on_one_thread(async {
-        let (address, mut requests) = answering(vec![b"HTTP/1.1 100 Continue\r\n\r\n"; 4]).await;
+        let (address, mut requests) = scripted_server(vec![b"HTTP/1.1 100 Continue\r\n\r\n"; 4]).await;
         let first = instance(&directory, address);
         assert_eq!(submit(&first, "once"), SubmitOutcome::Accepted(1));
         assert_eq!(submit(&first, "free"), SubmitOutcome::Accepted(2));
@@ -110,7 +111,7 @@
 fn an_attempt_not_started_at_shutdown_is_left_to_the_next_process() {
     let directory = StateDirectory::new();
     on_one_thread(async {
-        let (address, mut requests) = answering(vec![OK, OK]).await;
+        let (address, mut requests) = scripted_server(vec![OK, OK]).await;
         let first = instance(&directory, address);
         assert_eq!(submit(&first, "once"), SubmitOutcome::Accepted(1));
         assert_eq!(first.borrow().attempts_in_flight, 1);
@@ -131,7 +132,7 @@
 fn a_message_whose_connection_was_still_opening_at_a_crash_counts_as_unattempted() {
     let directory = StateDirectory::new();
     on_one_thread(async {
-        let (unresponsive, _full_queue) = full();
+        let (unresponsive, _full_queue) = unconnectable_address();
         let first = instance(&directory, unresponsive);
         assert_eq!(submit(&first, "once"), SubmitOutcome::Accepted(1));
         assert_eq!(first.borrow().attempts_in_flight, 1);
@@ -139,7 +140,7 @@
             tokio::task::yield_now().await; // until the attempt's task waits
         }
         drop(first);
-        let (address, mut requests) = answering(vec![OK]).await;
+        let (address, mut requests) = scripted_server(vec![OK]).await;
         let second = restart(&directory, address);
         assert!(second.borrow().outcomes.is_empty(), "the message is not abandoned");
         assert!(requests.recv().await.unwrap().ends_with("body"));
@@ -216,7 +217,7 @@
     for age in [700, 1_000, 1_200, 60_000].map(Duration::from_millis) {
         let directory = StateDirectory::new();
         on_one_thread(async {
-            let (address, mut requests) = answering(vec![OK]).await;
+            let (address, mut requests) = scripted_server(vec![OK]).await;
             let instance = restart_after(&directory, address, age);
             let finished: Vec<_> = instance.borrow().outcomes.iter().map(|end| end.message).collect();
             assert_eq!(finished, [1], "age {age:?}");
@@ -235,7 +236,7 @@
 fn a_message_whose_deduplication_window_still_allows_an_attempt_after_a_restart_is_retried_first() {
     let directory = StateDirectory::new();
     on_one_thread(async {
-        let (address, mut requests) = answering(vec![DELIVERED_AND_CLOSED; 2]).await;
+        let (address, mut requests) = scripted_server(vec![DELIVERED_AND_CLOSED; 2]).await;
         let instance = restart_after(&directory, address, Duration::ZERO);
         assert!(instance.borrow().outcomes.is_empty());
         let request = requests.recv().await.unwrap();
--- a/crates/quillhub-server/tests/configurations.rs
+++ b/crates/quillhub-server/tests/configurations.rs
@@ -4,7 +4,7 @@
 //! `fixtures/complete.json` contains every setting that is read. The other two fixtures are lists of changes to it.
 //! Each replaces one value, given by its JSON pointer, or removes it if the change has no value.
 
-use quillhub_fakes::scratch::Folder;
+use quillhub_fakes::scratch::ScratchDirectory;
 use serde_json::Value;
 use std::net::{TcpListener, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -90,7 +90,7 @@
 }
 
 /// Writes a configuration file and returns its path.
-fn write_configuration(folder: &Folder, content: impl AsRef<[u8]>) -> PathBuf {
+fn write_configuration(folder: &ScratchDirectory, content: impl AsRef<[u8]>) -> PathBuf {
     let path = folder.0.join("configuration.json");
     std::fs::write(&path, content).expect("the folder is writable");
     path
@@ -112,14 +112,14 @@
 
 /// Checks that `check` refuses a configuration with `message`.
 fn assert_check_refuses(content: &[u8], message: &str) {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let path = write_configuration(&folder, content);
     assert_output(check(&path), EXIT_FAILED, "", &format!("quillhub: {message}\n"));
 }
 
 #[test]
 fn the_complete_configuration_is_accepted() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let path = write_configuration(&folder, COMPLETE);
     assert_output(check(&path), 0, ACCEPTED, "");
 }
@@ -127,7 +127,7 @@
 /// Guards against optional settings that are required, and against checks that are too strict.
 #[test]
 fn every_valid_change_of_the_complete_configuration_is_accepted() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let changes = changes(ACCEPTED_CHANGES);
     assert_eq!(changes.len(), 29);
     for change in changes {
@@ -150,8 +150,8 @@
 /// the program exits even if it fails to refuse a configuration.
 #[test]
 fn serve_refuses_every_invalid_value_with_the_message_of_check() {
-    let folder = Folder::new();
-    let state = Folder::new();
+    let folder = ScratchDirectory::new();
+    let state = ScratchDirectory::new();
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = taken.local_addr().expect("it is bound").to_string();
     for change in changes(REFUSED_CHANGES) {
@@ -188,8 +188,8 @@
 
 #[test]
 fn a_file_that_cannot_be_read_is_refused_with_its_path() {
-    let folder = Folder::new();
-    let state = Folder::new();
+    let folder = ScratchDirectory::new();
+    let state = ScratchDirectory::new();
     let missing = folder.0.join("missing.json");
     let line = format!("quillhub: {}: No such file or directory (os error 2)\n", missing.display());
     assert_output(check(&missing), EXIT_FAILED, "", &line);
@@ -213,7 +213,7 @@
 
 #[test]
 fn environment_variables_replace_missing_options_and_options_take_precedence() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let path = write_configuration(&folder, COMPLETE);
     let mut by_variable = program(&["check"]);
     by_variable.env(CONFIG_VARIABLE, &path);
@@ -259,7 +259,7 @@
 
 #[test]
 fn serve_refuses_a_state_directory_that_cannot_be_used() {
-    let folder = Folder::new();
+    let folder = ScratchDirectory::new();
     let path = write_configuration(&folder, COMPLETE);
     for (state, cause) in [
         (folder.0.join("missing"), "No such file or directory (os error 2)"),
@@ -272,7 +272,7 @@
 
 #[test]
 fn serve_refuses_an_address_that_is_in_use() {
-    let (folder, state) = (Folder::new(), Folder::new());
+    let (folder, state) = (ScratchDirectory::new(), ScratchDirectory::new());
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let mut configuration = complete();
     configuration["listen"] = taken.local_addr().expect("it is bound").to_string().into();
@@ -283,7 +283,7 @@
 
 #[test]
 fn serve_refuses_a_gossip_address_that_is_in_use() {
-    let (folder, state) = (Folder::new(), Folder::new());
+    let (folder, state) = (ScratchDirectory::new(), ScratchDirectory::new());
     let taken = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     let mut configuration = complete();
     configuration["peer_listen"] = taken.local_addr().expect("it is bound").to_string().into();
@@ -296,7 +296,7 @@
 /// Guards against a server that refuses to start with a configuration that passed `check`.
 #[test]
 fn serve_refuses_what_check_accepts_only_for_an_address_in_use() {
-    let (folder, state) = (Folder::new(), Folder::new());
+    let (folder, state) = (ScratchDirectory::new(), ScratchDirectory::new());
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     for change in changes(ACCEPTED_CHANGES).iter().filter(|change| change.pointer != "/listen") {
         let mut configuration = changed(change);
--- a/crates/quillhub-server/tests/process_signals.rs
+++ b/crates/quillhub-server/tests/process_signals.rs
@@ -4,11 +4,11 @@
 //! The signal is sent after an event that the endpoint, the platform or the client observed, so that the tests do not
 //! depend on timing.
 
-use quillhub_fakes::clients::{ask, command, ready};
-use quillhub_fakes::http::Served;
+use quillhub_fakes::clients::{command, send_command, wait_until_ready};
+use quillhub_fakes::http::ServerConnection;
 use quillhub_fakes::process::InstanceProcess;
-use quillhub_fakes::scratch::{Folder, on_one_thread};
-use quillhub_fakes::scripted::full;
+use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
+use quillhub_fakes::scripted::unconnectable_address;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -67,7 +67,7 @@
         if self.step == Step::RequestStarted && matches!(stream.peek(&mut [0; 1]).await, Ok(1)) {
             self.observed.notify_one();
         }
-        let mut stream = Served::new(stream);
+        let mut stream = ServerConnection::new(stream);
         while let Ok(Some(_)) = stream.next().await {
             let restarted = self.restarted.get();
             self.requests.borrow_mut().push((Instant::now(), restarted));
@@ -86,7 +86,7 @@
 
     /// Serves one connection at discovery or the platform.
     async fn serve_discovery_and_platform(self: Rc<Self>, stream: TcpStream) {
-        let mut stream = Served::new(stream);
+        let mut stream = ServerConnection::new(stream);
         while let Ok(Some(request)) = stream.next().await {
             let response = if request.path == "/v2/finals" {
                 let lines = String::from_utf8(request.body).unwrap();
@@ -132,7 +132,7 @@
 }
 
 /// Starts the process of an instance, with its state directory in `state` and its configuration and log in `files`.
-fn start(state: &Folder, files: &Folder, configuration: &Value) -> InstanceProcess {
+fn start(state: &ScratchDirectory, files: &ScratchDirectory, configuration: &Value) -> InstanceProcess {
     let [config, log] = ["config", "log"].map(|name| files.0.join(name));
     std::fs::write(&config, configuration.to_string()).unwrap();
     InstanceProcess::start(Path::new(env!("CARGO_BIN_EXE_quillhub")), &config, &state.0, &log).unwrap()
@@ -162,15 +162,15 @@
     let fields = format!("c={class},d=12000,k=5c,dest=9");
     let mut client = TcpStream::connect(listen).await.unwrap();
     let command = command(&["SUBMIT", "0", "ab", &fields, "body"].map(str::as_bytes));
-    assert_eq!(ask(&mut client, &command).await.unwrap(), "+OK");
+    assert_eq!(send_command(&mut client, &command).await.unwrap(), "+OK");
 }
 
 /// Handles one message with two processes, the first of which gets `signal` at `step`, and checks that the message gets
 /// exactly one outcome and, unless it is idempotent, no attempt that could execute it a second time.
 async fn check_restart(step: Step, class: &str, signal: &str) {
     let case = format!("{step:?}, {class}, {signal}");
-    let (state, files) = (Folder::new(), Folder::new());
-    let (unresponsive, _full_queue) = full();
+    let (state, files) = (ScratchDirectory::new(), ScratchDirectory::new());
+    let (unresponsive, _full_queue) = unconnectable_address();
     let environment = Rc::new(Environment {
         step,
         restarted: Cell::new(false),
@@ -189,13 +189,13 @@
     environment.list.replace(first_list.clone());
     let listen = unused_address();
     let mut first = start(&state, &files, &configuration(listen, discovery, first_list));
-    assert!(ready(listen, TEST_TIMEOUT).await, "{case}");
+    assert!(wait_until_ready(listen, TEST_TIMEOUT).await, "{case}");
     submit(listen, class).await;
     if !matches!(step, Step::Accepted | Step::Opening) {
         environment.observed.notified().await;
     }
     assert!(first.signal(signal).unwrap());
-    let status = first.end().await.unwrap();
+    let status = first.wait_for_exit().await.unwrap();
     assert!(signal == "KILL" || status.success(), "{case}: {status}");
 
     environment.restarted.set(true);
@@ -203,7 +203,7 @@
     environment.list.replace(list(2, Some(endpoint)));
     let listen = unused_address();
     let mut second = start(&state, &files, &configuration(listen, discovery, list(2, Some(endpoint))));
-    assert!(ready(listen, TEST_TIMEOUT).await, "{case}");
+    assert!(wait_until_ready(listen, TEST_TIMEOUT).await, "{case}");
     let delivered = || environment.requests.borrow().iter().any(|(_, by_second)| *by_second);
     let outcome_reported = || {
         step != Step::FinalOutcome && outcomes_before > 0
@@ -213,7 +213,7 @@
         environment.observed.notified().await;
     }
     assert!(second.signal("TERM").unwrap()); // it exits once no message is pending
-    assert!(second.end().await.unwrap().success(), "{case}");
+    assert!(second.wait_for_exit().await.unwrap().success(), "{case}");
 
     assert_single_outcome(&environment, step, class, signal);
 }
@@ -279,22 +279,22 @@
 #[test]
 fn signals_during_startup_or_shutdown_end_the_process_as_a_single_one_does() {
     let test = async {
-        let (state, files) = (Folder::new(), Folder::new());
+        let (state, files) = (ScratchDirectory::new(), ScratchDirectory::new());
         let (listen, silent) = (unused_address(), TcpListener::bind("127.0.0.1:0").await.unwrap());
         let configuration = configuration(listen, silent.local_addr().unwrap(), list(1, None));
         // Before the process is ready, and possibly before it has installed its signal handlers.
         let mut early = start(&state, &files, &configuration);
         assert!(early.signal("TERM").unwrap());
-        let status = early.end().await.unwrap();
+        let status = early.wait_for_exit().await.unwrap();
         assert!(status.success() || status.code().is_none(), "{status}");
         // With a message pending, so that the shutdown takes some time.
         let mut instance = start(&state, &files, &configuration);
-        assert!(ready(listen, TEST_TIMEOUT).await);
+        assert!(wait_until_ready(listen, TEST_TIMEOUT).await);
         submit(listen, "free").await;
         for signal in ["TERM", "HUP", "INT", "HUP", "TERM"] {
             assert!(instance.signal(signal).unwrap());
         }
-        assert!(instance.end().await.unwrap().success());
+        assert!(instance.wait_for_exit().await.unwrap().success());
     };
     on_one_thread(async { timeout(TEST_TIMEOUT, test).await.expect("the process does not exit") });
 }
--- a/crates/quillhub-server/tests/restarts.rs
+++ b/crates/quillhub-server/tests/restarts.rs
@@ -1,11 +1,11 @@
 //! Tests of an instance's process with discovery unreachable: one that runs low on file descriptors because of idle
 //! clients and attempts without a response, and one that starts with a full state directory.
 
-use quillhub_fakes::clients::{ask, command, ready};
-use quillhub_fakes::http::Served;
+use quillhub_fakes::clients::{command, send_command, wait_until_ready};
+use quillhub_fakes::http::ServerConnection;
 use quillhub_fakes::process::InstanceProcess;
-use quillhub_fakes::scratch::{Folder, on_one_thread};
-use quillhub_fakes::scripted::full;
+use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
+use quillhub_fakes::scripted::unconnectable_address;
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
 
 /// Starts the process of an instance that can open only as many file descriptors as its configuration says. Its state
 /// directory is in `state`, its configuration and log in `files`.
-fn start(state: &Folder, files: &Folder, configuration: &Value) -> InstanceProcess {
+fn start(state: &ScratchDirectory, files: &ScratchDirectory, configuration: &Value) -> InstanceProcess {
     let [config, log, program] = ["config", "log", "limited"].map(|name| files.0.join(name));
     std::fs::write(&config, configuration.to_string()).unwrap();
     let script =
@@ -68,13 +68,15 @@
 /// Submits a message and returns the reply.
 async fn submit(client: &mut TcpStream, id: usize, class: &str, destination: u64, body: &str) -> String {
     let (client_id, fields) = (format!("ab{id}"), format!("c={class},d=60000,dest={destination}"));
-    ask(client, &command(&["SUBMIT", "0", &client_id, &fields, body].map(str::as_bytes))).await.unwrap()
+    send_command(client, &command(&["SUBMIT", "0", &client_id, &fields, body].map(str::as_bytes)))
+        .await
+        .unwrap()
 }
 
 /// Serves one connection of an endpoint, of discovery or of the platform. Notifies `received` of each delivery and of
 /// each request with final outcomes.
 async fn serve(stream: TcpStream, list: Value, received: Rc<Notify>) {
-    let mut stream = Served::new(stream);
+    let mut stream = ServerConnection::new(stream);
     while let Ok(Some(request)) = stream.next().await {
         let _ = match request.path.as_str() {
             "/events" => {
@@ -99,7 +101,7 @@
 #[test]
 fn descriptors_remain_for_discovery_and_endpoints_despite_idle_clients_and_hanging_attempts() {
     let test = async {
-        let (state, files) = (Folder::new(), Folder::new());
+        let (state, files) = (ScratchDirectory::new(), ScratchDirectory::new());
         let (listen, discovery) = (unused_address(1), unused_address(2));
         let hanging = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let healthy = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -117,7 +119,7 @@
             }
         });
         let _instance = start(&state, &files, &configuration(listen, discovery, list(1, &known)));
-        assert!(ready(listen, TEST_TIMEOUT).await);
+        assert!(wait_until_ready(listen, TEST_TIMEOUT).await);
         let mut client = TcpStream::connect(listen).await.unwrap();
         for id in 0..300 {
             assert_eq!(submit(&mut client, id, "once", 9, "body").await, "+OK");
@@ -166,14 +168,14 @@
 #[test]
 fn an_instance_is_ready_in_time_with_a_full_state_directory_and_discovery_unreachable() {
     let test = async {
-        let (state, files) = (Folder::new(), Folder::new());
-        let (refused, (unresponsive, _full_queue)) = (unused_address(3), full());
+        let (state, files) = (ScratchDirectory::new(), ScratchDirectory::new());
+        let (refused, (unresponsive, _full_queue)) = (unused_address(3), unconnectable_address());
         let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
         // Nothing listens at the endpoint's address, so that every message stays pending.
         let known = list(1, &[member("e".into(), unused_address(4), 9)]);
         let listen = unused_address(5);
         let mut instance = start(&state, &files, &configuration(listen, refused, known.clone()));
-        assert!(ready(listen, TEST_TIMEOUT).await);
+        assert!(wait_until_ready(listen, TEST_TIMEOUT).await);
         let mut client = TcpStream::connect(listen).await.unwrap();
         let mut pending = 0;
         while submit(&mut client, pending, "free", 9, &"x".repeat(2_000)).await == "+OK" {
@@ -182,10 +184,13 @@
         assert!(pending > 1_000, "{pending} pending when the directory was full");
         for discovery in [refused, unresponsive, silent.local_addr().unwrap()] {
             assert!(instance.signal("KILL").unwrap());
-            instance.end().await.unwrap();
+            instance.wait_for_exit().await.unwrap();
             instance = start(&state, &files, &configuration(listen, discovery, known.clone()));
             let started = std::time::Instant::now();
-            assert!(ready(listen, MAX_READY_TIME).await, "{pending} pending, discovery at {discovery}");
+            assert!(
+                wait_until_ready(listen, MAX_READY_TIME).await,
+                "{pending} pending, discovery at {discovery}"
+            );
             println!("{pending} pending: ready after {:?}, discovery at {discovery}", started.elapsed());
         }
     };
--- a/crates/quillhub-server/tests/scenario.rs
+++ b/crates/quillhub-server/tests/scenario.rs
@@ -91,7 +91,7 @@
 
 #[test]
 fn every_message_of_a_short_scenario_has_one_outcome() {
-    let (scenario, state) = (scenario(SCENARIO), scratch::Folder::new());
+    let (scenario, state) = (scenario(SCENARIO), scratch::ScratchDirectory::new());
     endpoints::check_supported(scenario).unwrap();
     scratch::on_one_thread(async {
         let started = Instant::now() + Duration::from_millis(200);
@@ -100,35 +100,35 @@
         let listed = endpoints::start(scenario, 7, started, event_sender).await.unwrap();
         let discovery = Discovery::new(&listed);
         let platform_address = platform::start(discovery.clone(), outcome_sender).await.unwrap();
-        platform::play_faults(scenario, 7, started, &discovery);
+        platform::schedule_faults(scenario, 7, started, &discovery);
         let listen = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let known = discovery.borrow().list();
         let text = configuration::instance(scenario, 7, listen, platform_address, known, 256).to_string();
         quillhub_server::check(&text).unwrap();
         let (stop, stopped) = oneshot::channel::<()>();
         let instance = serve(text, state.0.clone(), stopped);
-        assert!(clients::ready(listen, Duration::from_secs(30)).await);
+        assert!(clients::wait_until_ready(listen, Duration::from_secs(30)).await);
         let requests = RequestLog::new(scenario, 7, started);
         let messages: Vec<_> = arrivals(scenario, 7).into_iter().map(ScheduledMessage::from).collect();
         let count = messages.len();
-        let playback = spawn_local(clients::play(requests.clone(), listen, messages, 16, 50));
+        let playback = spawn_local(clients::submit_scheduled(requests.clone(), listen, messages, 16, 50));
         let mut executions = BTreeMap::<String, u32>::new();
-        while !(playback.is_finished() && requests.borrow().is_over()) {
+        while !(playback.is_finished() && requests.borrow().is_finished()) {
             tokio::select! {
                 Some(event) = events.recv() => {
-                    let is_execution = matches!(event.kind, EndpointEventKind::Delivered | EndpointEventKind::ExecutedUnheard);
+                    let is_execution = matches!(event.kind, EndpointEventKind::Delivered | EndpointEventKind::ExecutedResponseLost);
                     if let Some(key) = event.idempotency_key.filter(|_| is_execution) {
                         *executions.entry(key).or_default() += 1;
                     }
                     if event.kind == EndpointEventKind::Delivered {
-                        requests.borrow_mut().finish(&event.id, event.at, FinalOutcome::Delivered);
+                        requests.borrow_mut().finish(&event.id, event.time, FinalOutcome::Delivered);
                     }
                 }
                 Some(outcome) = outcomes.recv() => {
                     let order = requests.borrow().ids.get(&outcome.id).copied();
                     match order.filter(|_| outcome.rejected) {
                         Some(order) => clients::retry_rejected(requests.clone(), listen, order, outcome.retry_after, 50),
-                        None => drop(requests.borrow_mut().finish(&outcome.id, outcome.at, FinalOutcome::Abandoned)),
+                        None => drop(requests.borrow_mut().finish(&outcome.id, outcome.received_at, FinalOutcome::Abandoned)),
                     }
                 }
                 () = tokio::time::sleep(Duration::from_millis(50)) => {}
@@ -156,7 +156,7 @@
     let text = SCENARIO.replace("what = 'refuse'", "what = { cut = {} }");
     let error = endpoints::check_supported(scenario(&text)).unwrap_err();
     assert!(
-        error.starts_with("faults[0].what: expected a trouble that sockets can show")
+        error.starts_with("faults[0].what: expected a fault that sockets can reproduce")
             && !error.contains('\n')
     );
 }
