--- a/crates/quillhub-server/src/clients/commands.rs
+++ b/crates/quillhub-server/src/clients/commands.rs
@@ -114,7 +114,7 @@
 fn submit(instance: &RefCell<Instance>, submission: Submission) -> Reply {
     match instance.borrow_mut().submit(submission) {
         SubmitOutcome::Accepted(message) => Reply::Accepted(message),
-        SubmitOutcome::Busy { retry_after } => Reply::Octets(resp::busy(retry_after)),
+        SubmitOutcome::Rejected { retry_after } => Reply::Octets(resp::busy(retry_after)),
         SubmitOutcome::Failed(failure) => Reply::Octets(resp::error(failure)),
         SubmitOutcome::Invalid(reason) => Reply::Error(reason.into()),
     }
--- a/crates/quillhub-server/src/instance/submission.rs
+++ b/crates/quillhub-server/src/instance/submission.rs
@@ -13,9 +13,9 @@
 pub struct Submission<'a> {
     /// Name of the message's service class in the settings.
     pub service_class: &'a str,
-    /// Key whose messages are delivered one after the other; `None` if the order does not matter.
+    /// Ordering key, if any: messages with the same key are delivered in order if their service class is ordered.
     pub ordering_key: Option<u64>,
-    /// Maximum time until the message is delivered, counted from its submission.
+    /// Time from the submission of the message to its deadline.
     pub time_to_live: Duration,
     /// Destination of the message.
     pub destination: DestinationId,
@@ -34,8 +34,8 @@
     /// instance assigned to it.
     Accepted(MessageId),
     /// The message was rejected and may be submitted again, preferably after `retry_after`.
-    Busy {
-        /// Time that the client should wait; `None` if unknown.
+    Rejected {
+        /// Suggested delay before the client submits the message again; `None` if none is suggested.
         retry_after: Option<Duration>,
     },
     /// The message is valid but could not be accepted.
@@ -61,7 +61,7 @@
     /// A message with the same client id is pending or was finished recently.
     #[error("the id is held already")]
     DuplicateClientId,
-    /// Discovery lists no endpoint of the destination.
+    /// The endpoint list does not contain the destination, and has not contained it recently.
     #[error("unknown destination")]
     UnknownDestination,
     /// The settings define no service class of the given name.
@@ -73,7 +73,7 @@
     /// Converts the result of a message that the dispatcher finished while it was being submitted.
     fn from(result: FinalResult) -> Self {
         match result {
-            FinalResult::Rejected { retry_after } => Self::Busy { retry_after },
+            FinalResult::Rejected { retry_after } => Self::Rejected { retry_after },
             FinalResult::Abandoned => Self::Failed(SubmitFailure::Abandoned),
         }
     }
@@ -84,7 +84,8 @@
     /// record cannot be written.
     pub fn submit(&mut self, submission: Submission) -> SubmitOutcome {
         self.messages.forget_old_client_ids(self.now());
-        // Refuses ids of pending messages: endpoints could not distinguish two messages with the same id.
+        // Refuses ids of pending and of recently finished messages: endpoints could not distinguish two messages with
+        // the same id.
         if self.messages.knows_client_id(submission.client_id) {
             return SubmitOutcome::Invalid(InvalidSubmission::DuplicateClientId);
         }
@@ -104,8 +105,9 @@
         self.commit(id, &submission)
     }
 
-    /// Passes the message to the dispatcher, with the `capacity` in bytes that the state directory has left besides it.
-    /// Returns the outcome of the submission if that finishes the message or shows that it is invalid.
+    /// Passes the message to the dispatcher; `capacity` is the number of bytes that the state directory has left after
+    /// storing the message. Returns the outcome if the dispatcher finishes the message immediately or does not know its
+    /// service class.
     fn dispatch(&mut self, id: MessageId, submission: &Submission, capacity: u64) -> Option<SubmitOutcome> {
         self.immediate_outcome = None;
         let deadline = self.now() + submission.time_to_live;
@@ -127,18 +129,18 @@
         self.immediate_outcome.take()
     }
 
-    /// Writes the record of the message's acceptance. From then on the message has a final outcome, even if the process
-    /// crashes.
+    /// Writes the record of the message's acceptance, unless its first attempt has done so. From then on the message
+    /// gets a final outcome, even if the process crashes.
     fn commit(&mut self, id: MessageId, submission: &Submission) -> SubmitOutcome {
         let Submission { service_class, destination, time_to_live, client_id, .. } = *submission;
-        let shown_id = String::from_utf8_lossy(client_id);
+        let printable_id = String::from_utf8_lossy(client_id);
         tracing::debug!(
             message_id = id,
-            client_id = %shown_id,
+            client_id = %printable_id,
             service_class,
             destination,
             ?time_to_live,
-            "message accepted"
+            "message submitted"
         );
         self.messages.reserve_client_id(client_id);
         if let Err(error) = self.write_record(id) {
--- a/crates/quillhub-server/src/instance/tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -42,7 +42,7 @@
         }
         assert_eq!(
             submit(&instance, "once"),
-            SubmitOutcome::Busy { retry_after: None },
+            SubmitOutcome::Rejected { retry_after: None },
             "the queue is nearly full"
         );
         assert!(instance.borrow().outcomes.is_empty());
@@ -61,7 +61,7 @@
         let submit = || submit_body(&instance, "once", &body);
         let accepted = (0..9).take_while(|_| matches!(submit(), SubmitOutcome::Accepted(_))).count();
         assert!((3..9).contains(&accepted));
-        assert_eq!(submit(), SubmitOutcome::Busy { retry_after: None });
+        assert_eq!(submit(), SubmitOutcome::Rejected { retry_after: None });
         assert!(directory.size() <= STATE_BUDGET_BYTES);
     });
 }
--- a/crates/quillhub-server/src/resp.rs
+++ b/crates/quillhub-server/src/resp.rs
@@ -63,8 +63,8 @@
     list.split(|byte| *byte == b',').find_map(|pair| pair.strip_prefix(name.as_bytes())?.strip_prefix(b"="))
 }
 
-/// Encodes the reply to a message that the instance does not accept now, with the delay after which the client may
-/// submit it again, if there is one.
+/// Encodes the reply to a message that the instance rejects, with the delay after which the client may submit it again,
+/// in milliseconds, if there is one.
 pub fn busy(retry_after: Option<Duration>) -> Vec<u8> {
     match retry_after {
         Some(delay) => format!("-BUSY {}\r\n", delay.as_millis()).into_bytes(),
--- a/crates/quillhub-server/src/wal/record.rs
+++ b/crates/quillhub-server/src/wal/record.rs
@@ -67,9 +67,9 @@
 /// Final outcome of a message that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalResult {
-    /// The message was not executed and may be submitted again, preferably after `retry_after`.
+    /// The message was not delivered and is safe to submit again, preferably after `retry_after`.
     Rejected {
-        /// Time that the client should wait; `None` if unknown.
+        /// Suggested delay before the client submits the message again; `None` if none is suggested.
         retry_after: Option<Duration>,
     },
     /// The message was given up and may have been executed.
@@ -83,7 +83,7 @@
     pub service_class: String,
     /// Id of the destination.
     pub destination: u64,
-    /// Key whose messages are delivered one after the other; `None` if the order does not matter.
+    /// Ordering key, if any: messages with the same key are delivered in order if their service class is ordered.
     pub ordering_key: Option<u64>,
     /// Deadline on the wall clock; `None` if the record of the message's acceptance was not found.
     pub deadline: Option<SystemTime>,
