--- a/crates/quillhub-server/src/configuration.rs
+++ b/crates/quillhub-server/src/configuration.rs
@@ -121,7 +121,7 @@
     })
 }
 
-/// Returns `true` if discovery reports changes only to instances that poll it.
+/// Returns `true` if the dispatcher decides when discovery is polled (`membershipMode` is `subscribe`).
 pub fn must_be_polled(root: &Setting) -> Result<bool, ConfigurationError> {
     let mode = root.require("settings")?.optional("membershipMode", Setting::as_str)?;
     Ok(mode == Some("subscribe"))
--- a/crates/quillhub-server/src/startup.rs
+++ b/crates/quillhub-server/src/startup.rs
@@ -29,23 +29,23 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// File descriptors reserved for everything but connections of clients and connections to endpoints.
+/// File descriptors reserved for discovery, the platform, gossip, the state directory and the process itself.
 const RESERVED_DESCRIPTORS: usize = 64;
-/// Divisor of the unreserved descriptors that yields the limit for connections of clients: a half, because each client
-/// may cause an attempt, which needs another one.
+/// Client connections get one in this many of the unreserved descriptors: a half, because each client may cause an
+/// attempt, which needs a descriptor too.
 const CLIENTS_DIVISOR: usize = 2;
-/// Divisor of the unreserved descriptors that yields the limit for idle connections to endpoints: a quarter. Attempts
-/// in flight have the remaining quarter and displace idle connections if they need more.
+/// Idle connections to endpoints get at most one in this many of the unreserved descriptors: a quarter. Attempts in
+/// flight have the remaining quarter and displace idle connections if they need more.
 const IDLE_DIVISOR: usize = 4;
-/// Interval between searches for expired idle connections; well below the time that a connection stays in the pool.
+/// Interval between searches for expired idle connections; well below the usual idle timeout of endpoints.
 const CLOSE_EXPIRED_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum time that startup waits for the first response of discovery, which responds immediately unless it is down.
-const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
+const DISCOVERY_WAIT_TIMEOUT: Duration = Duration::from_millis(200);
 /// Delay before a task that panicked is restarted.
 const TASK_RESTART_DELAY: Duration = Duration::from_millis(50);
 
-/// Values of the configuration that startup needs.
-struct Settings {
+/// Part of the configuration that startup needs.
+struct StartupConfiguration {
     dispatcher: Dispatcher,
     /// `true` if the settings declare that responses contain load reports.
     load_reports: bool,
@@ -57,14 +57,14 @@
     connect_timeout: Duration,
     /// Time after which endpoints close an idle connection.
     idle_timeout: Duration,
-    /// `true` if discovery reports changes only to instances that poll it.
+    /// `true` if the dispatcher decides when discovery is polled (`membershipMode` is `subscribe`).
     must_be_polled: bool,
     gossip: Option<GossipAddresses>,
 }
 
-/// Limits of the numbers of connections, so that descriptors remain for everything else.
+/// Limits on the numbers of connections, so that descriptors remain for everything else.
 struct ConnectionLimits {
-    /// Maximum number of connections of clients.
+    /// Maximum number of client connections.
     clients: usize,
     /// Maximum number of connections to endpoints, idle ones included.
     endpoints: usize,
@@ -84,7 +84,7 @@
     }
 }
 
-impl Settings {
+impl StartupConfiguration {
     fn read(root: &Setting) -> Result<Self, ConfigurationError> {
         let ConfiguredDispatcher { dispatcher, load_reports } = configuration::dispatcher(root)?;
         let listen = configuration::listen(root)?;
@@ -126,10 +126,10 @@
     discovery: watch::Receiver<SocketAddr>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ServeError> {
-    let settings = Settings::read(root)?;
-    let (listen, max_clients) = (settings.listen, settings.connections.clients);
-    let must_be_polled = settings.must_be_polled;
-    let OpenedInstance { instance, gossip, recovered } = open(settings, state_directory).await?;
+    let configuration = StartupConfiguration::read(root)?;
+    let (listen, max_clients) = (configuration.listen, configuration.connections.clients);
+    let must_be_polled = configuration.must_be_polled;
+    let OpenedInstance { instance, gossip, recovered } = open(configuration, state_directory).await?;
     let revision = load_configured_endpoints(root, &instance)?;
     flush_outcomes(&instance, &discovery);
     follow_discovery(&instance, discovery, revision, must_be_polled);
@@ -149,25 +149,28 @@
 }
 
 /// Opens the gossip socket, if configured, and the state directory, and creates the instance.
-async fn open(settings: Settings, state_directory: &Path) -> Result<OpenedInstance, ServeError> {
-    let gossip = match settings.gossip {
+async fn open(
+    configuration: StartupConfiguration,
+    state_directory: &Path,
+) -> Result<OpenedInstance, ServeError> {
+    let gossip = match configuration.gossip {
         Some(GossipAddresses { listen, all, own }) => {
             let socket = GossipSocket::open(listen, all, own).await;
             Some(Rc::new(socket.map_err(ServeError::GossipAddress)?))
         }
         None => None,
     };
-    let opened = Wal::open(state_directory, settings.state_bytes);
+    let opened = Wal::open(state_directory, configuration.state_bytes);
     let (wal, recovered) = opened.map_err(ServeError::StateDirectory)?;
     let instance = Instance::new(InstanceParts {
-        dispatcher: settings.dispatcher,
+        dispatcher: configuration.dispatcher,
         wal,
-        pool: ConnectionPool::new(settings.idle_timeout, settings.connections.idle),
-        connect_timeout: settings.connect_timeout,
+        pool: ConnectionPool::new(configuration.idle_timeout, configuration.connections.idle),
+        connect_timeout: configuration.connect_timeout,
         gossip: gossip.clone(),
-        load_reports: settings.load_reports,
+        load_reports: configuration.load_reports,
     });
-    instance.borrow_mut().limit_connections(settings.connections.endpoints);
+    instance.borrow_mut().limit_connections(configuration.connections.endpoints);
     Ok(OpenedInstance { instance, gossip, recovered })
 }
 
@@ -182,20 +185,21 @@
     Ok(Some(revision.map_err(ConfigurationError::from)?))
 }
 
-/// Recovers the messages in the log, after the first response of discovery or [`FIRST_RESPONSE_TIMEOUT`].
+/// Recovers the messages in the log, after the first response of discovery or [`DISCOVERY_WAIT_TIMEOUT`].
 ///
 /// Prevents recovered messages from being attempted according to an outdated endpoint list, for example at endpoints
-/// that drain: the instance is expected to follow discovery's current list from its start on, and recovered messages
-/// are attempted immediately. Delays startup while discovery does not respond.
+/// that drain: recovered messages are attempted immediately, and discovery's current list arrives only after the start.
+/// Delays startup by up to [`DISCOVERY_WAIT_TIMEOUT`] while discovery does not respond.
 async fn recover(instance: &RefCell<Instance>, recovered: BTreeMap<MessageId, RecoveredMessage>) {
     let responded = instance.borrow().discovery_responded();
+    // Applies the rules once, so that the dispatcher requests its first watch.
     instance.borrow_mut().handle_event(|_| ());
-    let _ = timeout(FIRST_RESPONSE_TIMEOUT, responded.notified()).await;
+    let _ = timeout(DISCOVERY_WAIT_TIMEOUT, responded.notified()).await;
     instance.borrow_mut().recover(recovered);
 }
 
-/// Spawns a task that should run as long as the process, and restarts it whenever it panics. A panic therefore ends
-/// only the work that the task was doing at the time.
+/// Spawns a task and restarts it whenever it panics; a task that returns is not restarted. A panic therefore ends only
+/// the work that the task was doing at the time.
 pub fn supervise<F: Future<Output = ()> + 'static>(create_task: impl Fn() -> F + 'static) {
     spawn_local(async move {
         while spawn_local(create_task()).await.is_err() {
