--- a/crates/quillhub-server/src/command.rs
+++ b/crates/quillhub-server/src/command.rs
@@ -1,6 +1,6 @@
 //! Command line of the program `quillhub`.
 //!
-//! Invariant: a command that fails prints one line to standard error and exits with status 2.
+//! Invariant: the error of a failed command is printed to standard error as one line, and the exit status is 2.
 
 use crate::{ConfigurationError, ReadError, ServeError};
 use argh::FromArgs;
@@ -20,7 +20,7 @@
 
 // `--help` prints the doc comments of the following types.
 
-/// Outbound message gateway: accepts messages from clients and delivers them to the endpoints of partners.
+/// Outbound message gateway: accepts messages from clients and delivers them to the endpoints of their destinations.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -142,7 +142,7 @@
     fn execute(self) -> Result<(), CommandError> {
         let text = read_file(&CONFIGURATION_PATH.get(self.config)?)?;
         crate::check(&text)?;
-        println!("the configuration can be used");
+        println!("the configuration is valid");
         Ok(())
     }
 }
