--- a/crates/quillhub-server/src/outcomes.rs
+++ b/crates/quillhub-server/src/outcomes.rs
@@ -1,4 +1,5 @@
-//! Sends final outcomes to the platform, oldest first, and repeats each until the platform confirms it.
+//! Sends the final outcomes of undelivered messages to the platform, oldest first, and repeats each until the platform
+//! confirms it or reports that it cannot read it.
 
 use crate::connection::{ConnectionError, HttpConnection};
 use crate::http;
@@ -13,12 +14,12 @@
 use tokio::time::{sleep, timeout};
 
 /// Path at which the platform accepts final outcomes.
-const PATH: &str = "/v2/finals";
+const OUTCOMES_PATH: &str = "/v2/finals";
 /// Maximum number of outcomes in one request, which keeps it to a few kilobytes.
 const MAX_OUTCOMES_PER_REQUEST: usize = 64;
 /// Initial timeout of a request, after which it is repeated on a new connection. The platform responds at once, and an
 /// outcome must reach it within 300 ms after the deadline of its message, even if the open connection has broken
-/// without a sign.
+/// undetected.
 const INITIAL_TIMEOUT: Duration = Duration::from_millis(100);
 /// Maximum timeout of a request. The timeout doubles with each consecutive request that gets no response, for a
 /// platform that has become slow.
@@ -26,14 +27,14 @@
 /// Pause after a request that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// Maximum length of the body of a response.
-const MAX_BODY_BYTES: usize = 64 * 1024;
+const MAX_RESPONSE_BODY_BYTES: usize = 64 * 1024;
 /// Status of a response that confirms all outcomes of its request.
-const CONFIRMED: u16 = 204;
+const STATUS_CONFIRMED: u16 = 204;
 /// Status of a response to a request with an outcome that the platform cannot read.
-const UNREADABLE: u16 = 400;
+const STATUS_UNREADABLE: u16 = 400;
 
 /// Response of the platform.
-struct Reply {
+struct PlatformResponse {
     status: u16,
     /// Connection of the request, if it can be reused.
     reusable: Option<HttpConnection>,
@@ -53,22 +54,23 @@
     }
 }
 
-/// Sends one request with the lines in `body` and reads the response, on `connection` if that is still idle.
+/// Sends one request with the lines in `body` and reads the response, on `connection` if that is still idle, and on a
+/// new connection otherwise.
 async fn post(
     connection: Option<HttpConnection>,
     address: SocketAddr,
     body: &[u8],
-) -> Result<Reply, ConnectionError> {
+) -> Result<PlatformResponse, ConnectionError> {
     let mut connection = match connection.filter(HttpConnection::is_idle) {
         Some(connection) => connection,
         None => HttpConnection::open(address).await.map_err(ConnectionError::Failed)?,
     };
     let headers = [("Content-Type", &b"application/x-ndjson"[..])];
-    let request = http::request("POST", PATH, &address.to_string(), &headers, body);
+    let request = http::request("POST", OUTCOMES_PATH, &address.to_string(), &headers, body);
     connection.write(&request).await.map_err(ConnectionError::Failed)?;
     let head = connection.head().await?;
-    connection.body(head.framing()?, MAX_BODY_BYTES).await?;
-    Ok(Reply { status: head.status, reusable: head.keeps_alive().then_some(connection) })
+    connection.body(head.framing()?, MAX_RESPONSE_BODY_BYTES).await?;
+    Ok(PlatformResponse { status: head.status, reusable: head.keeps_alive().then_some(connection) })
 }
 
 /// Outcomes of one request.
@@ -100,31 +102,35 @@
         Batch { count: lines.len(), body: lines.concat() }
     }
 
-    /// Returns the idle connection if it leads to `address`, and makes `address` that of the last request. A connection
-    /// to another address is closed.
+    /// Takes the idle connection if it is connected to `address`, and stores `address` as that of the last request. A
+    /// connection to another address is closed.
     fn take_connection(&mut self, address: SocketAddr) -> Option<HttpConnection> {
         let same_address = address == std::mem::replace(&mut self.address, address);
         self.connection.take().filter(|_| same_address)
     }
 
     /// Handles the end of a batch's request: marks its outcomes as confirmed, or prepares the repetition.
-    async fn request_ended(&mut self, batch: &Batch, end: Result<Result<Reply, ConnectionError>, Elapsed>) {
+    async fn request_ended(
+        &mut self,
+        batch: &Batch,
+        end: Result<Result<PlatformResponse, ConnectionError>, Elapsed>,
+    ) {
         let Batch { count, ref body } = *batch;
         self.timeout = if end.is_ok() { INITIAL_TIMEOUT } else { (self.timeout * 2).min(MAX_TIMEOUT) };
         match end {
-            Ok(Ok(Reply { status: CONFIRMED, reusable })) => {
+            Ok(Ok(PlatformResponse { status: STATUS_CONFIRMED, reusable })) => {
                 self.instance.borrow_mut().outcomes_confirmed(count);
                 (self.connection, self.max_outcomes) = (reusable, MAX_OUTCOMES_PER_REQUEST);
             }
             // An unreadable outcome would block all others forever. A request with only this outcome identifies it, and
             // it is dropped.
-            Ok(Ok(Reply { status: UNREADABLE, .. })) if self.max_outcomes == 1 => {
+            Ok(Ok(PlatformResponse { status: STATUS_UNREADABLE, .. })) if self.max_outcomes == 1 => {
                 tracing::error!(body, "platform cannot read this final outcome, which is dropped");
                 self.instance.borrow_mut().outcomes_confirmed(count);
             }
-            Ok(Ok(Reply { status, .. })) => {
+            Ok(Ok(PlatformResponse { status, .. })) => {
                 tracing::warn!(status, count, "platform did not confirm final outcomes");
-                self.max_outcomes = if status == UNREADABLE { 1 } else { MAX_OUTCOMES_PER_REQUEST };
+                self.max_outcomes = if status == STATUS_UNREADABLE { 1 } else { MAX_OUTCOMES_PER_REQUEST };
                 sleep(RETRY_PAUSE).await;
             }
             Ok(Err(error)) => {
@@ -136,11 +142,11 @@
     }
 }
 
-/// Sends the instance's final outcomes to the platform, without end.
+/// Sends the final outcomes of the instance's undelivered messages to the platform. Never returns.
 ///
 /// If the address of the platform changes during a request, the request is repeated at the new address, since its
 /// outcomes may never have been read at the old one.
-pub async fn flush(instance: Rc<RefCell<Instance>>, mut platform: watch::Receiver<SocketAddr>) {
+pub async fn send(instance: Rc<RefCell<Instance>>, mut platform: watch::Receiver<SocketAddr>) {
     let decided = instance.borrow().outcome_decided();
     let address = *platform.borrow();
     let mut sender = Sender {
--- a/crates/quillhub-server/src/outcomes_tests.rs
+++ b/crates/quillhub-server/src/outcomes_tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn each_kind_of_final_outcome_has_its_line() {
+fn each_kind_of_final_outcome_is_encoded_as_one_json_line() {
     let wait = Some(Duration::from_millis(500));
     assert_eq!(json_line(&outcome(1, "ab", false, wait)), "{\"ref\":\"ab\",\"result\":\"dead\"}\n");
     assert_eq!(json_line(&outcome(1, "ab", true, None)), "{\"ref\":\"ab\",\"result\":\"bounced\"}\n");
@@ -31,7 +31,7 @@
         instance.borrow_mut().add_outcome(outcome(1, "a", false, None));
         instance.borrow_mut().add_outcome(outcome(2, "b", false, None));
         let (_platform, address_receiver) = watch::channel(address);
-        spawn_local(flush(instance.clone(), address_receiver));
+        spawn_local(send(instance.clone(), address_receiver));
         let mut refs = Vec::new();
         for _ in 0..5 {
             let request = requests.recv().await.unwrap();
@@ -55,7 +55,7 @@
         let instance = instance(&directory, old);
         instance.borrow_mut().add_outcome(outcome(1, "a", false, None));
         let (address_sender, address_receiver) = watch::channel(old);
-        spawn_local(flush(instance.clone(), address_receiver));
+        spawn_local(send(instance.clone(), address_receiver));
         assert!(old_requests.recv().await.unwrap().contains("\"a\""));
         address_sender.send_replace(new);
         assert!(new_requests.recv().await.unwrap().contains("\"a\""));
@@ -66,9 +66,9 @@
 }
 
 /// An outcome must reach the platform within 300 ms after the deadline of its message, even if the open connection has
-/// broken without a sign.
+/// broken undetected.
 #[test]
-fn a_silent_platform_is_retried_soon_on_a_new_connection_and_then_with_backoff() {
+fn a_request_without_a_response_is_repeated_within_100_ms_and_then_with_backoff() {
     let directory = StateDirectory::new();
     on_one_thread(async {
         tokio::time::pause();
@@ -79,7 +79,7 @@
         let instance = instance(&directory, address);
         instance.borrow_mut().add_outcome(outcome(1, "a", false, None));
         let (_platform, address_receiver) = watch::channel(address);
-        spawn_local(flush(instance.clone(), address_receiver));
+        spawn_local(send(instance.clone(), address_receiver));
         let mut last = tokio::time::Instant::now();
         let mut gap = async || {
             requests.recv().await.unwrap();
--- a/crates/quillhub-server/src/startup.rs
+++ b/crates/quillhub-server/src/startup.rs
@@ -131,7 +131,7 @@
     let must_be_polled = configuration.must_be_polled;
     let OpenedInstance { instance, gossip, recovered } = open(configuration, state_directory).await?;
     let revision = load_configured_endpoints(root, &instance)?;
-    flush_outcomes(&instance, &discovery);
+    send_outcomes(&instance, &discovery);
     follow_discovery(&instance, discovery, revision, must_be_polled);
     recover(&instance, recovered).await;
     if let Some(gossip) = gossip {
@@ -208,9 +208,9 @@
     });
 }
 
-fn flush_outcomes(instance: &Rc<RefCell<Instance>>, platform: &watch::Receiver<SocketAddr>) {
+fn send_outcomes(instance: &Rc<RefCell<Instance>>, platform: &watch::Receiver<SocketAddr>) {
     let (instance, platform) = (instance.clone(), platform.clone());
-    supervise(move || outcomes::flush(instance.clone(), platform.clone()));
+    supervise(move || outcomes::send(instance.clone(), platform.clone()));
 }
 
 fn follow_discovery(
