--- a/crates/quillhub-server/src/instance/messages.rs
+++ b/crates/quillhub-server/src/instance/messages.rs
@@ -3,7 +3,7 @@
 //! Invariant: a client id is known from the acceptance of its message until [`CLIENT_ID_RETENTION`] after the message
 //! is finished.
 
-use crate::wal::RecoveredMessage;
+use crate::wal::LoggedMessage;
 use quillhub::MessageId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -29,12 +29,12 @@
 
 impl PendingMessage {
     /// Creates a newly accepted message, whose `record` is not yet written to the log.
-    pub fn accepted(message: RecoveredMessage, record: Vec<u8>) -> Self {
+    pub fn accepted(message: LoggedMessage, record: Vec<u8>) -> Self {
         Self { unwritten_record: Some(record), ..Self::recovered(message) }
     }
 
     /// Creates a message that the log already contains.
-    pub fn recovered(message: RecoveredMessage) -> Self {
+    pub fn recovered(message: LoggedMessage) -> Self {
         Self {
             client_id: message.client_id.into(),
             idempotency_key: message.idempotency_key.map(Into::into),
--- a/crates/quillhub-server/src/instance/recovery.rs
+++ b/crates/quillhub-server/src/instance/recovery.rs
@@ -6,7 +6,7 @@
 use super::Instance;
 use super::messages::PendingMessage;
 use super::outcome_queue::FinalOutcome;
-use crate::wal::RecoveredMessage;
+use crate::wal::LoggedMessage;
 use quillhub::{
     DestinationId, Dispatcher, Driver, MessageId, NewMessage, PossibleExecution, RecoveredAttempts,
 };
@@ -68,9 +68,9 @@
 impl Instance {
     /// Restores the messages that were unfinished when the previous process exited. Outcomes that it had decided are
     /// queued for the platform first.
-    pub fn recover(&mut self, messages: BTreeMap<MessageId, RecoveredMessage>) {
+    pub fn recover(&mut self, messages: BTreeMap<MessageId, LoggedMessage>) {
         let wall_clock = SystemTime::now();
-        let executions = messages.values().flat_map(RecoveredMessage::possible_executions);
+        let executions = messages.values().flat_map(LoggedMessage::possible_executions);
         let oldest = executions.map(|execution| elapsed_since(execution.started, wall_clock)).max();
         self.clock_offset = oldest.unwrap_or_default();
         let now = self.now();
@@ -91,7 +91,7 @@
     fn restore(
         &mut self,
         id: MessageId,
-        message: RecoveredMessage,
+        message: LoggedMessage,
         now: Duration,
         wall_clock: SystemTime,
     ) -> Recovered {
--- a/crates/quillhub-server/src/instance/recovery_tests.rs
+++ b/crates/quillhub-server/src/instance/recovery_tests.rs
@@ -2,7 +2,7 @@
 use crate::instance::{FinalOutcome, SubmitOutcome};
 use crate::test_support::{
     InstanceBuilder, OK, StateDirectory, answering, configuration, full, instance, log_with, message,
-    on_one_thread, pending_in, silent_endpoint, submit, until_attempts_ended, until_idle,
+    on_one_thread, silent_endpoint, submit, unfinished_in, until_attempts_ended, until_idle,
 };
 use crate::wal::FinalResult;
 use std::cell::RefCell;
@@ -64,7 +64,7 @@
         assert_eq!(results[0], FinalResult::Rejected { retry_after });
         second.outcomes_confirmed(1);
     });
-    assert!(pending_in(&directory).is_empty());
+    assert!(unfinished_in(&directory).is_empty());
 }
 
 /// Guards against a message that stays in the log without an outcome because the settings no longer define its service
@@ -80,7 +80,7 @@
         let outcomes: Vec<_> = instance.outcomes.iter().map(|end| (end.message, is_rejected(end))).collect();
         assert_eq!((outcomes, instance.messages.len()), (vec![(1, false)], 0));
     });
-    assert_eq!(pending_in(&directory)[&1].outcome, Some(FinalResult::Abandoned));
+    assert_eq!(unfinished_in(&directory)[&1].outcome, Some(FinalResult::Abandoned));
 }
 
 /// Guards against a second execution after the wall clock was set back, here by an hour. The age of the recorded
@@ -192,7 +192,7 @@
 /// Starts an instance with a deduplication window of 1 s. Its state directory contains message 1, with one attempt that
 /// started `age` ago and may have executed it, and message 2 with the same ordering key and no attempt.
 fn restart_after(directory: &StateDirectory, endpoint: SocketAddr, age: Duration) -> Rc<RefCell<Instance>> {
-    let messages = [1, 2].map(|id| RecoveredMessage {
+    let messages = [1, 2].map(|id| LoggedMessage {
         ordering_key: Some(5),
         client_id: format!("ab{id}").into_bytes(),
         idempotency_key: Some(format!("k{id}").into_bytes()),
@@ -226,7 +226,7 @@
             instance.borrow_mut().outcomes_confirmed(1);
             assert!(instance.borrow().is_idle(), "age {age:?}");
         });
-        assert!(pending_in(&directory).is_empty(), "age {age:?}");
+        assert!(unfinished_in(&directory).is_empty(), "age {age:?}");
     }
 }
 
@@ -243,5 +243,5 @@
         assert!(request.contains("Idempotency-Key: k1\r\n"), "{request}");
         until_idle(&instance).await;
     });
-    assert!(pending_in(&directory).is_empty());
+    assert!(unfinished_in(&directory).is_empty());
 }
--- a/crates/quillhub-server/src/instance/submission.rs
+++ b/crates/quillhub-server/src/instance/submission.rs
@@ -4,7 +4,7 @@
 
 use super::Instance;
 use super::messages::PendingMessage;
-use crate::wal::{self, FinalResult, RecoveredMessage};
+use crate::wal::{self, FinalResult, LoggedMessage};
 use quillhub::{DestinationId, MessageId, NewMessage};
 use std::time::{Duration, SystemTime};
 
@@ -94,7 +94,7 @@
         if !is_known(submission.destination) {
             return SubmitOutcome::Invalid(InvalidSubmission::UnknownDestination);
         }
-        let id = self.wal.next_id();
+        let id = self.wal.allocate_id();
         let message = logged_message(&submission);
         let record = wal::accepted_payload(&message);
         let capacity = self.wal.remaining_capacity().saturating_sub(record.len() as u64);
@@ -153,8 +153,8 @@
 }
 
 /// Returns the message in the form in which the log stores it.
-fn logged_message(submission: &Submission) -> RecoveredMessage {
-    RecoveredMessage {
+fn logged_message(submission: &Submission) -> LoggedMessage {
+    LoggedMessage {
         service_class: submission.service_class.into(),
         destination: submission.destination,
         ordering_key: submission.ordering_key,
@@ -162,6 +162,6 @@
         client_id: submission.client_id.into(),
         idempotency_key: submission.idempotency_key.map(Into::into),
         body: submission.body.into(),
-        ..RecoveredMessage::default()
+        ..LoggedMessage::default()
     }
 }
--- a/crates/quillhub-server/src/instance/tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::test_support::{
     OK, STATE_BUDGET_BYTES, StateDirectory, TIME_TO_LIVE, answering, endpoint_update, instance,
-    on_one_thread, pending_in, silent_endpoint, submission, submit, submit_body, until_attempts_ended,
+    on_one_thread, silent_endpoint, submission, submit, submit_body, unfinished_in, until_attempts_ended,
     until_idle,
 };
 use quillhub::{AttemptOutcome, Driver, EndpointState};
@@ -24,7 +24,7 @@
         assert!(request.ends_with("\r\nContent-Length: 5\r\n\r\n\0body"), "{request}");
         until_idle(&instance).await;
     });
-    assert!(pending_in(&directory).is_empty());
+    assert!(unfinished_in(&directory).is_empty());
 }
 
 /// Guards against submissions that are refused but still take a place in the queue, in the log or among the final
@@ -47,7 +47,7 @@
         );
         assert!(instance.borrow().outcomes.is_empty());
     });
-    assert_eq!(pending_in(&directory).len(), 8);
+    assert_eq!(unfinished_in(&directory).len(), 8);
 }
 
 /// Guards against a state directory that exceeds its budget while endpoints do not respond.
@@ -96,7 +96,7 @@
         instance.borrow_mut().withdraw(1);
         assert!(instance.borrow().messages.is_empty());
     });
-    assert!(pending_in(&directory).is_empty());
+    assert!(unfinished_in(&directory).is_empty());
 }
 
 /// Guards against an instance without a dispatcher: it is taken out while an event is handled, and a panic skips the
@@ -124,7 +124,7 @@
         assert_eq!(submit(&instance, "free"), SubmitOutcome::Accepted(1));
         assert_eq!(instance.borrow().attempts_in_flight, 0);
     });
-    assert_eq!(pending_in(&directory).len(), 1);
+    assert_eq!(unfinished_in(&directory).len(), 1);
 }
 
 /// Guards against attempts that are sent on the strength of an outdated decision. Each change happens after the
--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::reload::follow;
 use crate::test_support::{
-    OK, StateDirectory, answering, configuration, log_with, message, on_one_thread, pending_in,
+    OK, StateDirectory, answering, configuration, log_with, message, on_one_thread, unfinished_in,
 };
 use quillhub_fakes::clients::command;
 use serde_json::{Value, json};
@@ -148,5 +148,5 @@
         assert_eq!(reply, "+OK\r\n");
         server.await.unwrap().unwrap();
     });
-    assert_eq!(pending_in(&directory)[&1].body, b"body");
+    assert_eq!(unfinished_in(&directory)[&1].body, b"body");
 }
--- a/crates/quillhub-server/src/startup.rs
+++ b/crates/quillhub-server/src/startup.rs
@@ -13,7 +13,7 @@
 use crate::outcomes;
 use crate::pool::ConnectionPool;
 use crate::shutdown::{self, ClientConnections};
-use crate::wal::{RecoveredMessage, Wal};
+use crate::wal::{LoggedMessage, Wal};
 use quillhub::{Dispatcher, MessageId};
 use quillhub_settings::Setting;
 use std::cell::RefCell;
@@ -111,7 +111,7 @@
     instance: Rc<RefCell<Instance>>,
     gossip: Option<Rc<GossipSocket>>,
     /// Unfinished messages in the log.
-    recovered: BTreeMap<MessageId, RecoveredMessage>,
+    recovered: BTreeMap<MessageId, LoggedMessage>,
 }
 
 /// Runs an instance until `stop` completes and the shutdown after it is finished. `discovery` is the address of
@@ -190,7 +190,7 @@
 /// Prevents recovered messages from being attempted according to an outdated endpoint list, for example at endpoints
 /// that drain: recovered messages are attempted immediately, and discovery's current list arrives only after the start.
 /// Delays startup by up to [`DISCOVERY_WAIT_TIMEOUT`] while discovery does not respond.
-async fn recover(instance: &RefCell<Instance>, recovered: BTreeMap<MessageId, RecoveredMessage>) {
+async fn recover(instance: &RefCell<Instance>, recovered: BTreeMap<MessageId, LoggedMessage>) {
     let responded = instance.borrow().discovery_responded();
     // Applies the rules once, so that the dispatcher requests its first watch.
     instance.borrow_mut().handle_event(|_| ());
--- a/crates/quillhub-server/src/test_support.rs
+++ b/crates/quillhub-server/src/test_support.rs
@@ -3,7 +3,7 @@
 
 use crate::instance::{Instance, InstanceParts, Submission, SubmitOutcome};
 use crate::pool::ConnectionPool;
-use crate::wal::{RecoveredMessage, Wal, accepted_payload};
+use crate::wal::{LoggedMessage, Wal, accepted_payload};
 use quillhub::{EndpointState, EndpointUpdate, MessageId};
 pub use quillhub_fakes::scratch::{Folder as StateDirectory, on_one_thread};
 pub use quillhub_fakes::scripted::{OK, answering, full};
@@ -132,29 +132,29 @@
 }
 
 /// Returns a message to [`DESTINATION`], without ordering key and idempotency key, as the log stores it.
-pub fn message(service_class: &str) -> RecoveredMessage {
-    RecoveredMessage {
+pub fn message(service_class: &str) -> LoggedMessage {
+    LoggedMessage {
         service_class: service_class.into(),
         destination: DESTINATION,
         deadline: Some(SystemTime::now() + TIME_TO_LIVE),
         client_id: b"ab".to_vec(),
         body: b"body".to_vec(),
-        ..RecoveredMessage::default()
+        ..LoggedMessage::default()
     }
 }
 
 /// Creates a log in `directory` that contains `messages`, whose ids count from 1.
-pub fn log_with(directory: &StateDirectory, messages: &[RecoveredMessage]) -> Wal {
+pub fn log_with(directory: &StateDirectory, messages: &[LoggedMessage]) -> Wal {
     let (mut wal, _) = Wal::open(&directory.0, STATE_BUDGET_BYTES).unwrap();
     for message in messages {
-        let id = wal.next_id();
+        let id = wal.allocate_id();
         wal.record_accepted(id, &accepted_payload(message)).unwrap();
     }
     wal
 }
 
 /// Returns the unfinished messages in a state directory.
-pub fn pending_in(directory: &StateDirectory) -> BTreeMap<MessageId, RecoveredMessage> {
+pub fn unfinished_in(directory: &StateDirectory) -> BTreeMap<MessageId, LoggedMessage> {
     Wal::open(&directory.0, STATE_BUDGET_BYTES).unwrap().1
 }
 
--- a/crates/quillhub-server/src/wal/format_tests.rs
+++ b/crates/quillhub-server/src/wal/format_tests.rs
@@ -19,24 +19,25 @@
 const FIRST_SEGMENT: &str = "wal-0000000000";
 const SECOND_SEGMENT: &str = "wal-0000000001";
 
+/// Returns the path of the directory under `tests/fixtures`. The names in it are part of the stored data.
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/state-directory-v1")
 }
 
 /// Returns a message without ordering key and idempotency key.
-fn message(class: &str, client_id: &str, body: &[u8]) -> RecoveredMessage {
-    RecoveredMessage {
+fn message(class: &str, client_id: &str, body: &[u8]) -> LoggedMessage {
+    LoggedMessage {
         service_class: class.into(),
         destination: 9,
         deadline: Some(from_millis(YEAR_2100_MS)),
         client_id: client_id.into(),
         body: body.into(),
-        ..RecoveredMessage::default()
+        ..LoggedMessage::default()
     }
 }
 
-fn with_key(message: RecoveredMessage, key: &str) -> RecoveredMessage {
-    RecoveredMessage { idempotency_key: Some(key.into()), ..message }
+fn with_key(message: LoggedMessage, key: &str) -> LoggedMessage {
+    LoggedMessage { idempotency_key: Some(key.into()), ..message }
 }
 
 /// Returns the bytes that `append` adds to an empty directory.
@@ -50,7 +51,7 @@
 #[test]
 fn the_encoding_of_an_accepted_message_is_unchanged() {
     let keyed = with_key(message("once", "ab12", b"\0\r\n\xff"), "key-7");
-    let all_fields = RecoveredMessage { ordering_key: Some(0x1a2b), ..keyed };
+    let all_fields = LoggedMessage { ordering_key: Some(0x1a2b), ..keyed };
     let expected = [
         b"\x3f\0\0\0\xf9\x55\x51\xe7\x01\x02\x01\0\0\0\0\0\0", // length, checksum, kind, message
         &b"\0\xd8\xc3\x2c\xbb\x03\0\0\x09\0\0\0\0\0\0\0"[..],  // deadline, destination
@@ -125,10 +126,10 @@
 /// that were killed while they wrote the last record.
 fn write_directory(directory: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let (mut wal, _) = Wal::open(directory, BUDGET_BYTES)?;
-    let mut accept = |id, message: RecoveredMessage| wal.record_accepted(id, &accepted_payload(&message));
+    let mut accept = |id, message: LoggedMessage| wal.record_accepted(id, &accepted_payload(&message));
     accept(1, message("once", "untried-once", b"one"))?;
     let unattempted = with_key(message("free", "untried-free", b"\0\r\n\xff"), "key-2");
-    accept(2, RecoveredMessage { ordering_key: Some(0x1a2b), ..unattempted })?;
+    accept(2, LoggedMessage { ordering_key: Some(0x1a2b), ..unattempted })?;
     accept(3, message("once", "once-that-may-have-run", b"three"))?;
     accept(4, message("once", "once-that-did-not-run", b"four"))?;
     accept(5, message("free", "idempotent-that-may-have-run", b"five"))?;
@@ -186,7 +187,7 @@
     for segment in [FIRST_SEGMENT, SECOND_SEGMENT] {
         fs::write(directory.0.join(segment), fs::read(fixture().join(segment)).unwrap()).unwrap();
     }
-    let (mut wal, pending) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
+    let (mut wal, unfinished) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     let started = |attempt, milliseconds, endpoint: &str| {
         let (started, endpoint) = (from_millis(milliseconds), endpoint.to_owned());
         (attempt, RecordedAttempt::PossiblyExecuted { started, endpoint })
@@ -203,33 +204,33 @@
     let rejected = |retry_after| Some(FinalResult::Rejected { retry_after });
     let expected = BTreeMap::from([
         (1, once("untried-once", b"one")),
-        (2, RecoveredMessage { ordering_key: Some(0x1a2b), ..unattempted }),
-        (3, RecoveredMessage { attempts: started_once(), ..once("once-that-may-have-run", b"three") }),
+        (2, LoggedMessage { ordering_key: Some(0x1a2b), ..unattempted }),
+        (3, LoggedMessage { attempts: started_once(), ..once("once-that-may-have-run", b"three") }),
         (
             4,
-            RecoveredMessage {
+            LoggedMessage {
                 attempts: attempts(&[not_executed(0)]),
                 ..once("once-that-did-not-run", b"four")
             },
         ),
-        (5, RecoveredMessage { attempts: started_once(), ..free("idempotent-that-may-have-run", b"five") }),
-        (6, RecoveredMessage { attempts: started_once(), ..keyed }),
-        (7, RecoveredMessage { attempts: started_once(), ..keyed_briefly }),
-        (8, RecoveredMessage { outcome: rejected(Some(retry_after)), ..free("denied-with-wait", b"eight") }),
-        (9, RecoveredMessage { outcome: rejected(None), ..free("denied", b"nine") }),
-        (10, RecoveredMessage { outcome: Some(FinalResult::Abandoned), ..once("dead", b"ten") }),
+        (5, LoggedMessage { attempts: started_once(), ..free("idempotent-that-may-have-run", b"five") }),
+        (6, LoggedMessage { attempts: started_once(), ..keyed }),
+        (7, LoggedMessage { attempts: started_once(), ..keyed_briefly }),
+        (8, LoggedMessage { outcome: rejected(Some(retry_after)), ..free("denied-with-wait", b"eight") }),
+        (9, LoggedMessage { outcome: rejected(None), ..free("denied", b"nine") }),
+        (10, LoggedMessage { outcome: Some(FinalResult::Abandoned), ..once("dead", b"ten") }),
         (13, message("unheard", "of-unknown-class", b"thirteen")),
         (
             14,
-            RecoveredMessage {
+            LoggedMessage {
                 attempts: attempts(&[not_executed(0), started(1, YEAR_2020_MS + 1_000, "e2")]),
                 ..once("once-of-two-attempts", b"fourteen")
             },
         ),
     ]);
-    assert_eq!(pending, expected);
+    assert_eq!(unfinished, expected);
     assert_eq!(
-        wal.next_id(),
+        wal.allocate_id(),
         16,
         "the id of the incomplete record is reused, those of finished messages are not"
     );
--- a/crates/quillhub-server/src/wal/mod.rs
+++ b/crates/quillhub-server/src/wal/mod.rs
@@ -1,8 +1,8 @@
 //! Write-ahead log in the state directory. Records which messages were accepted, which attempts may have executed them,
-//! which final outcomes were decided, and which messages are finished.
+//! which messages were rejected or abandoned, and which are finished.
 //!
 //! The log is a sequence of append-only segments, each a sequence of frames that contain one record each. Compaction
-//! copies the records of pending messages out of the oldest segment and removes it. The directory never exceeds its
+//! copies the records of unfinished messages out of the oldest segment and removes it. The directory never exceeds its
 //! budget, not even temporarily.
 
 mod error;
@@ -12,12 +12,12 @@
 mod segment;
 
 pub use error::AppendError;
-pub use record::{FinalResult, RecordKind, RecoveredMessage, accepted_payload};
+pub use record::{FinalResult, LoggedMessage, RecordKind, accepted_payload};
 
 use frame::frames;
 use quillhub::MessageId;
 use replay::Replay;
-use segment::{ActiveSegment, BLOCK_BYTES, Segment};
+use segment::{ActiveSegment, SPACE_UNIT_BYTES, Segment};
 use std::collections::{BTreeMap, VecDeque};
 use std::fs;
 use std::io;
@@ -26,14 +26,14 @@
 
 /// Maximum size of a frame: a body of 64 KiB and the other fields of a message.
 const MAX_FRAME_BYTES: u64 = 80 * 1024;
-/// Number of segments in a full directory. Compaction handles one at a time, so that many small segments keep the space
-/// that it needs temporarily low.
+/// Minimum number of segments that the budget is divided into. Compaction handles one at a time, so that many small
+/// segments keep the space that it needs temporarily low.
 const SEGMENTS_PER_BUDGET: u64 = 16;
-/// Maximum size of a segment. Larger ones would only make compaction proceed in larger steps.
+/// Maximum size of a segment with more than one frame. Larger ones would only make compaction proceed in larger steps.
 const MAX_SEGMENT_BYTES: u64 = 128 * 1024;
-/// Maximum size of the records of finished messages that are kept, in addition to as many bytes as the pending ones
-/// take. Keeps replay short, and keeps the directory as small after a day as after a minute where its files count as
-/// memory.
+/// Size of the records of finished messages above which compaction starts, in addition to as many bytes as the
+/// unfinished messages take and to [`Wal::reserve`]. Keeps replay short, and keeps the directory from growing with the
+/// running time where its files count as memory.
 const MAX_FINISHED_BYTES: u64 = 512 * 1024;
 /// Approximate maximum size of the records of one message that follow the record of its acceptance.
 const MAX_LATER_RECORDS_BYTES: u64 = 512;
@@ -42,52 +42,56 @@
 pub struct Wal {
     directory: PathBuf,
     /// Maximum size of the directory in bytes.
-    budget: u64,
-    /// Maximum size of a segment in bytes.
-    max_segment_size: u64,
+    budget_bytes: u64,
+    /// Maximum size in bytes of a segment with more than one frame.
+    max_segment_bytes: u64,
     /// Full segments, oldest first; compacted one by one when space runs low.
     full: VecDeque<Segment>,
     active: ActiveSegment,
-    /// Size in bytes of the records of each pending message.
+    /// Size in bytes of the records of each unfinished message.
     record_sizes: BTreeMap<MessageId, u64>,
-    /// Sum of `record_sizes`, plus [`MAX_LATER_RECORDS_BYTES`] for each pending message.
-    pending_bytes: u64,
+    /// Sum of `record_sizes`, plus [`MAX_LATER_RECORDS_BYTES`] for each unfinished message.
+    unfinished_bytes: u64,
     /// Lowest id above those of all messages in the directory, finished ones included.
     next_id: MessageId,
 }
 
 impl Wal {
-    /// Opens the state directory, limits it to `budget` bytes, and returns its pending messages by their ids.
+    /// Opens the state directory, limits it to `budget_bytes`, and returns its unfinished messages by their ids.
     ///
     /// # Errors
     ///
     /// Returns an error if the directory or one of its segments cannot be read, or if the new segment cannot be
     /// created.
-    pub fn open(directory: &Path, budget: u64) -> io::Result<(Self, BTreeMap<MessageId, RecoveredMessage>)> {
+    pub fn open(
+        directory: &Path,
+        budget_bytes: u64,
+    ) -> io::Result<(Self, BTreeMap<MessageId, LoggedMessage>)> {
         let Replay { messages, record_sizes, segments, next_id, .. } = Replay::read_from(directory)?;
         let number = segments.back().map_or(0, |last| last.number + 1);
         let wal = Self {
             directory: directory.into(),
-            budget,
-            max_segment_size: (budget / SEGMENTS_PER_BUDGET).min(MAX_SEGMENT_BYTES),
+            budget_bytes,
+            max_segment_bytes: (budget_bytes / SEGMENTS_PER_BUDGET).min(MAX_SEGMENT_BYTES),
             full: segments,
             active: ActiveSegment::create(directory, number)?,
-            pending_bytes: record_sizes.values().map(|size| size + MAX_LATER_RECORDS_BYTES).sum(),
+            unfinished_bytes: record_sizes.values().map(|size| size + MAX_LATER_RECORDS_BYTES).sum(),
             record_sizes,
             next_id,
         };
         Ok((wal, messages))
     }
 
-    /// Returns an id for a new message, different from all ids that the directory contains.
-    pub fn next_id(&mut self) -> MessageId {
+    /// Allocates an id for a new message, different from all ids that the directory contains.
+    pub fn allocate_id(&mut self) -> MessageId {
         self.next_id += 1;
         self.next_id - 1
     }
 
-    /// Returns the number of bytes that can still be accepted once the records of all finished messages are removed.
+    /// Returns the number of bytes that can still be accepted once the records of all finished messages are removed:
+    /// the budget less the size of the unfinished messages and less twice [`Self::reserve`].
     pub fn remaining_capacity(&self) -> u64 {
-        self.budget.saturating_sub(2 * self.reserve() + self.pending_bytes)
+        self.budget_bytes.saturating_sub(2 * self.reserve() + self.unfinished_bytes)
     }
 
     /// Records that a message is accepted; `payload` must come from [`accepted_payload`].
@@ -112,7 +116,7 @@
         self.append(RecordKind::NotExecuted, message, &record::not_executed_payload(attempt))
     }
 
-    /// Records the final outcome of a message, which the platform has not confirmed yet.
+    /// Records that a message is rejected or abandoned, which the platform has not confirmed yet.
     pub fn record_outcome_decided(
         &mut self,
         message: MessageId,
@@ -124,14 +128,14 @@
     /// Records that a message is finished. Its space counts as free even if the record cannot be written.
     pub fn record_finished(&mut self, message: MessageId) -> Result<(), AppendError> {
         let result = self.append(RecordKind::Finished, message, &[]);
-        self.pending_bytes -=
+        self.unfinished_bytes -=
             self.record_sizes.remove(&message).map_or(0, |size| size + MAX_LATER_RECORDS_BYTES);
         result
     }
 
     /// Returns the number of bytes to keep free for compaction and one more frame of the maximum size.
     fn reserve(&self) -> u64 {
-        2 * (self.max_segment_size.max(MAX_FRAME_BYTES) + BLOCK_BYTES)
+        2 * (self.max_segment_bytes.max(MAX_FRAME_BYTES) + SPACE_UNIT_BYTES)
     }
 
     /// Returns the number of bytes that all segments occupy on disk.
@@ -144,23 +148,24 @@
         let frame = frame::encode(kind as u8, message, payload);
         let size = frame.len() as u64;
         self.compact(size)?;
-        let (used, budget) = (self.used(), self.budget);
-        if used + size + BLOCK_BYTES > budget {
+        let (used, budget) = (self.used(), self.budget_bytes);
+        if used + size + SPACE_UNIT_BYTES > budget {
             return Err(AppendError::Full { needed: size, used, budget });
         }
         self.write(&frame)?;
         let record_size = self.record_sizes.entry(message).or_default();
-        self.pending_bytes += size + if *record_size == 0 { MAX_LATER_RECORDS_BYTES } else { 0 };
+        self.unfinished_bytes += size + if *record_size == 0 { MAX_LATER_RECORDS_BYTES } else { 0 };
         *record_size += size;
         Ok(())
     }
 
-    /// Compacts full segments, each at most once, until the directory stays within its target size with `additional`
-    /// more bytes.
-    fn compact(&mut self, additional: u64) -> Result<(), AppendError> {
-        let target = self.budget.min(MAX_FINISHED_BYTES + 2 * self.pending_bytes + 2 * self.reserve());
+    /// Compacts full segments, each at most once, until the directory stays within its target size with
+    /// `additional_bytes` more.
+    fn compact(&mut self, additional_bytes: u64) -> Result<(), AppendError> {
+        let target =
+            self.budget_bytes.min(MAX_FINISHED_BYTES + 2 * self.unfinished_bytes + 2 * self.reserve());
         for _ in 0..self.full.len() {
-            if self.used() + additional + self.reserve() <= target {
+            if self.used() + additional_bytes + self.reserve() <= target {
                 break;
             }
             self.compact_oldest()?;
@@ -168,7 +173,7 @@
         Ok(())
     }
 
-    /// Copies the records of pending messages from the oldest segment to the active one, and removes the oldest.
+    /// Copies the records of unfinished messages from the oldest segment to the active one, and removes the oldest.
     fn compact_oldest(&mut self) -> Result<(), AppendError> {
         let Some(segment) = self.full.front().map(|oldest| oldest.number) else { return Ok(()) };
         let path = segment::path(&self.directory, segment);
@@ -186,7 +191,7 @@
     /// Writes one encoded frame, to a new segment if the active one is full.
     fn write(&mut self, frame: &[u8]) -> Result<(), AppendError> {
         let active = self.active.segment();
-        if active.size > 0 && active.size + frame.len() as u64 > self.max_segment_size {
+        if active.size_bytes > 0 && active.size_bytes + frame.len() as u64 > self.max_segment_bytes {
             let segment = active.number + 1;
             self.active = ActiveSegment::create(&self.directory, segment)
                 .map_err(|source| AppendError::Write { segment, source })?;
--- a/crates/quillhub-server/src/wal/record.rs
+++ b/crates/quillhub-server/src/wal/record.rs
@@ -26,9 +26,10 @@
     AttemptStarted = 2,
     /// An attempt ended and is known not to have executed the message.
     NotExecuted = 3,
-    /// The final outcome is decided and not yet confirmed by the platform.
+    /// The message is rejected or abandoned, and the platform has not confirmed that yet.
     OutcomeDecided = 4,
-    /// The message is finished: delivered, withdrawn, or its final outcome confirmed by the platform.
+    /// The message is finished: delivered or withdrawn, or its rejection or abandonment is confirmed by the platform,
+    /// or dropped since the platform cannot read it.
     Finished = 5,
 }
 
@@ -57,14 +58,14 @@
 
 /// Attempt that may have executed its message. Earlier attempts compare as smaller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RecordedExecution<'a> {
+pub struct RecordedPossibleExecution<'a> {
     /// Start of the attempt on the wall clock.
     pub started: SystemTime,
     /// Name of the endpoint.
     pub endpoint: &'a str,
 }
 
-/// Final outcome of a message that was not delivered.
+/// Final outcome of an undelivered message: rejected or abandoned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalResult {
     /// The message was not delivered and is safe to submit again, preferably after `retry_after`.
@@ -78,7 +79,7 @@
 
 /// Message as the log stores it. Fields that no record has set have their default values.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RecoveredMessage {
+pub struct LoggedMessage {
     /// Name of the message's service class.
     pub service_class: String,
     /// Id of the destination.
@@ -95,16 +96,16 @@
     pub body: Vec<u8>,
     /// Attempts by their numbers, counted from 0.
     pub attempts: BTreeMap<u32, RecordedAttempt>,
-    /// Final outcome of the message; `None` until it is decided, and if the message was delivered.
+    /// Outcome of the message if it was rejected or abandoned, otherwise `None`.
     pub outcome: Option<FinalResult>,
 }
 
-impl RecoveredMessage {
+impl LoggedMessage {
     /// Returns the attempts that may have executed the message.
-    pub fn possible_executions(&self) -> impl Iterator<Item = RecordedExecution<'_>> {
+    pub fn possible_executions(&self) -> impl Iterator<Item = RecordedPossibleExecution<'_>> {
         self.attempts.values().filter_map(|attempt| match attempt {
             RecordedAttempt::PossiblyExecuted { started, endpoint } => {
-                Some(RecordedExecution { started: *started, endpoint })
+                Some(RecordedPossibleExecution { started: *started, endpoint })
             }
             RecordedAttempt::NotExecuted => None,
         })
@@ -131,7 +132,7 @@
 }
 
 /// Encodes the payload of [`RecordKind::Accepted`].
-pub fn accepted_payload(message: &RecoveredMessage) -> Vec<u8> {
+pub fn accepted_payload(message: &LoggedMessage) -> Vec<u8> {
     let mut payload = Vec::with_capacity(message.body.len() + 128);
     payload.extend_from_slice(&to_millis(message.deadline.unwrap_or(UNIX_EPOCH)).to_le_bytes());
     payload.extend_from_slice(&message.destination.to_le_bytes());
@@ -167,7 +168,7 @@
 
 /// Applies a record to its `message`. Returns `None` if the payload cannot be read completely; the fields before the
 /// unreadable one are applied nevertheless.
-pub fn apply(message: &mut RecoveredMessage, kind: RecordKind, mut payload: &[u8]) -> Option<()> {
+pub fn apply(message: &mut LoggedMessage, kind: RecordKind, mut payload: &[u8]) -> Option<()> {
     let input = &mut payload;
     match kind {
         RecordKind::Accepted => read_accepted(message, input)?,
@@ -188,7 +189,7 @@
     Some(())
 }
 
-fn read_accepted(message: &mut RecoveredMessage, input: &mut Input) -> Option<()> {
+fn read_accepted(message: &mut LoggedMessage, input: &mut Input) -> Option<()> {
     let field = |input: &mut Input| {
         length_take::<_, u32, ContextError, _>(le_u32).map(<[u8]>::to_vec).parse_next(input).ok()
     };
--- a/crates/quillhub-server/src/wal/replay.rs
+++ b/crates/quillhub-server/src/wal/replay.rs
@@ -1,7 +1,7 @@
-//! Replay: reconstructs the pending messages from the segments of a state directory.
+//! Replay: reconstructs the unfinished messages from the segments of a state directory.
 
 use super::frame::{Frame, frames};
-use super::record::{self, RecordKind, RecoveredMessage};
+use super::record::{self, LoggedMessage, RecordKind};
 use super::segment::{self, Segment};
 use quillhub::MessageId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,15 +11,15 @@
 
 /// Content of a state directory's segments.
 pub struct Replay {
-    /// Messages that are not finished, by their ids.
-    pub messages: BTreeMap<MessageId, RecoveredMessage>,
+    /// Unfinished messages by their ids.
+    pub messages: BTreeMap<MessageId, LoggedMessage>,
     /// Size in bytes of the records of each unfinished message.
     pub record_sizes: BTreeMap<MessageId, u64>,
     /// Segments of the directory, oldest first.
     pub segments: VecDeque<Segment>,
     /// Lowest id above those of all messages in the directory, finished ones included.
     pub next_id: MessageId,
-    /// Messages with a record that they are finished.
+    /// Ids of the messages with a record of the kind [`RecordKind::Finished`].
     finished: BTreeSet<MessageId>,
 }
 
@@ -40,10 +40,10 @@
         };
         for number in segment::numbers(directory)? {
             let content = fs::read(segment::path(directory, number))?;
-            replay.segments.push_back(Segment { number, size: content.len() as u64 });
+            replay.segments.push_back(Segment { number, size_bytes: content.len() as u64 });
             frames(&content).for_each(|frame| replay.apply(&frame));
         }
-        replay.drop_finished();
+        replay.drop_unrecoverable();
         Ok(replay)
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// Drops finished messages, and messages whose record of acceptance is not in the directory.
-    fn drop_finished(&mut self) {
+    fn drop_unrecoverable(&mut self) {
         let Self { messages, record_sizes, finished, .. } = self;
         messages.retain(|id, message| message.deadline.is_some() && !finished.contains(id));
         record_sizes.retain(|id, _| messages.contains_key(id));
--- a/crates/quillhub-server/src/wal/segment.rs
+++ b/crates/quillhub-server/src/wal/segment.rs
@@ -4,8 +4,8 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Block size of the file system, in whole multiples of which files occupy space.
-pub const BLOCK_BYTES: u64 = 512;
+/// Unit in which the space of files is counted; a file occupies whole units.
+pub const SPACE_UNIT_BYTES: u64 = 512;
 
 /// Prefix of the file names of segments.
 const FILE_NAME_PREFIX: &str = "wal-";
@@ -15,14 +15,14 @@
 pub struct Segment {
     /// Position of the segment in the order in which segments are written.
     pub number: u64,
-    /// Size of the segment's content in bytes.
-    pub size: u64,
+    /// Size of the segment's content.
+    pub size_bytes: u64,
 }
 
 impl Segment {
     /// Returns the number of bytes that the segment occupies on disk.
     pub fn size_on_disk(&self) -> u64 {
-        self.size.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
+        self.size_bytes.div_ceil(SPACE_UNIT_BYTES) * SPACE_UNIT_BYTES
     }
 }
 
@@ -36,7 +36,7 @@
     /// Creates segment `number` in `directory`. Fails if the segment already exists.
     pub fn create(directory: &Path, number: u64) -> io::Result<Self> {
         let file = OpenOptions::new().create_new(true).append(true).open(path(directory, number))?;
-        Ok(Self { segment: Segment { number, size: 0 }, file })
+        Ok(Self { segment: Segment { number, size_bytes: 0 }, file })
     }
 
     /// Returns the number and the current size of the segment.
@@ -48,10 +48,10 @@
     /// reading stops at an incomplete frame and would miss everything appended after it.
     pub fn append(&mut self, frame: &[u8]) -> io::Result<()> {
         if let Err(error) = self.file.write_all(frame) {
-            self.file.set_len(self.segment.size)?;
+            self.file.set_len(self.segment.size_bytes)?;
             return Err(error);
         }
-        self.segment.size += frame.len() as u64;
+        self.segment.size_bytes += frame.len() as u64;
         Ok(())
     }
 }
--- a/crates/quillhub-server/src/wal/tests.rs
+++ b/crates/quillhub-server/src/wal/tests.rs
@@ -7,8 +7,8 @@
 const BUDGET_BYTES: u64 = 1 << 20;
 
 /// Returns a message with all fields set and a body of `body_size` bytes.
-fn message(body_size: usize) -> RecoveredMessage {
-    RecoveredMessage {
+fn message(body_size: usize) -> LoggedMessage {
+    LoggedMessage {
         service_class: "g".into(),
         destination: 9,
         ordering_key: Some(5),
@@ -16,7 +16,7 @@
         client_id: b"ab".to_vec(),
         idempotency_key: Some(b"k".to_vec()),
         body: vec![b'x'; body_size],
-        ..RecoveredMessage::default()
+        ..LoggedMessage::default()
     }
 }
 
@@ -24,16 +24,16 @@
     RecordedAttempt::PossiblyExecuted { started: from_millis(77), endpoint: "e".into() }
 }
 
-fn read_back(directory: &StateDirectory) -> BTreeMap<u64, RecoveredMessage> {
+fn read_back(directory: &StateDirectory) -> BTreeMap<u64, LoggedMessage> {
     Wal::open(&directory.0, BUDGET_BYTES).unwrap().1
 }
 
 /// Guards against a restart that loses a message, an attempt or an outcome, or that brings back a finished message.
 #[test]
-fn pending_messages_are_read_back_with_their_history() {
+fn unfinished_messages_are_read_back_with_their_attempts_and_outcomes() {
     let directory = StateDirectory::new();
-    let (mut wal, pending) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
-    assert!(pending.is_empty());
+    let (mut wal, unfinished) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
+    assert!(unfinished.is_empty());
     for id in 1..=4 {
         wal.record_accepted(id, &accepted_payload(&message(3))).unwrap();
     }
@@ -45,16 +45,16 @@
     wal.record_outcome_decided(3, FinalResult::Abandoned).unwrap();
     wal.record_finished(4).unwrap();
     drop(wal);
-    let pending = read_back(&directory);
+    let unfinished = read_back(&directory);
     let attempts = BTreeMap::from([(0, started_at_77()), (1, RecordedAttempt::NotExecuted)]);
-    assert_eq!(pending[&1], RecoveredMessage { attempts, ..message(3) });
+    assert_eq!(unfinished[&1], LoggedMessage { attempts, ..message(3) });
     assert_eq!(
-        pending[&2].outcome,
+        unfinished[&2].outcome,
         Some(FinalResult::Rejected { retry_after: Some(Duration::from_millis(500)) })
     );
-    assert_eq!(pending[&3].outcome, Some(FinalResult::Abandoned));
-    assert_eq!(pending.len(), 3);
-    assert_eq!(read_back(&directory), pending, "reading does not modify the directory");
+    assert_eq!(unfinished[&3].outcome, Some(FinalResult::Abandoned));
+    assert_eq!(unfinished.len(), 3);
+    assert_eq!(read_back(&directory), unfinished, "reading does not modify the directory");
 }
 
 /// Guards against absent keys that are read back as empty or zero ones.
@@ -62,7 +62,7 @@
 fn a_message_without_ordering_or_idempotency_key_is_read_back_without() {
     let directory = StateDirectory::new();
     let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
-    let bare = RecoveredMessage { ordering_key: None, idempotency_key: None, ..message(0) };
+    let bare = LoggedMessage { ordering_key: None, idempotency_key: None, ..message(0) };
     wal.record_accepted(1, &accepted_payload(&bare)).unwrap();
     assert_eq!(read_back(&directory)[&1], bare);
 }
@@ -72,12 +72,12 @@
 fn an_id_is_not_reused_after_a_restart() {
     let directory = StateDirectory::new();
     let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
-    for id in [wal.next_id(), wal.next_id()] {
+    for id in [wal.allocate_id(), wal.allocate_id()] {
         wal.record_accepted(id, &accepted_payload(&message(3))).unwrap();
         wal.record_finished(id).unwrap();
     }
     let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
-    let id = wal.next_id();
+    let id = wal.allocate_id();
     wal.record_accepted(id, &accepted_payload(&message(3))).unwrap();
     assert_eq!(read_back(&directory).into_keys().collect::<Vec<_>>(), [3]);
 }
@@ -89,7 +89,7 @@
     let directory = StateDirectory::new();
     let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     wal.record_accepted(1, &accepted_payload(&message(9))).unwrap();
-    let first_end = wal.active.segment().size as usize;
+    let first_end = wal.active.segment().size_bytes as usize;
     wal.record_accepted(2, &accepted_payload(&message(9))).unwrap();
     drop(wal);
     let file = segment::path(&directory.0, 0);
@@ -103,16 +103,16 @@
         let read: Vec<_> = frames(&content).map(|frame| frame.message).collect();
         assert_eq!(read, [1]);
     }
-    // Records written after the damaged one are read.
-    let (mut wal, pending) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
-    assert_eq!(pending.len(), 1);
+    // Records written after the damaged one are read, since they are in a new segment.
+    let (mut wal, unfinished) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
+    assert_eq!(unfinished.len(), 1);
     wal.record_accepted(3, &accepted_payload(&message(9))).unwrap();
     assert_eq!(read_back(&directory).into_keys().collect::<Vec<_>>(), [1, 3]);
 }
 
-/// Guards against compaction that comes too late for the budget, or that drops records of a pending message.
+/// Guards against compaction that comes too late for the budget, or that drops records of an unfinished message.
 #[test]
-fn the_directory_stays_within_its_budget_and_loses_no_pending_message() {
+fn the_directory_stays_within_its_budget_and_loses_no_unfinished_message() {
     let directory = StateDirectory::new();
     let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     wal.record_accepted(1, &accepted_payload(&message(60_000))).unwrap();
@@ -123,17 +123,17 @@
         assert!(directory.size() <= BUDGET_BYTES, "{} bytes with message {id}", directory.size());
         wal.record_finished(id).unwrap();
     }
-    let pending = read_back(&directory);
+    let unfinished = read_back(&directory);
     assert_eq!(
-        pending.into_iter().collect::<Vec<_>>(),
-        [(1, RecoveredMessage { attempts: BTreeMap::from([(0, started_at_77())]), ..message(60_000) })]
+        unfinished.into_iter().collect::<Vec<_>>(),
+        [(1, LoggedMessage { attempts: BTreeMap::from([(0, started_at_77())]), ..message(60_000) })]
     );
 }
 
 /// Guards against a directory so full that the later records of accepted messages cannot be written, and against space
 /// that is not freed when messages are finished.
 #[test]
-fn capacity_shrinks_with_pending_messages_and_a_full_directory_accepts_no_more() {
+fn capacity_shrinks_with_unfinished_messages_and_a_full_directory_accepts_no_more() {
     let directory = StateDirectory::new();
     let (mut wal, _) = Wal::open(&directory.0, BUDGET_BYTES).unwrap();
     let initial_capacity = wal.remaining_capacity();
