--- a/crates/quillhub-server/src/instance/recovery.rs
+++ b/crates/quillhub-server/src/instance/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery: makes the unfinished messages in the log pending again when the process starts.
 //!
-//! Invariant: every recovered message gets one final outcome. If the outcome was decided before the restart, it is sent
-//! to the platform and the message is not attempted again.
+//! Invariant: every recovered message gets one final outcome: delivered, rejected or abandoned. A message that was
+//! rejected or abandoned before the restart is reported to the platform and not attempted again.
 
 use super::Instance;
 use super::messages::PendingMessage;
@@ -25,11 +25,11 @@
     /// Deadline on the dispatcher's clock; the current time if it already passed.
     deadline: Duration,
     attempts: u32,
-    first_execution: Option<FirstExecution>,
+    first_possible_execution: Option<FirstPossibleExecution>,
 }
 
 /// First attempt that may have executed a message.
-struct FirstExecution {
+struct FirstPossibleExecution {
     /// Start of the attempt on the dispatcher's clock.
     started: Duration,
     endpoint: String,
@@ -38,7 +38,7 @@
 impl Recovered {
     /// Passes the message and its earlier attempts to the dispatcher. Returns `false` if the dispatcher does not know
     /// the message's service class.
-    fn restore_in(&self, dispatcher: &mut Dispatcher) -> bool {
+    fn restore(&self, dispatcher: &mut Dispatcher) -> bool {
         let accepted = dispatcher.accept(NewMessage {
             id: self.id,
             service_class: &self.service_class,
@@ -47,11 +47,14 @@
             tenant: None,
             destination: self.destination,
         });
-        let first_execution = self
-            .first_execution
+        let first_possible_execution = self
+            .first_possible_execution
             .as_ref()
             .map(|first| PossibleExecution { started: first.started, endpoint: &first.endpoint });
-        dispatcher.restore_attempts(self.id, RecoveredAttempts { count: self.attempts, first_execution });
+        dispatcher.restore_attempts(
+            self.id,
+            RecoveredAttempts { count: self.attempts, first_execution: first_possible_execution },
+        );
         accepted.is_ok()
     }
 }
@@ -59,19 +62,20 @@
 /// Returns the time from `start` to `now`, or [`UNKNOWN_ATTEMPT_AGE`] if `start` is later.
 ///
 /// Guards against a wall clock that was set back in the meantime. The real age of the attempt is then unknown, so that
-/// no endpoint may be expected to still know the idempotency key, and a retry could execute the message twice. May
-/// cause a message to be abandoned that a retry would have delivered.
+/// its deduplication window must be assumed to have passed, and a retry could execute the message twice. May cause a
+/// message to be given up (rejected or abandoned) that a retry would have delivered.
 fn elapsed_since(start: SystemTime, now: SystemTime) -> Duration {
     now.duration_since(start).unwrap_or(UNKNOWN_ATTEMPT_AGE)
 }
 
 impl Instance {
-    /// Restores the messages that were unfinished when the previous process exited. Outcomes that it had decided are
-    /// queued for the platform first.
+    /// Restores the messages that were unfinished when the previous process exited. Messages that it had rejected or
+    /// abandoned are queued for the platform first.
     pub fn recover(&mut self, messages: BTreeMap<MessageId, LoggedMessage>) {
-        let wall_clock = SystemTime::now();
-        let executions = messages.values().flat_map(LoggedMessage::possible_executions);
-        let oldest = executions.map(|execution| elapsed_since(execution.started, wall_clock)).max();
+        let wall_clock_now = SystemTime::now();
+        let possible_executions = messages.values().flat_map(LoggedMessage::possible_executions);
+        let oldest =
+            possible_executions.map(|execution| elapsed_since(execution.started, wall_clock_now)).max();
         self.clock_offset = oldest.unwrap_or_default();
         let now = self.now();
         tracing::info!(messages = messages.len(), "messages recovered");
@@ -81,7 +85,7 @@
             if let Some(result) = message.outcome {
                 self.outcomes.add(FinalOutcome { message: id, client_id: message.client_id.into(), result });
             } else {
-                undecided.push(self.restore(id, message, now, wall_clock));
+                undecided.push(self.restore(id, message, now, wall_clock_now));
             }
         }
         self.dispatch_recovered(undecided);
@@ -93,26 +97,35 @@
         id: MessageId,
         message: LoggedMessage,
         now: Duration,
-        wall_clock: SystemTime,
+        wall_clock_now: SystemTime,
     ) -> Recovered {
-        let time_left = message.deadline.and_then(|deadline| deadline.duration_since(wall_clock).ok());
-        let first_execution = message.possible_executions().min().map(|first| FirstExecution {
-            started: now.saturating_sub(elapsed_since(first.started, wall_clock)),
-            endpoint: first.endpoint.to_owned(),
-        });
+        let time_left = message.deadline.and_then(|deadline| deadline.duration_since(wall_clock_now).ok());
+        let first_possible_execution =
+            message.possible_executions().min().map(|first| FirstPossibleExecution {
+                started: now.saturating_sub(elapsed_since(first.started, wall_clock_now)),
+                endpoint: first.endpoint.to_owned(),
+            });
         let (service_class, ordering_key) = (message.service_class.clone(), message.ordering_key);
         let destination = message.destination;
         let pending = PendingMessage::recovered(message);
         let attempts = pending.attempts;
         self.messages.insert(id, pending);
         let deadline = now + time_left.unwrap_or_default();
-        Recovered { id, service_class, ordering_key, destination, deadline, attempts, first_execution }
+        Recovered {
+            id,
+            service_class,
+            ordering_key,
+            destination,
+            deadline,
+            attempts,
+            first_possible_execution,
+        }
     }
 
     /// Passes the messages to the dispatcher in one event, and abandons those of unknown service classes.
     fn dispatch_recovered(&mut self, mut messages: Vec<Recovered>) {
         let unknown = self.handle_event(|dispatcher| {
-            messages.retain(|message| !message.restore_in(dispatcher));
+            messages.retain(|message| !message.restore(dispatcher));
             messages
         });
         for Recovered { id, service_class, .. } in unknown {
