--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -80,7 +80,7 @@
 impl Driver for Instance {
     fn start_attempt(&mut self, id: MessageId, endpoint: &str, timeout: Duration) {
         let started = Instant::now();
-        let written = self.write_record(id);
+        let written = self.write_acceptance(id);
         let Some(message) = self.messages.get_mut(id) else { return };
         let attempt = message.begin_attempt();
         let address = self.pool.address(endpoint);
@@ -118,11 +118,11 @@
     }
 
     fn reject(&mut self, id: MessageId, retry_after: Option<Duration>) {
-        self.finish(id, FinalResult::Rejected { retry_after });
+        self.finish_undelivered(id, FinalResult::Rejected { retry_after });
     }
 
     fn abandon(&mut self, id: MessageId) {
-        self.finish(id, FinalResult::Abandoned);
+        self.finish_undelivered(id, FinalResult::Abandoned);
     }
 
     fn close_idle_connections(&mut self, endpoint: &str) {
--- a/crates/quillhub-server/src/instance/messages.rs
+++ b/crates/quillhub-server/src/instance/messages.rs
@@ -24,13 +24,13 @@
     /// Number of attempts made so far.
     pub attempts: u32,
     /// Payload of the record of the message's acceptance; `None` once the record is written.
-    pub unwritten_record: Option<Vec<u8>>,
+    pub unwritten_acceptance: Option<Vec<u8>>,
 }
 
 impl PendingMessage {
     /// Creates a newly accepted message, whose `record` is not yet written to the log.
     pub fn accepted(message: LoggedMessage, record: Vec<u8>) -> Self {
-        Self { unwritten_record: Some(record), ..Self::recovered(message) }
+        Self { unwritten_acceptance: Some(record), ..Self::recovered(message) }
     }
 
     /// Creates a message that the log already contains.
@@ -40,7 +40,7 @@
             idempotency_key: message.idempotency_key.map(Into::into),
             body: message.body.into(),
             attempts: message.attempts.last_key_value().map_or(0, |(last, _)| last + 1),
-            unwritten_record: None,
+            unwritten_acceptance: None,
         }
     }
 
--- a/crates/quillhub-server/src/instance/mod.rs
+++ b/crates/quillhub-server/src/instance/mod.rs
@@ -53,7 +53,8 @@
     /// `None` only while the dispatcher handles an event.
     dispatcher: Option<Dispatcher>,
     started: Instant,
-    /// Time of the dispatcher's clock at `started`. The clock begins at the oldest recovered attempt.
+    /// Time of the dispatcher's clock at `started`. The clock is at zero at the start of the oldest recovered attempt
+    /// that may have executed its message.
     clock_offset: Duration,
     messages: Messages,
     /// Outcome of the submission being handled, if the dispatcher finished its message immediately.
@@ -146,32 +147,32 @@
         self.clock_offset + self.started.elapsed()
     }
 
-    /// Records that discovery lists the endpoint `name` at `address`.
+    /// Sets the address of the endpoint `name`, which an endpoint list contains.
     pub fn endpoint_listed(&mut self, name: &str, address: SocketAddr) {
         self.pool.endpoint_listed(name, address);
     }
 
-    /// Records that discovery no longer lists the endpoint `name`, and closes its idle connections.
+    /// Removes the endpoint `name` and closes its idle connections.
     pub fn endpoint_removed(&mut self, name: &str) {
         self.pool.endpoint_removed(name);
     }
 
-    /// Removes all endpoints except those that are `listed`, after discovery sent a complete list.
+    /// Removes all endpoints except those that are `listed`, after a complete list.
     pub fn keep_only_endpoints(&mut self, listed: impl Fn(&str) -> bool) {
         self.pool.keep_only(listed);
     }
 
-    /// Returns the notification for the dispatcher's request that discovery report changes of the endpoint list.
+    /// Returns the `Notify` that is notified when the dispatcher requests a watch of the endpoint list.
     pub fn watch_requested(&self) -> Rc<Notify> {
         self.watch_requested.clone()
     }
 
-    /// Returns the notification for a response of discovery.
+    /// Returns the `Notify` that is notified when discovery has responded.
     pub fn discovery_responded(&self) -> Rc<Notify> {
         self.discovery_responded.clone()
     }
 
-    /// Returns the address of an endpoint, or `None` if discovery does not list it.
+    /// Returns the address of an endpoint, or `None` if it is not listed.
     #[cfg(test)]
     pub fn endpoint_address(&self, name: &str) -> Option<SocketAddr> {
         self.pool.address(name)
@@ -182,23 +183,23 @@
         self.pool.close_expired();
     }
 
-    /// Returns the notification for a final outcome that the platform has yet to receive.
+    /// Returns the `Notify` that is notified when a final outcome is queued for the platform.
     pub fn outcome_decided(&self) -> Rc<Notify> {
         self.outcomes.added()
     }
 
-    /// Returns the final outcomes that the platform has not confirmed, oldest first.
+    /// Returns the final outcomes of undelivered messages that the platform has not confirmed, oldest first.
     pub fn unconfirmed_outcomes(&self) -> impl Iterator<Item = &FinalOutcome> {
         self.outcomes.iter()
     }
 
-    /// Adds a final outcome as a decision of the dispatcher does.
+    /// Queues a final outcome, as `finish_undelivered` does.
     #[cfg(test)]
     pub fn add_outcome(&mut self, outcome: FinalOutcome) {
         self.outcomes.add(outcome);
     }
 
-    /// Finishes the messages of the oldest `count` final outcomes, which the platform confirmed.
+    /// Finishes the messages of the oldest `count` final outcomes, which the platform confirmed or cannot read.
     pub fn outcomes_confirmed(&mut self, count: usize) {
         for outcome in self.outcomes.take_oldest(count) {
             log_failed_write(
@@ -210,11 +211,12 @@
         }
     }
 
-    /// Withdraws a message whose client disconnected before it received the reply that the message is accepted.
+    /// Withdraws a message whose acceptance was not confirmed to its client: its record or the reply could not be
+    /// written.
     pub fn withdraw(&mut self, id: MessageId) {
         if let Some(message) = self.messages.remove(id) {
             self.messages.release_client_id(&message.client_id);
-            if message.unwritten_record.is_none() {
+            if message.unwritten_acceptance.is_none() {
                 log_failed_write(id, RecordKind::Finished, self.wal.record_finished(id));
             }
         }
@@ -222,26 +224,26 @@
     }
 
     /// Writes the record of a message's acceptance unless it is written already.
-    fn write_record(&mut self, id: MessageId) -> Result<(), AppendError> {
+    fn write_acceptance(&mut self, id: MessageId) -> Result<(), AppendError> {
         let Some(message) = self.messages.get_mut(id) else { return Ok(()) };
-        if let Some(record) = &message.unwritten_record {
+        if let Some(record) = &message.unwritten_acceptance {
             self.wal.record_accepted(id, record)?;
-            message.unwritten_record = None;
+            message.unwritten_acceptance = None;
         }
         Ok(())
     }
 
-    /// Finishes a message that the dispatcher rejects or abandons. Reports the result to the client if the submission
-    /// is still being handled, and otherwise to the platform.
-    fn finish(&mut self, id: MessageId, result: FinalResult) {
+    /// Ends a message that the dispatcher rejects or abandons. Reports the result to the client if the submission is
+    /// still being handled, and otherwise to the platform.
+    fn finish_undelivered(&mut self, id: MessageId, result: FinalResult) {
         let Some(message) = self.messages.remove(id) else { return };
         tracing::debug!(
             message_id = id,
             ?result,
             attempts = message.attempts,
-            "message finished undelivered"
+            "message is rejected or abandoned"
         );
-        if message.unwritten_record.is_some() {
+        if message.unwritten_acceptance.is_some() {
             self.immediate_outcome = Some(result.into());
             return;
         }
--- a/crates/quillhub-server/src/instance/outcome_queue.rs
+++ b/crates/quillhub-server/src/instance/outcome_queue.rs
@@ -1,4 +1,4 @@
-//! Queue of the final outcomes that the platform has not confirmed, oldest first.
+//! Queue of the final outcomes of undelivered messages that the platform has not confirmed, oldest first.
 
 use crate::wal::FinalResult;
 use quillhub::MessageId;
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Final outcome of a message that was not delivered, to be reported to the platform.
+/// Final outcome of an undelivered message, which is reported to the platform.
 pub struct FinalOutcome {
     /// Id that this instance assigned to the message.
     pub message: MessageId,
@@ -16,7 +16,7 @@
     pub result: FinalResult,
 }
 
-/// Queue of the final outcomes that await confirmation by the platform.
+/// Queue of the final outcomes of undelivered messages that await confirmation by the platform.
 #[derive(Default)]
 pub struct OutcomeQueue {
     unconfirmed: VecDeque<FinalOutcome>,
@@ -30,7 +30,7 @@
         self.added.notify_one();
     }
 
-    /// Returns the notification for an added outcome.
+    /// Returns the `Notify` that is notified when an outcome is added.
     pub fn added(&self) -> Rc<Notify> {
         self.added.clone()
     }
--- a/crates/quillhub-server/src/instance/submission.rs
+++ b/crates/quillhub-server/src/instance/submission.rs
@@ -143,7 +143,7 @@
             "message submitted"
         );
         self.messages.reserve_client_id(client_id);
-        if let Err(error) = self.write_record(id) {
+        if let Err(error) = self.write_acceptance(id) {
             tracing::error!(message_id = id, %error, "message could not be accepted");
             self.withdraw(id);
             return SubmitOutcome::Failed(SubmitFailure::StateDirectory);
