--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -65,7 +65,7 @@
         if verdict.finished {
             log_failed_write(id.message, RecordKind::Finished, self.wal.record_finished(id.message));
             if let Some(message) = self.messages.remove(id.message) {
-                self.messages.remember_client_id(self.now(), message.client_id);
+                self.messages.retain_client_id(self.now(), message.client_id);
             }
         } else if verdict.outcome.known_not_executed() {
             log_failed_write(
--- a/crates/quillhub-server/src/instance/messages.rs
+++ b/crates/quillhub-server/src/instance/messages.rs
@@ -1,7 +1,7 @@
 //! Pending messages of an instance, and the client ids that new messages must not reuse.
 //!
-//! Invariant: a client id is known from the acceptance of its message until [`CLIENT_ID_RETENTION`] after the message
-//! is finished.
+//! Invariant: a client id is in use from the acceptance of its message until [`CLIENT_ID_RETENTION`] after the message
+//! is finished, unless the message is withdrawn.
 
 use crate::wal::LoggedMessage;
 use quillhub::MessageId;
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time for which the client id of a finished message stays known. A client that by mistake submits the message again,
-/// or another message with the same id, does so soon.
+/// Time for which the client id of a finished message stays in use. Clients that by mistake submit a message again, or
+/// another one with the same id, do so within a few seconds.
 pub const CLIENT_ID_RETENTION: Duration = Duration::from_secs(5);
 
 /// Data of a pending message that its attempts and its final outcome need.
@@ -28,9 +28,9 @@
 }
 
 impl PendingMessage {
-    /// Creates a newly accepted message, whose `record` is not yet written to the log.
-    pub fn accepted(message: LoggedMessage, record: Vec<u8>) -> Self {
-        Self { unwritten_acceptance: Some(record), ..Self::recovered(message) }
+    /// Creates a message whose record of acceptance, `acceptance`, is not yet written to the log.
+    pub fn submitted(message: LoggedMessage, acceptance: Vec<u8>) -> Self {
+        Self { unwritten_acceptance: Some(acceptance), ..Self::recovered(message) }
     }
 
     /// Creates a message that the log already contains.
@@ -52,13 +52,13 @@
     }
 }
 
-/// Pending messages and known client ids.
+/// Pending messages and client ids in use.
 #[derive(Default)]
 pub struct Messages {
     pending: BTreeMap<MessageId, PendingMessage>,
     /// Client ids of pending messages and of those finished less than [`CLIENT_ID_RETENTION`] ago.
     client_ids: BTreeSet<Box<[u8]>>,
-    /// Client ids of finished messages that are still known, oldest first.
+    /// Client ids of finished messages that are still in use, oldest first.
     finished: VecDeque<FinishedId>,
 }
 
@@ -75,7 +75,7 @@
         self.pending.insert(id, message);
     }
 
-    /// Removes and returns a pending message; its client id stays known.
+    /// Removes and returns a pending message; its client id stays in use.
     pub fn remove(&mut self, id: MessageId) -> Option<PendingMessage> {
         self.pending.remove(&id)
     }
@@ -97,30 +97,30 @@
 
     /// Returns `true` if a message with this client id is pending or was finished less than [`CLIENT_ID_RETENTION`]
     /// ago.
-    pub fn knows_client_id(&self, client_id: &[u8]) -> bool {
+    pub fn contains_client_id(&self, client_id: &[u8]) -> bool {
         self.client_ids.contains(client_id)
     }
 
-    /// Marks a client id as known when its message is accepted.
-    pub fn reserve_client_id(&mut self, client_id: &[u8]) {
+    /// Adds a client id when its message is accepted.
+    pub fn add_client_id(&mut self, client_id: &[u8]) {
         self.client_ids.insert(client_id.into());
     }
 
-    /// Forgets the client id of a withdrawn message, so that its client may submit the message again.
-    pub fn release_client_id(&mut self, client_id: &[u8]) {
+    /// Removes the client id of a withdrawn message, so that its client may submit the message again.
+    pub fn remove_client_id(&mut self, client_id: &[u8]) {
         self.client_ids.remove(client_id);
     }
 
-    /// Keeps the client id of a message finished at `now` known for [`CLIENT_ID_RETENTION`].
-    pub fn remember_client_id(&mut self, now: Duration, client_id: Box<[u8]>) {
+    /// Keeps the client id of a message finished at `now` in use for [`CLIENT_ID_RETENTION`].
+    pub fn retain_client_id(&mut self, now: Duration, client_id: Box<[u8]>) {
         self.finished.push_back(FinishedId { client_id, finished: now });
     }
 
-    /// Forgets the client ids of messages that were finished at least [`CLIENT_ID_RETENTION`] before `now`.
-    pub fn forget_old_client_ids(&mut self, now: Duration) {
-        let is_old = |id: &&FinishedId| id.finished + CLIENT_ID_RETENTION <= now;
-        while let Some(old) = self.finished.front().filter(is_old) {
-            self.client_ids.remove(&old.client_id);
+    /// Removes the client ids of messages that were finished at least [`CLIENT_ID_RETENTION`] before `now`.
+    pub fn remove_expired_client_ids(&mut self, now: Duration) {
+        let is_expired = |id: &&FinishedId| id.finished + CLIENT_ID_RETENTION <= now;
+        while let Some(expired) = self.finished.front().filter(is_expired) {
+            self.client_ids.remove(&expired.client_id);
             self.finished.pop_front();
         }
     }
@@ -138,8 +138,8 @@
         self.pending.len()
     }
 
-    /// Returns the number of finished messages whose client ids are still known.
-    pub fn remembered_count(&self) -> usize {
+    /// Returns the number of finished messages whose client ids are still in use.
+    pub fn retained_id_count(&self) -> usize {
         self.finished.len()
     }
 }
--- a/crates/quillhub-server/src/instance/mod.rs
+++ b/crates/quillhub-server/src/instance/mod.rs
@@ -207,7 +207,7 @@
                 RecordKind::Finished,
                 self.wal.record_finished(outcome.message),
             );
-            self.messages.remember_client_id(self.now(), outcome.client_id);
+            self.messages.retain_client_id(self.now(), outcome.client_id);
         }
     }
 
@@ -215,7 +215,7 @@
     /// written.
     pub fn withdraw(&mut self, id: MessageId) {
         if let Some(message) = self.messages.remove(id) {
-            self.messages.release_client_id(&message.client_id);
+            self.messages.remove_client_id(&message.client_id);
             if message.unwritten_acceptance.is_none() {
                 log_failed_write(id, RecordKind::Finished, self.wal.record_finished(id));
             }
--- a/crates/quillhub-server/src/instance/recovery.rs
+++ b/crates/quillhub-server/src/instance/recovery.rs
@@ -81,7 +81,7 @@
         tracing::info!(messages = messages.len(), "messages recovered");
         let mut undecided = Vec::new();
         for (id, message) in messages {
-            self.messages.reserve_client_id(&message.client_id);
+            self.messages.add_client_id(&message.client_id);
             if let Some(result) = message.outcome {
                 self.outcomes.add(FinalOutcome { message: id, client_id: message.client_id.into(), result });
             } else {
--- a/crates/quillhub-server/src/instance/submission.rs
+++ b/crates/quillhub-server/src/instance/submission.rs
@@ -83,10 +83,10 @@
     /// Accepts a message unless the submission is invalid, the dispatcher finishes the message immediately, or its
     /// record cannot be written.
     pub fn submit(&mut self, submission: Submission) -> SubmitOutcome {
-        self.messages.forget_old_client_ids(self.now());
+        self.messages.remove_expired_client_ids(self.now());
         // Refuses ids of pending and of recently finished messages: endpoints could not distinguish two messages with
         // the same id.
-        if self.messages.knows_client_id(submission.client_id) {
+        if self.messages.contains_client_id(submission.client_id) {
             return SubmitOutcome::Invalid(InvalidSubmission::DuplicateClientId);
         }
         let is_known =
@@ -98,7 +98,7 @@
         let message = logged_message(&submission);
         let record = wal::accepted_payload(&message);
         let capacity = self.wal.remaining_capacity().saturating_sub(record.len() as u64);
-        self.messages.insert(id, PendingMessage::accepted(message, record));
+        self.messages.insert(id, PendingMessage::submitted(message, record));
         if let Some(outcome) = self.dispatch(id, &submission, capacity) {
             return outcome;
         }
@@ -142,7 +142,7 @@
             ?time_to_live,
             "message submitted"
         );
-        self.messages.reserve_client_id(client_id);
+        self.messages.add_client_id(client_id);
         if let Err(error) = self.write_acceptance(id) {
             tracing::error!(message_id = id, %error, "message could not be accepted");
             self.withdraw(id);
--- a/crates/quillhub-server/src/instance/tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -203,6 +203,6 @@
         assert_eq!(submit(&second, b"a", 9), duplicate, "also after the message is finished");
         second.borrow_mut().clock_offset += CLIENT_ID_RETENTION;
         assert!(matches!(submit(&second, b"a", 9), SubmitOutcome::Accepted(_)));
-        assert_eq!(second.borrow().messages.remembered_count(), 0);
+        assert_eq!(second.borrow().messages.retained_id_count(), 0);
     });
 }
