--- a/crates/quillhub-server/src/instance/recovery_tests.rs
+++ b/crates/quillhub-server/src/instance/recovery_tests.rs
@@ -26,7 +26,7 @@
 /// Guards against lost messages and against a second execution: at the crash, the endpoint has received the requests
 /// and not responded.
 #[test]
-fn messages_in_flight_at_a_crash_are_recovered_and_an_at_most_once_one_is_not_retried() {
+fn messages_in_flight_at_a_crash_are_recovered_and_an_at_most_once_message_is_not_retried() {
     let directory = StateDirectory::new();
     on_one_thread(async {
         let (address, mut requests) = answering(vec![b"HTTP/1.1 100 Continue\r\n\r\n"; 4]).await;
@@ -40,7 +40,7 @@
         let second = restart(&directory, address);
         let second = second.borrow();
         let outcomes: Vec<_> = second.outcomes.iter().map(|end| (end.message, is_rejected(end))).collect();
-        assert_eq!(outcomes, [(1, false)], "the at-most-once one is abandoned");
+        assert_eq!(outcomes, [(1, false)], "the at-most-once message is abandoned");
         let attempts = second.messages.get(2).unwrap().attempts;
         assert_eq!((attempts, second.attempts_in_flight), (2, 1), "the other is retried");
     });
@@ -84,9 +84,9 @@
 }
 
 /// Guards against a second execution after the wall clock was set back, here by an hour. The age of the recorded
-/// attempt is then unknown, and the endpoint may have forgotten the idempotency key.
+/// attempt is then unknown, and the deduplication window may have passed.
 #[test]
-fn a_message_with_an_idempotency_key_whose_attempt_lies_in_the_future_is_not_retried() {
+fn a_deduplicated_message_whose_attempt_lies_in_the_future_is_not_retried() {
     for (in_future, attempts) in [(false, 1), (true, 0)] {
         let directory = StateDirectory::new();
         let mut log = log_with(&directory, &[message("marked")]);
@@ -212,7 +212,8 @@
 /// Guards against a message that blocks the later ones of its ordering key after a restart. Its deduplication window
 /// may have expired during the restart, or have less time left than a usual attempt takes.
 #[test]
-fn a_message_whose_deduplication_window_expires_in_a_restart_is_finished_at_once_and_blocks_none_behind_it() {
+fn a_message_whose_deduplication_window_expires_during_a_restart_is_given_up_at_once_and_does_not_block_its_ordering_key()
+ {
     for age in [700, 1_000, 1_200, 60_000].map(Duration::from_millis) {
         let directory = StateDirectory::new();
         on_one_thread(async {
@@ -230,7 +231,7 @@
     }
 }
 
-/// Guards against abandoning a message that a retry can still deliver, and against breaking the order of its key.
+/// Guards against giving up a message that a retry can still deliver, and against breaking the order of its key.
 #[test]
 fn a_message_whose_deduplication_window_still_allows_an_attempt_after_a_restart_is_retried_first() {
     let directory = StateDirectory::new();
--- a/crates/quillhub-server/src/instance/tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -127,10 +127,11 @@
     assert_eq!(unfinished_in(&directory).len(), 1);
 }
 
-/// Guards against attempts that are sent on the strength of an outdated decision. Each change happens after the
+/// Guards against requests that are sent after the decision for them is outdated. Each change happens after the
 /// dispatcher started the attempt and before the attempt's first byte, while its connection opens.
 #[test]
-fn an_attempt_sends_nothing_after_its_client_left_or_its_endpoint_drained_or_requested_a_wait() {
+fn an_attempt_sends_nothing_after_its_message_is_withdrawn_or_its_endpoint_drains_is_removed_or_sends_a_retry_after()
+ {
     let listed = |state| {
         move |instance: &mut Instance| {
             instance.handle_event(|dispatcher| dispatcher.endpoint_updated(endpoint_update(state)))
@@ -146,14 +147,14 @@
     };
     type Change = Box<dyn Fn(&mut Instance)>;
     let changes: [(&str, Change); 5] = [
-        ("the client left", Box::new(|instance| instance.withdraw(1))),
+        ("the message is withdrawn", Box::new(|instance| instance.withdraw(1))),
         ("the endpoint drains", Box::new(listed(EndpointState::Draining))),
         ("the endpoint is removed", Box::new(listed(EndpointState::Removed))),
         (
-            "the endpoint requests a wait",
+            "the endpoint sends a retry-after",
             Box::new(move |instance| instance.handle_event(|dispatcher| dispatcher.attempt_ended(rejected))),
         ),
-        ("nothing", Box::new(|_| ())),
+        ("no change", Box::new(|_| ())),
     ];
     for (description, change) in changes {
         let directory = StateDirectory::new();
@@ -169,7 +170,7 @@
             let mut received = std::iter::from_fn(|| requests.try_recv().ok());
             assert_eq!(
                 received.any(|request| request.ends_with("body")),
-                description == "nothing",
+                description == "no change",
                 "{description}"
             );
         });
@@ -179,7 +180,7 @@
 /// Guards against two messages with the same client id, which endpoints and the platform could not distinguish, for
 /// example when a client submits a message again after a restart of the instance.
 #[test]
-fn a_duplicate_client_id_is_rejected_and_the_first_message_stays() {
+fn a_duplicate_client_id_is_refused_and_the_first_message_stays_pending() {
     let directory = StateDirectory::new();
     on_one_thread(async {
         let (address, _listener) = silent_endpoint().await;
