--- a/crates/quillhub-server/src/instance/recovery.rs
+++ b/crates/quillhub-server/src/instance/recovery.rs
@@ -38,7 +38,7 @@
 impl Recovered {
     /// Passes the message and its earlier attempts to the dispatcher. Returns `false` if the dispatcher does not know
     /// the message's service class.
-    fn restore(&self, dispatcher: &mut Dispatcher) -> bool {
+    fn pass_to(&self, dispatcher: &mut Dispatcher) -> bool {
         let accepted = dispatcher.accept(NewMessage {
             id: self.id,
             service_class: &self.service_class,
@@ -125,7 +125,7 @@
     /// Passes the messages to the dispatcher in one event, and abandons those of unknown service classes.
     fn dispatch_recovered(&mut self, mut messages: Vec<Recovered>) {
         let unknown = self.handle_event(|dispatcher| {
-            messages.retain(|message| !message.restore(dispatcher));
+            messages.retain(|message| !message.pass_to(dispatcher));
             messages
         });
         for Recovered { id, service_class, .. } in unknown {
--- a/crates/quillhub-server/src/instance/recovery_tests.rs
+++ b/crates/quillhub-server/src/instance/recovery_tests.rs
@@ -212,8 +212,7 @@
 /// Guards against a message that blocks the later ones of its ordering key after a restart. Its deduplication window
 /// may have expired during the restart, or have less time left than a usual attempt takes.
 #[test]
-fn a_message_whose_deduplication_window_expires_during_a_restart_is_given_up_at_once_and_does_not_block_its_ordering_key()
- {
+fn a_message_whose_window_expires_during_a_restart_is_given_up_at_once_and_does_not_block_its_ordering_key() {
     for age in [700, 1_000, 1_200, 60_000].map(Duration::from_millis) {
         let directory = StateDirectory::new();
         on_one_thread(async {
--- a/crates/quillhub-server/src/instance/tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -130,8 +130,7 @@
 /// Guards against requests that are sent after the decision for them is outdated. Each change happens after the
 /// dispatcher started the attempt and before the attempt's first byte, while its connection opens.
 #[test]
-fn an_attempt_sends_nothing_after_its_message_is_withdrawn_or_its_endpoint_drains_is_removed_or_sends_a_retry_after()
- {
+fn no_request_is_sent_after_a_withdrawal_or_once_its_endpoint_drains_is_removed_or_sends_a_retry_after() {
     let listed = |state| {
         move |instance: &mut Instance| {
             instance.handle_event(|dispatcher| dispatcher.endpoint_updated(endpoint_update(state)))
