--- a/crates/quillhub-server/src/clients/commands.rs
+++ b/crates/quillhub-server/src/clients/commands.rs
@@ -35,7 +35,7 @@
     #[error("no class")]
     NoServiceClass,
     #[error("no time limit")]
-    NoDeadline,
+    NoTimeToLive,
     #[error("no destination")]
     NoDestination,
     #[error("an id or key that cannot be passed on")]
@@ -52,8 +52,9 @@
 }
 
 impl CommandError {
-    /// Returns `true` if the connection must be closed after this error, since the input that follows may not start at
-    /// a command.
+    /// Returns `true` if the connection is closed after this error: after every error but [`Self::Unknown`] and
+    /// [`Self::InvalidMessage`]. After some of them, such as [`Self::Malformed`], the input that follows may not start
+    /// at a command.
     pub(super) fn closes_connection(&self) -> bool {
         !matches!(self, Self::Unknown | Self::InvalidMessage(_))
     }
@@ -93,7 +94,7 @@
     let service_class = value("c").and_then(|class| std::str::from_utf8(class).ok());
     let service_class = service_class.ok_or(CommandError::NoServiceClass)?;
     let time_to_live_ms = value("d").and_then(|milliseconds| parse_number(milliseconds, 10));
-    let time_to_live_ms = time_to_live_ms.ok_or(CommandError::NoDeadline)?;
+    let time_to_live_ms = time_to_live_ms.ok_or(CommandError::NoTimeToLive)?;
     let destination = value("dest").and_then(|destination| parse_number(destination, 10));
     let destination = destination.ok_or(CommandError::NoDestination)?;
     let idempotency_key = value("k");
--- a/crates/quillhub-server/src/clients/mod.rs
+++ b/crates/quillhub-server/src/clients/mod.rs
@@ -1,7 +1,7 @@
 //! Client connections: accepts them and serves each in a task of its own.
 //!
-//! Invariant: every open connection that is served holds one permit of [`Admission`], so that there are never more
-//! than the instance has file descriptors for.
+//! Invariant: every connection that is served holds one permit of [`Admission`], which limits their number to the file
+//! descriptors set aside for clients.
 
 mod admission;
 mod commands;
@@ -25,8 +25,8 @@
 /// Pause after a failure to accept, such as a lack of file descriptors; attempts that end in the meantime free some.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts connections until the phase is [`Phase::Closing`], including those that were pending by then. Each is served
-/// by a task of its own.
+/// Accepts connections until the phase is [`Phase::Closing`], including those in the listener's backlog at that time.
+/// Each is served by a task of its own.
 pub async fn accept(instance: Rc<RefCell<Instance>>, listener: Rc<TcpListener>, admission: Rc<Admission>) {
     let mut phase = admission.phase();
     loop {
