--- a/crates/quillhub-server/src/clients/admission.rs
+++ b/crates/quillhub-server/src/clients/admission.rs
@@ -13,9 +13,9 @@
 /// Maximum number of large commands that are read at the same time. Limits the memory for incomplete commands to a few
 /// megabytes.
 const LARGE_COMMAND_PERMITS: usize = 24;
-/// Age from which a connection that never sent a complete command is evicted before idle ones. Ordinary clients send
-/// their first command as soon as they are connected.
-const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(500);
+/// Time after the acceptance or the last reply from which a connection without a successful command is evicted before
+/// idle ones. Ordinary clients send their first command as soon as they are connected.
+const FIRST_SUCCESS_GRACE: Duration = Duration::from_millis(500);
 /// Time limit for an evicted connection to close, after which another one is evicted.
 pub(super) const EVICTION_TIMEOUT: Duration = Duration::from_millis(20);
 
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Activity {
     /// No command on the connection has succeeded yet.
-    Unproven,
+    NoSuccessYet,
     /// All commands were answered, and no part of a further one was read.
     Idle,
     /// Part of a further command was read.
@@ -62,13 +62,13 @@
 
 impl Entry {
     /// Returns the rank of the entry; the lowest one is evicted first. Half-closed connections have the lowest rank,
-    /// followed by those without a successful command for [`FIRST_COMMAND_GRACE`], idle ones, and all others.
+    /// followed by those without a successful command for [`FIRST_SUCCESS_GRACE`], idle ones, and all others.
     fn eviction_rank(&self, now: Instant) -> u8 {
         match self.activity {
             Activity::HalfClosed => 0,
-            Activity::Unproven if now >= self.since + FIRST_COMMAND_GRACE => 1,
+            Activity::NoSuccessYet if now >= self.since + FIRST_SUCCESS_GRACE => 1,
             Activity::Idle => 2,
-            Activity::Unproven | Activity::Receiving => 3,
+            Activity::NoSuccessYet | Activity::Receiving => 3,
         }
     }
 }
@@ -107,7 +107,7 @@
         let evicted = Rc::new(Notify::new());
         let entry = Entry {
             since: Instant::now(),
-            activity: Activity::Unproven,
+            activity: Activity::NoSuccessYet,
             holds_large_permit: false,
             evicted: evicted.clone(),
         };
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Evicts the connection of the lowest rank that holds `resource`; among several of that rank, the one with the
-    /// oldest reply.
+    /// Evicts the connection of the lowest rank that holds `resource`; among several of that rank, the one whose last
+    /// reply, or acceptance, is oldest.
     pub(super) fn evict_one(&self, resource: Resource) {
         let now = Instant::now();
         let mut entries = self.entries.borrow_mut();
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Records that a command was answered. From now on the connection is in `activity`, and holds a permit for a large
-    /// command if `holds_large_permit` is set.
+    /// Registers that a command was answered. From now on the connection is in `activity`, and holds a permit for a
+    /// large command if `holds_large_permit` is set.
     pub(super) fn answered(&self, activity: Activity, holds_large_permit: bool) {
         self.update(|entry| {
             entry.since = Instant::now();
@@ -183,7 +183,7 @@
         });
     }
 
-    /// Records that the first part of a command was read on an idle connection.
+    /// Registers that the first part of a command was read on an idle connection.
     pub(super) fn command_started(&self) {
         self.update(|entry| entry.activity = Activity::Receiving);
     }
@@ -192,7 +192,7 @@
         self.update(|entry| entry.holds_large_permit = true);
     }
 
-    /// Records that the server's side of the connection is about to close.
+    /// Registers that the server's side of the connection is about to close.
     pub(super) fn half_closed(&self) {
         self.update(|entry| {
             entry.activity = Activity::HalfClosed;
--- a/crates/quillhub-server/src/clients/admission_tests.rs
+++ b/crates/quillhub-server/src/clients/admission_tests.rs
@@ -10,16 +10,16 @@
 }
 
 #[test]
-fn connections_without_a_command_are_evicted_before_idle_ones_and_among_each_the_oldest_first() {
+fn eviction_starts_with_connections_past_the_grace_period_without_success_then_idle_ones_each_oldest_first() {
     let admission = admission();
     let now = Instant::now();
     for (seconds, activity, holds_large_permit) in [
         (9, Activity::Idle, false),
         (3, Activity::Idle, false),
         (8, Activity::Receiving, true),
-        (2, Activity::Unproven, true),
-        (1, Activity::Unproven, false),
-        (0, Activity::Unproven, false),
+        (2, Activity::NoSuccessYet, true),
+        (1, Activity::NoSuccessYet, false),
+        (0, Activity::NoSuccessYet, false),
     ] {
         let since = now - Duration::from_secs(seconds);
         admission.register().update(|entry| {
@@ -40,7 +40,7 @@
     let admission = admission();
     let (idle, half_closed) = (admission.register(), admission.register());
     idle.update(|entry| {
-        (entry.since, entry.activity) = (entry.since - 5 * FIRST_COMMAND_GRACE, Activity::Idle);
+        (entry.since, entry.activity) = (entry.since - 5 * FIRST_SUCCESS_GRACE, Activity::Idle);
     });
     half_closed.update(|entry| entry.activity = Activity::HalfClosed);
     admission.evict_one(Resource::Connection);
--- a/crates/quillhub-server/src/clients/connection.rs
+++ b/crates/quillhub-server/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! Connection of one client: reads commands and answers them, one after the other, until the connection ends.
+//! Client connection: reads commands and replies to them, one after the other, until the connection ends.
 //!
 //! Invariant: a message whose confirmation could not be written is withdrawn, since its client submits it to another
 //! instance.
@@ -21,19 +21,19 @@
 pub(super) const MAX_PART_BYTES: usize = 64 * 1024;
 /// Maximum length of a command: a body of the maximum length and the small parts.
 const MAX_COMMAND_BYTES: usize = MAX_PART_BYTES + 16 * 1024;
-/// Number of bytes from which a buffered command is large: to read on, the connection needs a permit for it.
-const SMALL_COMMAND_BYTES: usize = socket::READ_BYTES;
+/// Length of buffered input from which on a command counts as large, and reading on requires a permit.
+const LARGE_COMMAND_BYTES: usize = socket::READ_BYTES;
 /// Time limit for writing a reply, after which the connection is given up. Replies are only a few bytes long.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time limit for the rest of a command after its first byte; clients themselves wait less than a second for a reply.
-/// Also limits the time from the acceptance of a connection to its first successful command, so that connections that
-/// send nothing are closed soon.
+/// Also limits the time from the acceptance of a connection, or from its last reply, to its first successful command,
+/// so that connections that send nothing are closed soon.
 pub(super) const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time for which input is discarded after the server's side is closed, so that the client can read the last reply and
 /// the end of the stream instead of getting a reset.
-const LINGER: Duration = Duration::from_secs(1);
-/// Pause before an error reply. Prevents clients that reconnect as soon as they are rejected from using the processing
-/// time of all others. Does not delay well-behaved clients, since they get no errors.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause before an error reply. Prevents clients that reconnect as soon as they receive an error from using the
+/// processing time of all others. Does not delay well-behaved clients, since they get no errors.
 const ERROR_PAUSE: Duration = Duration::from_millis(50);
 /// Number of consecutive errors at which a connection is closed.
 pub(super) const MAX_CONSECUTIVE_ERRORS: u32 = 4;
@@ -83,12 +83,13 @@
     /// Permit for a large command, while such a command is read.
     large_permit: Option<OwnedSemaphorePermit>,
     /// `true` once a command on the connection has succeeded.
-    proven: bool,
+    has_succeeded: bool,
     consecutive_errors: u32,
     /// `true` if the connection closes once the complete commands in `input` are answered.
     evicted: bool,
-    /// Time at which the current command began; before the first byte of the first one, the time of the acceptance.
-    command_started: Instant,
+    /// Time from which [`COMMAND_TIMEOUT`] counts: the start of the current command; until one has succeeded, the last
+    /// reply or the acceptance.
+    deadline_base: Instant,
 }
 
 impl<'a> Connection<'a> {
@@ -99,7 +100,8 @@
         stream: &'a mut TcpStream,
     ) -> Self {
         let phase = admission.phase();
-        // A connection that is accepted during the shutdown usually comes with a command, which is answered first.
+        // A client that connects during the shutdown usually sends a command, which is answered before the connection
+        // closes.
         let serving = *phase.borrow() == Phase::Serving;
         Self {
             instance,
@@ -110,10 +112,10 @@
             closing_phase: if serving { Phase::Stopping } else { Phase::Closing },
             input: Vec::new(),
             large_permit: None,
-            proven: false,
+            has_succeeded: false,
             consecutive_errors: 0,
             evicted: false,
-            command_started: Instant::now(),
+            deadline_base: Instant::now(),
         }
     }
 
@@ -159,7 +161,7 @@
     /// Removes an executed command of `used` bytes from the input, and frees the permit and the memory that it needed.
     fn consume(&mut self, used: usize) {
         self.input.drain(..used);
-        if self.input.len() < SMALL_COMMAND_BYTES {
+        if self.input.len() < LARGE_COMMAND_BYTES {
             self.large_permit = None;
         }
         if self.input.is_empty() {
@@ -173,7 +175,7 @@
         match self.wait().await? {
             Wakeup::Read(0) => return Ok(Some(End::ByClient)),
             Wakeup::Read(_) => self.evicted = false,
-            Wakeup::CommandTimeout => return self.dismiss(CommandError::Incomplete).await.map(Some),
+            Wakeup::CommandTimeout => return self.reply_and_close(CommandError::Incomplete).await.map(Some),
             Wakeup::Ending(end) => {
                 self.evicted = end == End::Evicted;
                 if !socket::read_pending(self.stream, &mut self.input) {
@@ -181,8 +183,8 @@
                 }
             }
         }
-        if was_idle && self.proven {
-            self.command_started = Instant::now();
+        if was_idle && self.has_succeeded {
+            self.deadline_base = Instant::now();
             self.registration.command_started();
         }
         Ok(None)
@@ -190,10 +192,10 @@
 
     async fn wait(&mut self) -> io::Result<Wakeup> {
         let idle = self.input.is_empty();
-        let deadline = self.command_started + COMMAND_TIMEOUT;
+        let deadline = self.deadline_base + COMMAND_TIMEOUT;
         let closing_phase = self.closing_phase;
         let read = async {
-            if self.input.len() >= SMALL_COMMAND_BYTES && self.large_permit.is_none() {
+            if self.input.len() >= LARGE_COMMAND_BYTES && self.large_permit.is_none() {
                 self.large_permit = self.admission.large_command_permit().await;
                 self.registration.large_command_started();
             }
@@ -203,7 +205,7 @@
             biased;
             length = read => Wakeup::Read(length?),
             () = sleep_until(deadline), if !idle => Wakeup::CommandTimeout,
-            () = sleep_until(deadline), if !self.proven => Wakeup::Ending(End::ByServer),
+            () = sleep_until(deadline), if !self.has_succeeded => Wakeup::Ending(End::ByServer),
             _ = self.phase.wait_for(|phase| *phase >= closing_phase), if idle => Wakeup::Ending(End::ByServer),
             () = self.registration.evicted() => Wakeup::Ending(End::Evicted),
         })
@@ -215,7 +217,7 @@
             Reply::Octets(octets) => (octets.into(), None),
             Reply::Accepted(message) => (resp::OK.into(), Some(*message)),
             Reply::Error(error) if error.closes_connection() || self.is_last_error() => {
-                return self.dismiss(error.clone()).await.map(Some);
+                return self.reply_and_close(error.clone()).await.map(Some);
             }
             Reply::Error(error) => {
                 self.consecutive_errors += 1;
@@ -232,7 +234,7 @@
             return failed.map(|()| Some(End::ByClient));
         }
         if !matches!(reply, Reply::Error(_)) {
-            self.proven = true;
+            self.has_succeeded = true;
             self.consecutive_errors = 0;
         }
         self.answered().await;
@@ -243,13 +245,13 @@
         self.consecutive_errors + 1 >= MAX_CONSECUTIVE_ERRORS
     }
 
-    /// Records that a command was answered, and prepares for the next one, part of which may already be read.
+    /// Registers that a command was answered, and prepares for the next one, part of which may already be read.
     async fn answered(&mut self) {
         self.closing_phase = Phase::Stopping;
-        self.command_started = Instant::now();
+        self.deadline_base = Instant::now();
         let has_further_input = !self.input.is_empty();
-        let activity = match (self.proven, has_further_input) {
-            (false, _) => Activity::Unproven,
+        let activity = match (self.has_succeeded, has_further_input) {
+            (false, _) => Activity::NoSuccessYet,
             (true, false) => Activity::Idle,
             (true, true) => Activity::Receiving,
         };
@@ -260,8 +262,8 @@
         }
     }
 
-    /// Writes an error reply after which the connection closes.
-    async fn dismiss(&mut self, error: CommandError) -> io::Result<End> {
+    /// Writes an error reply, after which the connection closes.
+    async fn reply_and_close(&mut self, error: CommandError) -> io::Result<End> {
         sleep(ERROR_PAUSE).await;
         timeout(WRITE_TIMEOUT, self.stream.write_all(&resp::error(error))).await??;
         Ok(End::ByServer)
@@ -283,7 +285,8 @@
     }
     stream.shutdown().await?;
     let discard = async { while matches!(socket::read(stream, |_| ()).await, Ok(1..)) {} };
-    let time_limit = if end == End::Evicted { EVICTION_TIMEOUT / 2 } else { LINGER };
+    // Half of the timeout, so that the permit is free before another connection is evicted.
+    let time_limit = if end == End::Evicted { EVICTION_TIMEOUT / 2 } else { LINGER_TIMEOUT };
     tokio::select! {
         _ = timeout(time_limit, discard) => {}
         () = registration.evicted() => {}
