--- a/crates/quillhub-server/src/clients/tests.rs
+++ b/crates/quillhub-server/src/clients/tests.rs
@@ -106,7 +106,7 @@
     assert_eq!(exchange(&input, true, Phase::Serving, "", Phase::Serving), "");
 }
 
-/// Without eviction, idle connections that use up all permits would keep new clients out.
+/// Without eviction, idle connections that use up all permits would prevent new clients from being served.
 #[test]
 fn an_idle_connection_is_evicted_for_a_new_one() {
     let directory = StateDirectory::new();
@@ -127,7 +127,7 @@
     });
 }
 
-/// Without the limit, a client that sends only invalid messages uses processing time without end.
+/// Without the limit, a client that sends only invalid messages uses processing time without limit.
 #[test]
 fn a_connection_closes_after_too_many_errors_in_a_row() {
     let input = submit("c=free,d=8000,dest=404", 1).repeat(40);
@@ -156,12 +156,16 @@
     assert_eq!(replies, "-ERR not a command, or too long\r\n");
 }
 
-/// Ends a connection by `end` at the moment in which its client writes `crossing`, with no await in between. Before
-/// that, the client has got the reply to a command, except with [`End::NoCommand`].
+/// Ends a connection by `cause` while its client writes `input`, with no await in between. Before that, the client has
+/// got the reply to a command, except with [`CloseCause::NoCommand`].
 ///
-/// Returns what the client reads until the server closes its side, the result of writing `late` after that, and whether
-/// a message was accepted.
-fn close_crossing(end: End, crossing: &[u8], late: &[u8]) -> (String, std::io::Result<()>, bool) {
+/// Returns what the client reads until the server closes its side, the result of writing `late_input` after that, and
+/// whether a message was accepted.
+fn close_while_client_writes(
+    cause: CloseCause,
+    input: &[u8],
+    late_input: &[u8],
+) -> (String, std::io::Result<()>, bool) {
     let directory = StateDirectory::new();
     on_one_thread(async {
         tokio::time::pause();
@@ -173,7 +177,7 @@
         let instance = instance(&directory, address);
         spawn_local(accept(instance.clone(), Rc::new(listener), admission.clone()));
         let mut client = TcpStream::connect(address).await.unwrap();
-        if end != End::NoCommand {
+        if cause != CloseCause::NoCommand {
             client.write_all(PING).await.unwrap();
             client.read_exact(&mut [0; 7]).await.unwrap();
         }
@@ -183,21 +187,22 @@
         for _ in 0..10 {
             tokio::task::yield_now().await; // until the task of the connection waits for input
         }
-        // No await from here on, so that the task of the connection sees the input and its end together.
+        // No await from here on, so that the task of the connection sees the input and the reason for the close
+        // together.
         let mut client = client.into_std().unwrap();
-        std::io::Write::write_all(&mut client, if end == End::Error { b"noise\r\n" } else { crossing })
+        std::io::Write::write_all(&mut client, if cause == CloseCause::Error { b"noise\r\n" } else { input })
             .unwrap();
-        match end {
-            End::Stop => drop(phase.send_replace(Phase::Stopping)),
-            End::Evict => admission.evict_one(Resource::Connection),
-            End::NoCommand => tokio::time::advance(COMMAND_TIMEOUT + EVICTION_TIMEOUT).await,
-            End::Error => {}
+        match cause {
+            CloseCause::Stop => drop(phase.send_replace(Phase::Stopping)),
+            CloseCause::Evict => admission.evict_one(Resource::Connection),
+            CloseCause::NoCommand => tokio::time::advance(COMMAND_TIMEOUT + EVICTION_TIMEOUT).await,
+            CloseCause::Error => {}
         }
         let mut client = TcpStream::from_std(client).unwrap();
         let mut read = String::new();
         client.read_to_string(&mut read).await.unwrap();
         // If the server had closed both directions, the first write would cause a reset, and the second one fail.
-        let (first_half, second_half) = late.split_at(late.len() / 2);
+        let (first_half, second_half) = late_input.split_at(late_input.len() / 2);
         client.write_all(first_half).await.unwrap();
         let late_write = client.write_all(second_half).await;
         drop(client);
@@ -209,9 +214,9 @@
     })
 }
 
-/// Reason for the server to close the connection.
+/// Cause for which the server closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum End {
+enum CloseCause {
     Stop,
     Evict,
     NoCommand,
@@ -223,14 +228,14 @@
 #[test]
 fn input_after_a_half_close_is_discarded_without_a_reset_and_not_executed() {
     let late = submit("c=free,d=8000,dest=9", 9);
-    for (end, reply) in [
-        (End::Stop, ""),
-        (End::Evict, ""),
-        (End::NoCommand, ""),
-        (End::Error, "-ERR not a command, or too long\r\n"),
+    for (cause, reply) in [
+        (CloseCause::Stop, ""),
+        (CloseCause::Evict, ""),
+        (CloseCause::NoCommand, ""),
+        (CloseCause::Error, "-ERR not a command, or too long\r\n"),
     ] {
-        let (read, late_write, accepted) = close_crossing(end, b"", &late);
-        assert_eq!((&read[..], late_write.is_ok(), accepted), (reply, true, false), "{end:?}");
+        let (read, late_write, accepted) = close_while_client_writes(cause, b"", &late);
+        assert_eq!((&read[..], late_write.is_ok(), accepted), (reply, true, false), "{cause:?}");
     }
 }
 
@@ -238,7 +243,7 @@
 /// discarded then gets no reply.
 #[test]
 fn a_command_that_is_complete_at_the_close_is_answered_first() {
-    for end in [End::Stop, End::Evict] {
-        assert_eq!(close_crossing(end, PING, b"").0, "+PONG\r\n", "{end:?}");
+    for cause in [CloseCause::Stop, CloseCause::Evict] {
+        assert_eq!(close_while_client_writes(cause, PING, b"").0, "+PONG\r\n", "{cause:?}");
     }
 }
