--- a/crates/quillhub-server/src/shutdown.rs
+++ b/crates/quillhub-server/src/shutdown.rs
@@ -1,7 +1,8 @@
-//! Graceful shutdown in four phases: accept new connections, attempt pending messages, wait for attempts in flight,
-//! send final outcomes to the platform. Each phase but the first ends early once it has nothing left to wait for.
+//! Graceful shutdown in four steps: accept new connections, attempt pending messages, wait for attempts in flight, send
+//! final outcomes to the platform. Each step but the first ends early once it has nothing left to wait for.
 //!
-//! Invariant: the last phase is over before the process would be killed, 3.7 s after shutdown was requested.
+//! Invariant: the shutdown ends before the operators' process supervision kills the process, 3.7 s after it requested
+//! the shutdown.
 
 use crate::clients::Phase;
 use crate::instance::Instance;
@@ -12,18 +13,18 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 // All deadlines are counted from the request to shut down.
-/// Deadline for new connections of clients.
+/// Deadline for new client connections.
 const ACCEPT_DEADLINE: Duration = Duration::from_millis(500);
 /// Deadline for decisions of the dispatcher on pending messages.
 const DECISION_DEADLINE: Duration = Duration::from_millis(2_000);
 /// Deadline for the end of attempts in flight.
 const ATTEMPT_DEADLINE: Duration = Duration::from_millis(3_000);
-/// Deadline for sending final outcomes to the platform and replies to clients.
+/// Deadline for sending final outcomes to the platform and replies to clients, 400 ms before the process is killed.
 const OUTCOME_DEADLINE: Duration = Duration::from_millis(3_300);
-/// Interval between checks if a phase has anything left to wait for.
-const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval between checks whether a step has anything left to wait for.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// State of the clients' connections that a shutdown needs.
+/// State of the client connections that a shutdown needs.
 pub struct ClientConnections {
     /// Publishes the phase of the shutdown to the connections.
     pub phase: watch::Sender<Phase>,
@@ -49,14 +50,14 @@
     wait_until(requested + DECISION_DEADLINE, || instance.borrow().is_idle() && clients.all_closed()).await;
     instance.borrow_mut().stop_deciding();
     wait_until(requested + ATTEMPT_DEADLINE, || instance.borrow().attempts_in_flight() == 0).await;
-    // Also waits for connections that are in the middle of a command; the time limit of a command expires earlier.
-    let flushed = || instance.borrow().all_outcomes_confirmed() && clients.all_closed();
-    wait_until(requested + OUTCOME_DEADLINE, flushed).await;
+    // Also waits for client connections within a command, whose `COMMAND_TIMEOUT` expires before this deadline.
+    let nothing_left = || instance.borrow().all_outcomes_confirmed() && clients.all_closed();
+    wait_until(requested + OUTCOME_DEADLINE, nothing_left).await;
 }
 
 /// Waits until `done` returns `true`, but at most until `deadline`.
 async fn wait_until(deadline: Instant, done: impl Fn() -> bool) {
     while Instant::now() < deadline && !done() {
-        sleep(POLL_INTERVAL).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
