--- a/crates/quillhub-server/src/attempts/verdict.rs
+++ b/crates/quillhub-server/src/attempts/classification.rs
@@ -11,14 +11,15 @@
 /// System error: the system has no buffer space left.
 const ENOBUFS: i32 = 105;
 
-/// Error of an attempt without a response; shows how far its request came.
+/// Error of an attempt without a response; tells which part of the request was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum CallError {
-    /// The process had no free file descriptor or address, or the request was no longer to be sent once the connection
-    /// was open.
+pub enum AttemptError {
+    /// This process lacked a resource for the connection, the attempt could not be made, or the request was no longer
+    /// permitted or had no time left once the connection was open.
     #[error("the request never left this instance")]
     NotSent,
-    /// The connection could not be established, or broke before the last byte of the request was written.
+    /// The connection could not be established, or broke before the last byte of the request was written, or the
+    /// attempt timed out before that.
     #[error("the connection could not be established or broke before the request was written")]
     ConnectFailed,
     /// The connection broke after the request was written, or the endpoint sent something that is no response.
@@ -29,9 +30,9 @@
     TimedOut,
 }
 
-impl CallError {
-    /// Classifies the error of opening a connection: [`CallError::NotSent`] if this process lacks a resource, otherwise
-    /// [`CallError::ConnectFailed`].
+impl AttemptError {
+    /// Classifies the error of opening a connection: [`AttemptError::NotSent`] if this process lacks a resource,
+    /// otherwise [`AttemptError::ConnectFailed`].
     pub fn from_connect_error(error: &io::Error) -> Self {
         use io::ErrorKind::{AddrInUse, AddrNotAvailable, OutOfMemory, PermissionDenied};
         match error.kind() {
@@ -44,22 +45,22 @@
 
 /// Classified result of an attempt.
 #[derive(Debug, PartialEq)]
-pub struct Verdict {
+pub struct ClassifiedResult {
     /// Outcome to report to the dispatcher.
     pub outcome: AttemptOutcome,
     /// `true` if the message has its final outcome with this attempt.
     pub finished: bool,
 }
 
-impl Verdict {
+impl ClassifiedResult {
     /// Classifies the result of an attempt; `load_reports` is `true` if endpoints send load reports in their responses.
-    pub fn of(result: &Result<Response, CallError>, load_reports: bool) -> Self {
+    pub fn classify(result: &Result<Response, AttemptError>, load_reports: bool) -> Self {
         let outcome = match result {
             Ok(response) => outcome_of(response, load_reports),
-            Err(CallError::NotSent) => AttemptOutcome::NotSent,
-            Err(CallError::ConnectFailed) => AttemptOutcome::ConnectFailed,
-            Err(CallError::ConnectionReset) => AttemptOutcome::ConnectionReset,
-            Err(CallError::TimedOut) => AttemptOutcome::TimedOut,
+            Err(AttemptError::NotSent) => AttemptOutcome::NotSent,
+            Err(AttemptError::ConnectFailed) => AttemptOutcome::ConnectFailed,
+            Err(AttemptError::ConnectionReset) => AttemptOutcome::ConnectionReset,
+            Err(AttemptError::TimedOut) => AttemptOutcome::TimedOut,
         };
         let finished =
             matches!(result, Ok(Response { status: 200, .. } | Response { status: 410, complete: true, .. }));
@@ -69,8 +70,12 @@
 
 /// Returns the outcome that a response stands for.
 ///
-/// Where endpoints send load reports, a rejection without one of the first request on a connection is due to a full
-/// connection table of the endpoint and not to its rate limit.
+/// If endpoints send load reports, a rejection that has none and answers the first request on a connection is due to a
+/// full connection table of the endpoint, not to its rate limit.
+///
+/// A proxy between the instance and the endpoint responds with 504, 410, or 503 with `X-Egress-Full: 1` if it did not
+/// send the message on: 504 since the message has had all its attempts, 410 since it is over (withdrawn or expired), so
+/// that nothing more is to be done for it, and 503 since all slots on the way to the endpoint were taken.
 fn outcome_of(response: &Response, load_reports: bool) -> AttemptOutcome {
     let retry_after = response.retry_after;
     match response {
--- a/crates/quillhub-server/src/attempts/mod.rs
+++ b/crates/quillhub-server/src/attempts/mod.rs
@@ -4,11 +4,11 @@
 //! an attempt only reconnects before that byte. Once the status line of the response is read, the status is final,
 //! even if the rest of the response is malformed or missing.
 
+mod classification;
 mod response;
-mod verdict;
 
+pub use classification::{AttemptError, ClassifiedResult};
 pub use response::Response;
-pub use verdict::{CallError, Verdict};
 
 use crate::connection::HttpConnection;
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
 /// End of an attempt: its result, and its connection if that can be reused.
 pub struct AttemptEnd {
     /// Response, or the error that shows how far the request came without one.
-    pub result: Result<Response, CallError>,
+    pub result: Result<Response, AttemptError>,
     /// Connection of the attempt, if another attempt may use it.
     pub reusable: Option<HttpConnection>,
 }
@@ -50,15 +50,15 @@
 impl AttemptEnd {
     /// Returns the end of an attempt that could not be made.
     pub fn not_sent() -> Self {
-        Self::failed(CallError::NotSent)
+        Self::failed(AttemptError::NotSent)
     }
 
     /// Returns the end of an attempt whose task panicked: the request may have been sent.
     pub fn connection_reset() -> Self {
-        Self::failed(CallError::ConnectionReset)
+        Self::failed(AttemptError::ConnectionReset)
     }
 
-    fn failed(error: CallError) -> Self {
+    fn failed(error: AttemptError) -> Self {
         Self { result: Err(error), reusable: None }
     }
 }
@@ -72,12 +72,12 @@
 
 /// Request of which at least the last byte was not written, and the connection if it can be reused.
 struct UnsentRequest {
-    error: CallError,
+    error: AttemptError,
     reusable: Option<HttpConnection>,
 }
 
-impl From<CallError> for UnsentRequest {
-    fn from(error: CallError) -> Self {
+impl From<AttemptError> for UnsentRequest {
+    fn from(error: AttemptError) -> Self {
         Self { error, reusable: None }
     }
 }
@@ -155,44 +155,44 @@
             };
             let announced = deadline.whole_milliseconds_left();
             if announced.is_zero() || !(self.may_send_request)() {
-                return Err(UnsentRequest { error: CallError::NotSent, reusable: Some(connection) });
+                return Err(UnsentRequest { error: AttemptError::NotSent, reusable: Some(connection) });
             }
             deadline.shorten_to(announced);
             match timeout(deadline.time_left(), connection.write_request(&(self.request)(announced))).await {
                 Ok(Ok(())) => return Ok(SentRequest { connection, on_new_connection }),
                 Ok(Err(_)) if reconnects < MAX_RECONNECTS => reconnects += 1,
-                _ => return Err(CallError::ConnectFailed.into()),
+                _ => return Err(AttemptError::ConnectFailed.into()),
             }
         }
     }
 
-    async fn connect(&self, deadline: &Deadline) -> Result<HttpConnection, CallError> {
+    async fn connect(&self, deadline: &Deadline) -> Result<HttpConnection, AttemptError> {
         let connect_timeout = self.connect_timeout.min(deadline.time_left());
         match timeout(connect_timeout, HttpConnection::open(self.address)).await {
             Ok(Ok(connection)) => Ok(connection),
-            Ok(Err(error)) => Err(CallError::from_connect_error(&error)),
-            Err(_) => Err(CallError::ConnectFailed),
+            Ok(Err(error)) => Err(AttemptError::from_connect_error(&error)),
+            Err(_) => Err(AttemptError::ConnectFailed),
         }
     }
 }
 
 /// Reads the status of the final response. Interim responses are skipped; they may arrive long before it.
-async fn read_status(connection: &mut HttpConnection, deadline: &Deadline) -> Result<u16, CallError> {
+async fn read_status(connection: &mut HttpConnection, deadline: &Deadline) -> Result<u16, AttemptError> {
     loop {
         match timeout(deadline.time_left(), connection.response_started()).await {
             Ok(Ok(())) => {}
-            Ok(Err(_)) => return Err(CallError::ConnectionReset),
-            Err(_) => return Err(CallError::TimedOut),
+            Ok(Err(_)) => return Err(AttemptError::ConnectionReset),
+            Err(_) => return Err(AttemptError::TimedOut),
         }
         match timeout(deadline.response_timeout(), connection.status()).await {
-            _ if deadline.time_left().is_zero() => return Err(CallError::TimedOut),
+            _ if deadline.time_left().is_zero() => return Err(AttemptError::TimedOut),
             Ok(Ok(100..200)) => {}
             Ok(Ok(status)) => return Ok(status),
-            _ => return Err(CallError::ConnectionReset),
+            _ => return Err(AttemptError::ConnectionReset),
         }
         let head = timeout(deadline.response_timeout(), connection.any_head()).await;
         if !matches!(head, Ok(Ok(_))) {
-            return Err(CallError::ConnectionReset);
+            return Err(AttemptError::ConnectionReset);
         }
     }
 }
--- a/crates/quillhub-server/src/attempts/tests.rs
+++ b/crates/quillhub-server/src/attempts/tests.rs
@@ -14,7 +14,7 @@
     timeout: Duration,
     request: impl Fn(Duration) -> Vec<u8>,
     may_send_request: impl Fn() -> bool,
-) -> (Result<Response, CallError>, Option<HttpConnection>) {
+) -> (Result<Response, AttemptError>, Option<HttpConnection>) {
     let attempt =
         Attempt { pooled, address, connect_timeout: UNREACHED_TIMEOUT, timeout, request, may_send_request };
     let AttemptEnd { result, reusable } = attempt.run().await;
@@ -23,12 +23,12 @@
 
 /// Makes one attempt at a fake endpoint that sends `answer`. Returns its outcome, whether that is final, and whether
 /// the connection can be reused.
-fn verdict_on(answer: &'static [u8]) -> (AttemptOutcome, bool, bool) {
+fn classify_response(answer: &'static [u8]) -> (AttemptOutcome, bool, bool) {
     on_one_thread(async {
         let (address, _requests) = answering(vec![answer]).await;
         let (result, connection) =
             attempt(None, address, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await;
-        let Verdict { outcome, finished } = Verdict::of(&result, false);
+        let ClassifiedResult { outcome, finished } = ClassifiedResult::classify(&result, false);
         (outcome, finished, connection.is_some())
     })
 }
@@ -87,7 +87,12 @@
         (b"", AttemptOutcome::ConnectionReset, false, false),
         (b"RESP", AttemptOutcome::ConnectionReset, false, false),
     ] {
-        assert_eq!(verdict_on(answer), (outcome, finished, reusable), "{}", String::from_utf8_lossy(answer));
+        assert_eq!(
+            classify_response(answer),
+            (outcome, finished, reusable),
+            "{}",
+            String::from_utf8_lossy(answer)
+        );
     }
 }
 
@@ -110,7 +115,10 @@
             let connection = if on_new_connection { None } else { HttpConnection::open(address).await.ok() };
             let (result, _) =
                 attempt(connection, address, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await;
-            assert_eq!(Verdict::of(&result, load_reports), Verdict { outcome: expected, finished: false });
+            assert_eq!(
+                ClassifiedResult::classify(&result, load_reports),
+                ClassifiedResult { outcome: expected, finished: false }
+            );
         });
     }
 }
@@ -162,7 +170,12 @@
         (b"HTTP/1.1 504 x\r\nContent-Length: 7\r\n\r\n", AttemptOutcome::ConnectionReset, false),
         (b"HTTP/1.1 410 x\r\nContent-Length: +0\r\n\r\n", AttemptOutcome::ConnectionReset, false),
     ] {
-        assert_eq!(verdict_on(answer), (outcome, finished, false), "{}", String::from_utf8_lossy(answer));
+        assert_eq!(
+            classify_response(answer),
+            (outcome, finished, false),
+            "{}",
+            String::from_utf8_lossy(answer)
+        );
     }
 }
 
@@ -173,27 +186,31 @@
         let closed = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         assert!(matches!(
             attempt(None, closed, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await.0,
-            Err(CallError::ConnectFailed)
+            Err(AttemptError::ConnectFailed)
         ));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let silent = listener.local_addr().unwrap();
         let open = async || Some(HttpConnection::open(silent).await.unwrap());
         assert!(matches!(
             attempt(open().await, silent, short, |_| b"x".to_vec(), || true).await.0,
-            Err(CallError::TimedOut)
+            Err(AttemptError::TimedOut)
         ));
         // The request exceeds the socket buffers, so its last byte is never written.
         let endless = vec![b'x'; 64 << 20];
         assert!(matches!(
             attempt(open().await, silent, short, |_| endless.clone(), || true).await.0,
-            Err(CallError::ConnectFailed)
+            Err(AttemptError::ConnectFailed)
         ));
         let (result, connection) =
             attempt(None, silent, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || false).await;
-        assert!(matches!(result, Err(CallError::NotSent)) && connection.is_some());
-        let ends =
-            [CallError::NotSent, CallError::ConnectFailed, CallError::ConnectionReset, CallError::TimedOut]
-                .map(|result| Verdict::of(&Err(result), true).outcome);
+        assert!(matches!(result, Err(AttemptError::NotSent)) && connection.is_some());
+        let ends = [
+            AttemptError::NotSent,
+            AttemptError::ConnectFailed,
+            AttemptError::ConnectionReset,
+            AttemptError::TimedOut,
+        ]
+        .map(|result| ClassifiedResult::classify(&Err(result), true).outcome);
         let expected = [
             AttemptOutcome::NotSent,
             AttemptOutcome::ConnectFailed,
@@ -247,7 +264,7 @@
             let (result, connection) =
                 attempt(Some(pooled), address, UNREACHED_TIMEOUT, |_| b"xyz".to_vec(), || true).await;
             // The second connection is refused, since the listener is closed: the message was not executed.
-            assert!(matches!(result, Err(CallError::ConnectFailed)) && connection.is_none());
+            assert!(matches!(result, Err(AttemptError::ConnectFailed)) && connection.is_none());
             assert!(!peer.await.unwrap().ends_with(b"z"), "the last byte was not sent");
         }
     });
@@ -255,7 +272,7 @@
 
 /// Makes an attempt with a timeout of 100 ms on a clock that advances in steps: once the endpoint has the last byte of
 /// the request, it writes each of `pieces` and advances the clock by `step`. Returns the result and the duration.
-fn attempt_on_stepped_clock(pieces: &[&[u8]], step: Duration) -> (Result<Response, CallError>, Duration) {
+fn attempt_on_stepped_clock(pieces: &[&[u8]], step: Duration) -> (Result<Response, AttemptError>, Duration) {
     on_one_thread(async {
         tokio::time::pause();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -287,7 +304,7 @@
 fn a_response_read_after_the_announced_deadline_counts_as_timed_out() {
     let whole = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     let (result, _) = attempt_on_stepped_clock(&[whole], Duration::from_millis(101));
-    assert!(matches!(result, Err(CallError::TimedOut)), "{result:?}");
+    assert!(matches!(result, Err(AttemptError::TimedOut)), "{result:?}");
     let (result, _) = attempt_on_stepped_clock(&[b"HTTP/1.1 ", b"200 OK\r\n\r\n"], Duration::from_millis(40));
     assert!(matches!(result, Ok(Response { status: 200, .. })), "{result:?}");
 }
@@ -301,7 +318,7 @@
         [(begun, 1), (&[&interim[..]], 1), (&[&b"HTTP/1.1 100 x\r\nA: "[..]], 1), (&endless, 1)]
     {
         let (result, took) = attempt_on_stepped_clock(pieces, Duration::from_millis(step));
-        assert!(matches!(result, Err(CallError::TimedOut | CallError::ConnectionReset)), "{result:?}");
+        assert!(matches!(result, Err(AttemptError::TimedOut | AttemptError::ConnectionReset)), "{result:?}");
         assert!(took <= attempt_timeout + Duration::from_millis(2), "{took:?}");
     }
     let (result, took) = attempt_on_stepped_clock(&[b"HTTP/1.1 503 x\r\nA: "], Duration::from_millis(1));
@@ -329,7 +346,7 @@
         });
         let request = |left: Duration| format!("left {}", left.as_millis()).into_bytes();
         let (result, _) = attempt(Some(pooled), address, Duration::from_millis(100), request, || true).await;
-        assert!(matches!(result, Err(CallError::TimedOut)), "{result:?}");
+        assert!(matches!(result, Err(AttemptError::TimedOut)), "{result:?}");
         let left: u64 = peer.await.unwrap()["left ".len()..].parse().unwrap();
         assert!((95..=98).contains(&left), "{left} ms");
     });
--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -2,7 +2,7 @@
 
 use super::messages::PendingMessage;
 use super::{AttemptId, Instance, log_failed_write};
-use crate::attempts::{Attempt, AttemptEnd, Verdict};
+use crate::attempts::{Attempt, AttemptEnd, ClassifiedResult};
 use crate::http;
 use crate::wal::{FinalResult, RecordKind};
 use quillhub::{Dispatcher, Driver, LogEvent, MessageId};
@@ -43,14 +43,14 @@
         self.attempts_in_flight += 1;
         let weak = self.weak.clone();
         spawn_local(async move {
-            let call = spawn_local(async move {
+            let task = spawn_local(async move {
                 match attempt {
                     Some(attempt) => attempt.run().await,
                     None => AttemptEnd::not_sent(),
                 }
             });
             // A panic in the attempt's task ends only that attempt. The message may have been executed.
-            let end = call.await.unwrap_or_else(|_| AttemptEnd::connection_reset());
+            let end = task.await.unwrap_or_else(|_| AttemptEnd::connection_reset());
             if let Some(instance) = weak.upgrade() {
                 instance.borrow_mut().attempt_ended(&id, end, started.elapsed());
             }
@@ -58,16 +58,16 @@
     }
 
     /// Records in the log that an attempt finished its message or is known not to have executed it.
-    pub(super) fn record_attempt(&mut self, id: &AttemptId, verdict: &Verdict) {
+    pub(super) fn record_attempt(&mut self, id: &AttemptId, classified: &ClassifiedResult) {
         if !self.messages.contains(id.message) {
             return;
         }
-        if verdict.finished {
+        if classified.finished {
             log_failed_write(id.message, RecordKind::Finished, self.wal.record_finished(id.message));
             if let Some(message) = self.messages.remove(id.message) {
                 self.messages.retain_client_id(self.now(), message.client_id);
             }
-        } else if verdict.outcome.known_not_executed() {
+        } else if classified.outcome.known_not_executed() {
             log_failed_write(
                 id.message,
                 RecordKind::NotExecuted,
--- a/crates/quillhub-server/src/instance/mod.rs
+++ b/crates/quillhub-server/src/instance/mod.rs
@@ -15,7 +15,7 @@
 pub use outcome_queue::FinalOutcome;
 pub use submission::{InvalidSubmission, Submission, SubmitOutcome};
 
-use crate::attempts::{AttemptEnd, Verdict};
+use crate::attempts::{AttemptEnd, ClassifiedResult};
 use crate::gossip::GossipSocket;
 use crate::pool::ConnectionPool;
 use crate::wal::{AppendError, FinalResult, RecordKind, Wal};
@@ -277,11 +277,11 @@
         if let Some(connection) = end.reusable {
             self.pool.put_back(endpoint, connection);
         }
-        let verdict = Verdict::of(&end.result, self.load_reports);
+        let classified = ClassifiedResult::classify(&end.result, self.load_reports);
         let duration = end.result.as_ref().map_or(elapsed, |response| response.latency);
         let load_report = end.result.ok().and_then(|response| response.load_report);
         let load_report = load_report.filter(|_| self.load_reports);
-        let outcome = verdict.outcome;
+        let outcome = classified.outcome;
         tracing::debug!(
             message_id = message,
             attempt,
@@ -291,8 +291,8 @@
             ?load_report,
             "attempt ended"
         );
-        self.record_attempt(id, &verdict);
-        let finished = verdict.finished;
+        self.record_attempt(id, &classified);
+        let finished = classified.finished;
         self.handle_event(|dispatcher| {
             dispatcher.attempt_ended(AttemptResult {
                 message,
