--- a/crates/quillhub-server/src/attempts/mod.rs
+++ b/crates/quillhub-server/src/attempts/mod.rs
@@ -15,9 +15,9 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Time limit for the rest of a response after its first byte. Endpoints write a response at once, and a quarter of a
-/// second covers the retransmission of a packet. Guards against responses that never end, which would keep their
-/// attempt in flight.
+/// Time limit for each part of a response after its first byte: the status line, an interim head, and the rest.
+/// Endpoints write a response in one piece, and a quarter of a second covers the retransmission of a packet. Guards
+/// against responses that never end, which would keep their attempt in flight.
 const RESPONSE_REST_TIMEOUT: Duration = Duration::from_millis(250);
 /// Number of times that an attempt reconnects when its connection breaks before the last byte of the request: once
 /// for a stale pooled connection, and once for a new connection that happens to break.
@@ -41,7 +41,7 @@
 
 /// End of an attempt: its result, and its connection if that can be reused.
 pub struct AttemptEnd {
-    /// Response, or the error that shows how far the request came without one.
+    /// Response, or the error, which tells which part of the request was sent.
     pub result: Result<Response, AttemptError>,
     /// Connection of the attempt, if another attempt may use it.
     pub reusable: Option<HttpConnection>,
@@ -98,7 +98,7 @@
         self.after.saturating_sub(self.started.elapsed())
     }
 
-    /// Returns the time limit for a part of a response that endpoints write at once.
+    /// Returns the time limit for a part of a response, which endpoints write in one piece.
     fn response_timeout(&self) -> Duration {
         RESPONSE_REST_TIMEOUT.min(self.time_left())
     }
@@ -122,10 +122,10 @@
 {
     /// Makes the attempt: on the pooled connection if that is still open, otherwise on a new one.
     ///
-    /// A response whose status line is read after the deadline that the request stated counts as none, since the
-    /// endpoint may have given the request up by then. This guards against responses that arrive after the deadline but
-    /// before the timer fires, which has millisecond resolution, and against responses that begin in time but do not
-    /// end. It may time out an attempt whose response arrived while this process was suspended.
+    /// A response whose status line is read after the deadline that the request stated counts as no response, since the
+    /// endpoint may have stopped processing the request by then. This guards against responses that arrive after the
+    /// deadline but before the timer fires, which has millisecond resolution, and against responses that begin in time
+    /// but do not end. It may time out an attempt whose response arrived while this process was suspended.
     pub async fn run(mut self) -> AttemptEnd {
         let mut deadline = Deadline::after(self.timeout);
         let SentRequest { mut connection, on_new_connection } = match self.send(&mut deadline).await {
@@ -153,12 +153,14 @@
                 Some(connection) => connection,
                 None => self.connect(deadline).await?,
             };
-            let announced = deadline.whole_milliseconds_left();
-            if announced.is_zero() || !(self.may_send_request)() {
+            let stated_time_left = deadline.whole_milliseconds_left();
+            if stated_time_left.is_zero() || !(self.may_send_request)() {
                 return Err(UnsentRequest { error: AttemptError::NotSent, reusable: Some(connection) });
             }
-            deadline.shorten_to(announced);
-            match timeout(deadline.time_left(), connection.write_request(&(self.request)(announced))).await {
+            deadline.shorten_to(stated_time_left);
+            match timeout(deadline.time_left(), connection.write_request(&(self.request)(stated_time_left)))
+                .await
+            {
                 Ok(Ok(())) => return Ok(SentRequest { connection, on_new_connection }),
                 Ok(Err(_)) if reconnects < MAX_RECONNECTS => reconnects += 1,
                 _ => return Err(AttemptError::ConnectFailed.into()),
--- a/crates/quillhub-server/src/attempts/response.rs
+++ b/crates/quillhub-server/src/attempts/response.rs
@@ -6,16 +6,17 @@
 use std::time::Duration;
 
 /// Maximum size of a response's body. The content is ignored; it is only read so that the connection can be reused.
-const MAX_BODY_BYTES: usize = 64 * 1024;
+const MAX_RESPONSE_BODY_BYTES: usize = 64 * 1024;
 /// Maximum plausible rate limit in a load report, in requests per second; a report with a higher one is ignored.
 const MAX_RATE_PER_S: f64 = 1e6;
 
 /// Name of the header with the delay that the endpoint requests before the next attempt, in milliseconds.
-const RETRY_AFTER: &str = "x-backoff-ms";
-/// Name of the header that a proxy before the endpoint sets to 1 if it did not forward the request.
-const EGRESS_FULL: &str = "x-egress-full";
+const RETRY_AFTER_HEADER: &str = "x-backoff-ms";
+/// Name of the header that a proxy between the instance and the endpoint sets to 1 if it did not send the message on
+/// because all slots on the way to the endpoint were taken.
+const EGRESS_FULL_HEADER: &str = "x-egress-full";
 /// Name of the header with the load report of the endpoint.
-const LOAD_REPORT: &str = "x-load";
+const LOAD_REPORT_HEADER: &str = "x-load";
 
 /// Response, as far as it could be read.
 #[derive(Debug)]
@@ -29,7 +30,7 @@
     pub latency: Duration,
     /// Delay that the endpoint requests before the next attempt, if any.
     pub retry_after: Option<Duration>,
-    /// `true` if a proxy did not forward the request to the endpoint because all its slots were in use.
+    /// `true` if a proxy did not send the message on because all slots on the way to the endpoint were taken.
     pub egress_full: bool,
     /// `true` if the connection was opened for this attempt.
     pub on_new_connection: bool,
@@ -57,7 +58,7 @@
         let Ok(head) = connection.head().await else { return false };
         self.read_headers(&head);
         let Ok(framing) = head.framing() else { return false };
-        if connection.body(framing, MAX_BODY_BYTES).await.is_err() {
+        if connection.body(framing, MAX_RESPONSE_BODY_BYTES).await.is_err() {
             return false;
         }
         self.complete = connection.has_no_surplus() || connection.surplus_is_response();
@@ -65,11 +66,12 @@
     }
 
     fn read_headers(&mut self, head: &http::Head) {
-        let retry_after = head.header(RETRY_AFTER).and_then(|millis| millis.trim().parse::<f64>().ok());
+        let retry_after =
+            head.header(RETRY_AFTER_HEADER).and_then(|millis| millis.trim().parse::<f64>().ok());
         let retry_after = retry_after.and_then(|millis| Duration::try_from_secs_f64(millis / 1e3).ok());
         self.retry_after = retry_after.filter(|wait| !wait.is_zero());
-        self.egress_full = head.header(EGRESS_FULL).is_some_and(|full| full.trim() == "1");
-        self.load_report = head.header(LOAD_REPORT).and_then(parse_load_report);
+        self.egress_full = head.header(EGRESS_FULL_HEADER).is_some_and(|full| full.trim() == "1");
+        self.load_report = head.header(LOAD_REPORT_HEADER).and_then(parse_load_report);
     }
 }
 
--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -15,7 +15,7 @@
 const DELIVERY_PATH: &str = "/events";
 
 /// Returns a function that encodes the request to deliver `message`. Its argument is the time that the attempt will
-/// still wait for the response, which the request announces to the endpoint.
+/// still wait for the response, which the request states to the endpoint.
 fn delivery_request(
     message: &PendingMessage,
     address: Option<SocketAddr>,
