--- a/crates/quillhub-server/src/attempts/tests.rs
+++ b/crates/quillhub-server/src/attempts/tests.rs
@@ -21,11 +21,11 @@
     (result, reusable)
 }
 
-/// Makes one attempt at a fake endpoint that sends `answer`. Returns its outcome, whether that is final, and whether
-/// the connection can be reused.
-fn classify_response(answer: &'static [u8]) -> (AttemptOutcome, bool, bool) {
+/// Makes one attempt at a fake endpoint that sends `response`. Returns its outcome, whether it finishes the message,
+/// and whether the connection can be reused.
+fn classify_response(response: &'static [u8]) -> (AttemptOutcome, bool, bool) {
     on_one_thread(async {
-        let (address, _requests) = answering(vec![answer]).await;
+        let (address, _requests) = answering(vec![response]).await;
         let (result, connection) =
             attempt(None, address, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await;
         let ClassifiedResult { outcome, finished } = ClassifiedResult::classify(&result, false);
@@ -34,9 +34,9 @@
 }
 
 #[test]
-fn each_response_has_its_outcome() {
+fn responses_are_classified_by_status_and_headers() {
     let wait = Some(Duration::from_millis(1500));
-    for (answer, outcome, finished, reusable) in [
+    for (response, outcome, finished, reusable) in [
         (OK, AttemptOutcome::Delivered, true, true),
         (
             &b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"[..],
@@ -88,22 +88,22 @@
         (b"RESP", AttemptOutcome::ConnectionReset, false, false),
     ] {
         assert_eq!(
-            classify_response(answer),
+            classify_response(response),
             (outcome, finished, reusable),
             "{}",
-            String::from_utf8_lossy(answer)
+            String::from_utf8_lossy(response)
         );
     }
 }
 
 /// A rejection by a full connection table is not due to the rate limit. Without the distinction, 46,139 of 46,401
-/// rejections on a day without faults, with many instances, were mistaken for rejections by a rate limit.
+/// rejections in a run without faults, with many instances, were mistaken for rejections by a rate limit.
 #[test]
-fn only_a_rejection_of_a_new_connection_without_a_load_report_is_a_connection_limit() {
+fn only_a_rejection_without_a_load_report_on_a_new_connection_counts_as_a_connection_limit() {
     let bare = &b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"[..];
     let reporting = &b"HTTP/1.1 503 x\r\nX-Load: x0=0,x1=9\r\nContent-Length: 0\r\n\r\n"[..];
     let waiting = &b"HTTP/1.1 503 x\r\nX-Backoff-Ms: 9\r\nContent-Length: 0\r\n\r\n"[..];
-    for (answer, on_new_connection, load_reports, expected) in [
+    for (response, on_new_connection, load_reports, expected) in [
         (bare, true, true, AttemptOutcome::ConnectionLimit),
         (bare, true, false, AttemptOutcome::Rejected { retry_after: None }),
         (bare, false, true, AttemptOutcome::Rejected { retry_after: None }),
@@ -111,7 +111,7 @@
         (waiting, true, true, AttemptOutcome::Rejected { retry_after: Some(Duration::from_millis(9)) }),
     ] {
         on_one_thread(async {
-            let (address, _requests) = answering(vec![answer]).await;
+            let (address, _requests) = answering(vec![response]).await;
             let connection = if on_new_connection { None } else { HttpConnection::open(address).await.ok() };
             let (result, _) =
                 attempt(connection, address, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await;
@@ -123,11 +123,12 @@
     }
 }
 
-/// A rejection that is taken from a corrupted response would let a message be sent again that may have been executed.
+/// A rejection that is taken from a corrupted response would let a message be sent again that may have been executed. A
+/// duplicate response after a complete one does not corrupt it.
 #[test]
-fn a_corrupted_response_proves_nothing_but_a_200_status_line_and_does_not_prolong_its_attempt() {
+fn a_corrupted_response_never_shows_that_the_message_was_not_executed() {
     let wait = Some(Duration::from_millis(1500));
-    for (answer, outcome, finished) in [
+    for (response, outcome, finished) in [
         (&b"HTTP/1.1 200 OK\r\nCont\0ent: \xff"[..], AttemptOutcome::Delivered, true),
         (b"HTTP/1.1 200 OK\r\nA: b", AttemptOutcome::Delivered, true),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", AttemptOutcome::Delivered, true),
@@ -171,16 +172,16 @@
         (b"HTTP/1.1 410 x\r\nContent-Length: +0\r\n\r\n", AttemptOutcome::ConnectionReset, false),
     ] {
         assert_eq!(
-            classify_response(answer),
+            classify_response(response),
             (outcome, finished, false),
             "{}",
-            String::from_utf8_lossy(answer)
+            String::from_utf8_lossy(response)
         );
     }
 }
 
 #[test]
-fn the_error_of_an_attempt_without_a_response_shows_how_far_its_request_came() {
+fn the_error_of_an_attempt_without_a_response_tells_which_part_of_its_request_was_sent() {
     on_one_thread(async {
         let short = Duration::from_millis(20);
         let closed = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
@@ -222,7 +223,7 @@
 }
 
 #[test]
-fn a_load_report_is_read_where_both_values_are_present() {
+fn a_load_report_is_read_if_both_values_are_present_and_plausible() {
     assert_eq!(
         parse_load_report("x0=0.4,x1=25"),
         Some(LoadReport { remaining_share: 0.4, rate_limit: 25.0 })
@@ -238,12 +239,12 @@
     }
 }
 
-/// A request that is written completely to a connection that the endpoint has closed, or on which a late duplicate
-/// arrives, ends with the attempt unresolved, although the message was not executed.
+/// Guards against attempts that count as possibly executed although the endpoint got no complete request: those on a
+/// connection that the endpoint has closed, or on which a duplicate response arrives.
 #[test]
-fn a_pooled_connection_that_closes_or_receives_a_stray_response_is_replaced_before_the_last_byte() {
+fn a_pooled_connection_that_closes_or_receives_a_duplicate_response_is_replaced_before_the_last_byte() {
     on_one_thread(async {
-        for stray in [&b""[..], b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"] {
+        for surplus in [&b""[..], b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let address = listener.local_addr().unwrap();
             let pooled = HttpConnection::open(address).await.unwrap();
@@ -252,9 +253,10 @@
             let peer = spawn_local(async move {
                 let mut first = [0; 1];
                 server_stream.read_exact(&mut first).await.unwrap();
-                server_stream.write_all(stray).await.unwrap(); // the peer closes or sends once the request begins to arrive
+                // The peer closes or sends once the request begins to arrive.
+                server_stream.write_all(surplus).await.unwrap();
                 let mut rest = Vec::new();
-                if stray.is_empty() {
+                if surplus.is_empty() {
                     drop(server_stream);
                 } else {
                     server_stream.read_to_end(&mut rest).await.unwrap();
@@ -298,10 +300,10 @@
 }
 
 /// The timer has millisecond resolution, so a response may be read just after the deadline, when the endpoint may have
-/// given the request up. An attempt that took 2.488018365 s, with 2.487269528 s announced, counted as delivered that
-/// way, and the message was lost.
+/// stopped processing the request. An attempt that took 2.488018365 s, with 2.487269528 s stated, counted as delivered
+/// that way, and the message was lost.
 #[test]
-fn a_response_read_after_the_announced_deadline_counts_as_timed_out() {
+fn a_response_read_after_the_stated_deadline_counts_as_timed_out() {
     let whole = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     let (result, _) = attempt_on_stepped_clock(&[whole], Duration::from_millis(101));
     assert!(matches!(result, Err(AttemptError::TimedOut)), "{result:?}");
