--- a/crates/quillhub-server/src/clients/socket.rs
+++ b/crates/quillhub-server/src/clients/socket.rs
@@ -27,7 +27,7 @@
 
 /// Appends input that has already arrived to `input`, and returns `true` if there was any.
 ///
-/// Reads from the system even if the runtime has not seen the socket become readable yet: a command that arrives
+/// Reads from the system even if the runtime has not updated the readiness of the socket yet: a command that arrives
 /// completely before the server's side is closed must be answered.
 pub(super) fn read_pending(stream: &TcpStream, input: &mut Vec<u8>) -> bool {
     let mut octets = [0; READ_BYTES];
--- a/crates/quillhub-server/src/connection.rs
+++ b/crates/quillhub-server/src/connection.rs
@@ -1,6 +1,6 @@
 //! HTTP connection to a server: a socket, and a buffer with input that was read and not consumed.
 //!
-//! Invariant: the buffer starts with the part of the current response that was not consumed, or is empty.
+//! Invariant: consumed input is removed from the buffer, which therefore starts at the first byte not consumed.
 
 use crate::http::{self, Framing, Head};
 use socket2::SockRef;
@@ -16,14 +16,16 @@
 /// Error after which a connection cannot be used any more.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
-    /// The server closed the connection or ended a stream of changes, or a response exceeded a limit of time or size.
+    /// The server closed the connection or ended a stream of changes, or a response exceeded a limit of time, or a list
+    /// in a stream of changes its limit of size.
     #[error("the server ended the response, or the response exceeded a limit of time or size")]
     Ended,
     /// The connection could not be opened, or a read or a write failed.
     #[error("{0}")]
     Failed(#[source] io::Error),
-    /// The server sent something that is no valid HTTP response, or not the response that the request calls for.
-    #[error("the server sent a malformed or unexpected response")]
+    /// The server sent something that is no valid HTTP response, or one that is too long or not what the request calls
+    /// for.
+    #[error("the server sent a malformed, too long or unexpected response")]
     Malformed,
 }
 
@@ -55,7 +57,7 @@
     stream: TcpStream,
     buffer: Vec<u8>,
     /// Time limit of each read; `None` if reads may wait without limit.
-    silence_timeout: Option<Duration>,
+    read_timeout: Option<Duration>,
 }
 
 impl HttpConnection {
@@ -67,13 +69,13 @@
     pub async fn open(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        Ok(Self { stream, buffer: Vec::new(), silence_timeout: None })
+        Ok(Self { stream, buffer: Vec::new(), read_timeout: None })
     }
 
     /// Sets the time limit of each further read. A read that receives nothing for `max` fails with
     /// [`ConnectionError::Ended`]; a response as a whole may take longer.
-    pub(crate) fn set_silence_timeout(&mut self, max: Duration) {
-        self.silence_timeout = Some(max);
+    pub(crate) fn set_read_timeout(&mut self, max: Duration) {
+        self.read_timeout = Some(max);
     }
 
     /// Writes `octets` unchanged.
@@ -88,8 +90,8 @@
     /// Writes a request. The last byte is written after a short delay, and only if the connection is still open then
     /// and nothing was received on it, so that a request that fails here was not executed.
     ///
-    /// Guards against pooled connections that broke without a sign, and against late copies of an earlier response.
-    /// The delay lengthens every attempt.
+    /// Guards against pooled connections that broke undetected, and against duplicate responses. The delay lengthens
+    /// every attempt.
     ///
     /// # Errors
     ///
@@ -106,7 +108,7 @@
     async fn read_more(&mut self) -> Result<(), ConnectionError> {
         self.buffer.reserve(MIN_READ_BYTES);
         let read = self.stream.read_buf(&mut self.buffer);
-        let read = match self.silence_timeout {
+        let read = match self.read_timeout {
             Some(max) => timeout(max, read).await.map_err(|_| ConnectionError::Ended)?,
             None => read.await,
         };
@@ -234,7 +236,7 @@
 
     /// Returns `true` if the connection is open and there is no input, so that it can be used for a request.
     ///
-    /// Queries the system, since the runtime learns only at its next wait what the socket has received.
+    /// Queries the system, since the runtime updates the readiness of the socket only when it next waits for events.
     pub(crate) fn is_idle(&self) -> bool {
         let blocks = |e: io::Error| e.kind() == ErrorKind::WouldBlock;
         let peeked = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
--- a/crates/quillhub-server/src/discovery/return_tests.rs
+++ b/crates/quillhub-server/src/discovery/return_tests.rs
@@ -1,7 +1,7 @@
 //! Tests that changes are known in time once discovery returns from an outage or is slow, however earlier requests were
 //! lost. They use real sockets and virtual time.
 
-use super::watch::{MAX_LIST_BYTES, PATH, REQUEST_TIMEOUT, SILENCE_TIMEOUT, request};
+use super::watch::{MAX_LIST_BYTES, PATH, READ_TIMEOUT, REQUEST_TIMEOUT, request};
 use super::*;
 use crate::connection::ConnectionError;
 use crate::test_support::{StateDirectory, answering, configuration, full, instance_with, on_one_thread};
@@ -286,9 +286,7 @@
                 stream.write(octets.as_bytes()).await.unwrap();
                 advance(Duration::from_millis(200)).await;
             }
-            timeout(SILENCE_TIMEOUT, until_known(&instance))
-                .await
-                .expect("the list is given up before its end");
+            timeout(READ_TIMEOUT, until_known(&instance)).await.expect("the list is given up before its end");
         });
     }
 }
--- a/crates/quillhub-server/src/discovery/watch.rs
+++ b/crates/quillhub-server/src/discovery/watch.rs
@@ -19,12 +19,12 @@
 pub(super) const PATH: &str = "/registry/instances";
 /// Time without input after which a watch counts as ended, even if its connection is still open. Discovery sends a line
 /// every 2 s.
-pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
+pub(super) const READ_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time limit of a request from opening the connection to the end of the response's head. Discovery responds at once,
 /// and the limit leaves time for a connection that is established with the system's second try, after 1 s. Connection
 /// and head share one limit, since a request that is lost while discovery returns must leave time for the next one
 /// (docs/discovery-timing.md).
-pub(super) const REQUEST_TIMEOUT: Duration = SILENCE_TIMEOUT;
+pub(super) const REQUEST_TIMEOUT: Duration = READ_TIMEOUT;
 /// Time limit for a list from its first byte to its last, while more of it keeps arriving: enough for the longest list
 /// at 140 KB/s.
 const LIST_TIMEOUT: Duration = Duration::from_secs(30);
@@ -54,7 +54,7 @@
     if head.status != 200 {
         return Err(ConnectionError::Malformed);
     }
-    connection.set_silence_timeout(SILENCE_TIMEOUT);
+    connection.set_read_timeout(READ_TIMEOUT);
     Ok((connection, head.framing()?))
 }
 
--- a/crates/quillhub-server/src/gossip.rs
+++ b/crates/quillhub-server/src/gossip.rs
@@ -38,13 +38,16 @@
     /// Sends a gossip message to all instances, or drops it if that is not possible without waiting.
     pub fn broadcast(&self, message: &[u8]) {
         if message.len() > MAX_DATAGRAM_BYTES {
-            tracing::error!(bytes = message.len(), "a gossip message is too long");
+            tracing::error!(
+                bytes = message.len(),
+                "gossip message exceeds the maximum datagram length and is not sent"
+            );
         } else if let Err(error) = self.socket.try_send_to(message, self.all) {
             tracing::debug!(%error, "a gossip message was not sent");
         }
     }
 
-    /// Passes each gossip message from other instances to `handle`, without end.
+    /// Passes each gossip message from other instances to `handle`. Never returns.
     pub async fn receive(self: Rc<Self>, handle: impl Fn(&[u8])) {
         let mut octets = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
--- a/crates/quillhub-server/src/http.rs
+++ b/crates/quillhub-server/src/http.rs
@@ -39,7 +39,7 @@
 }
 
 impl Head {
-    /// Returns the value of the first header called `name`, in upper or lower case.
+    /// Returns the value of the first header `name`, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1.as_str())
     }
--- a/crates/quillhub-server/src/http_tests.rs
+++ b/crates/quillhub-server/src/http_tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_malformed_head_is_refused_and_a_head_without_end_is_bounded() {
+fn a_malformed_head_is_refused_and_so_is_an_endless_one() {
     for text in
         ["HTTP/2 200", "HTTP/1.1 abc", "HTTP/1.1 20 \r\n", "HTTP/1.1 200\n", "HTTP/1.1 200 OK\r\n: x\r\n"]
     {
--- a/crates/quillhub-server/src/pool_tests.rs
+++ b/crates/quillhub-server/src/pool_tests.rs
@@ -33,8 +33,8 @@
     });
 }
 
-/// The runtime learns only at its next wait what the socket has received. A request that is written before that would
-/// be lost on a closed connection, or take stray input for its response.
+/// The runtime updates the readiness of a socket only when it next waits for events. A request that is written before
+/// that would be lost on a closed connection, or take surplus input for its response.
 #[test]
 fn a_pooled_connection_that_closed_or_received_input_since_the_last_wait_is_not_reused() {
     on_one_thread(async {
@@ -45,10 +45,10 @@
             pool.endpoint_listed("e", address);
             pool.put_back("e", HttpConnection::open(address).await.unwrap());
             let mut peer = listener.accept().await.unwrap().0.into_std().unwrap();
-            // No await from here on, so that the runtime does not learn of the input or of the close.
+            // No await from here on, so that the runtime does not update the readiness of the socket.
             std::io::Write::write_all(&mut peer, received).unwrap();
             let peer = Some(peer).filter(|_| !received.is_empty());
-            assert!(pool.take("e").is_none(), "{}", if peer.is_some() { "stray input" } else { "closed" });
+            assert!(pool.take("e").is_none(), "{}", if peer.is_some() { "surplus input" } else { "closed" });
         }
     });
 }
