--- a/crates/quillhub-server/src/clients/commands.rs
+++ b/crates/quillhub-server/src/clients/commands.rs
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub(super) enum Reply {
     /// Encoded reply.
-    Octets(Vec<u8>),
+    Bytes(Vec<u8>),
     /// Confirmation that a message was accepted; if it cannot be written, the message must be withdrawn.
     Accepted(MessageId),
     /// Error reply, before which the connection pauses.
@@ -115,8 +115,8 @@
 fn submit(instance: &RefCell<Instance>, submission: Submission) -> Reply {
     match instance.borrow_mut().submit(submission) {
         SubmitOutcome::Accepted(message) => Reply::Accepted(message),
-        SubmitOutcome::Rejected { retry_after } => Reply::Octets(resp::busy(retry_after)),
-        SubmitOutcome::Failed(failure) => Reply::Octets(resp::error(failure)),
+        SubmitOutcome::Rejected { retry_after } => Reply::Bytes(resp::busy(retry_after)),
+        SubmitOutcome::Failed(failure) => Reply::Bytes(resp::error(failure)),
         SubmitOutcome::Invalid(reason) => Reply::Error(reason.into()),
     }
 }
@@ -124,16 +124,16 @@
 /// Parses and executes the command that consists of `parts`, and returns the reply to it.
 pub(super) fn execute(instance: &RefCell<Instance>, parts: &[&[u8]]) -> Reply {
     match Command::parse(parts) {
-        Ok(Command::Empty) => Reply::Octets(Vec::new()),
-        Ok(Command::Ping { text: None }) => Reply::Octets(resp::PONG.to_vec()),
-        Ok(Command::Ping { text: Some(text) }) => Reply::Octets(resp::bulk(text)),
+        Ok(Command::Empty) => Reply::Bytes(Vec::new()),
+        Ok(Command::Ping { text: None }) => Reply::Bytes(resp::PONG.to_vec()),
+        Ok(Command::Ping { text: Some(text) }) => Reply::Bytes(resp::bulk(text)),
         Ok(Command::Submit(submission)) => submit(instance, submission),
         Err(error) => Reply::Error(error),
     }
 }
 
-fn parse_number(octets: &[u8], radix: u32) -> Option<u64> {
-    u64::from_str_radix(std::str::from_utf8(octets).ok()?, radix).ok()
+fn parse_number(bytes: &[u8], radix: u32) -> Option<u64> {
+    u64::from_str_radix(std::str::from_utf8(bytes).ok()?, radix).ok()
 }
 
 /// Returns `true` if an id or idempotency key can be forwarded unchanged in a header.
--- a/crates/quillhub-server/src/clients/connection.rs
+++ b/crates/quillhub-server/src/clients/connection.rs
@@ -199,7 +199,7 @@
                 self.large_permit = self.admission.large_command_permit().await;
                 self.registration.large_command_started();
             }
-            socket::read(self.stream, |octets| self.input.extend_from_slice(octets)).await
+            socket::read(self.stream, |bytes| self.input.extend_from_slice(bytes)).await
         };
         Ok(tokio::select! {
             biased;
@@ -213,8 +213,8 @@
 
     /// Writes a reply; returns the reason for the end, if the connection closes with it.
     async fn reply(&mut self, reply: Reply) -> io::Result<Option<End>> {
-        let (octets, accepted): (Cow<[u8]>, _) = match &reply {
-            Reply::Octets(octets) => (octets.into(), None),
+        let (bytes, accepted): (Cow<[u8]>, _) = match &reply {
+            Reply::Bytes(bytes) => (bytes.into(), None),
             Reply::Accepted(message) => (resp::OK.into(), Some(*message)),
             Reply::Error(error) if error.closes_connection() || self.is_last_error() => {
                 return self.reply_and_close(error.clone()).await.map(Some);
@@ -225,7 +225,7 @@
                 (resp::error(error).into(), None)
             }
         };
-        let written = timeout(WRITE_TIMEOUT, self.stream.write_all(&octets)).await;
+        let written = timeout(WRITE_TIMEOUT, self.stream.write_all(&bytes)).await;
         if !matches!(written, Ok(Ok(()))) {
             if let Some(message) = accepted {
                 self.instance.borrow_mut().withdraw(message);
--- a/crates/quillhub-server/src/clients/socket.rs
+++ b/crates/quillhub-server/src/clients/socket.rs
@@ -13,12 +13,12 @@
 pub(super) async fn read(stream: &TcpStream, mut take: impl FnMut(&[u8])) -> io::Result<usize> {
     loop {
         stream.readable().await?;
-        let mut octets = [0; READ_BYTES];
-        match stream.try_read(&mut octets) {
+        let mut bytes = [0; READ_BYTES];
+        match stream.try_read(&mut bytes) {
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(error) => return Err(error),
             Ok(length) => {
-                take(&octets[..length]);
+                take(&bytes[..length]);
                 return Ok(length);
             }
         }
@@ -30,9 +30,9 @@
 /// Reads from the system even if the runtime has not updated the readiness of the socket yet: a command that arrives
 /// completely before the server's side is closed must be answered.
 pub(super) fn read_pending(stream: &TcpStream, input: &mut Vec<u8>) -> bool {
-    let mut octets = [0; READ_BYTES];
-    let Ok(length @ 1..) = (&*socket2::SockRef::from(stream)).read(&mut octets) else { return false };
-    input.extend_from_slice(&octets[..length]);
+    let mut bytes = [0; READ_BYTES];
+    let Ok(length @ 1..) = (&*socket2::SockRef::from(stream)).read(&mut bytes) else { return false };
+    input.extend_from_slice(&bytes[..length]);
     true
 }
 
--- a/crates/quillhub-server/src/connection.rs
+++ b/crates/quillhub-server/src/connection.rs
@@ -78,13 +78,13 @@
         self.read_timeout = Some(max);
     }
 
-    /// Writes `octets` unchanged.
+    /// Writes `bytes` unchanged.
     ///
     /// # Errors
     ///
     /// Returns an error if the connection is broken.
-    pub async fn write(&mut self, octets: &[u8]) -> io::Result<()> {
-        self.stream.write_all(octets).await
+    pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.stream.write_all(bytes).await
     }
 
     /// Writes a request. The last byte is written after a short delay, and only if the connection is still open then
@@ -148,7 +148,7 @@
     ///
     /// Returns an error if no valid status line arrives.
     pub(crate) async fn status(&mut self) -> Result<u16, ConnectionError> {
-        self.read_parsed(|octets| Ok(http::status(octets)?.map(|status| (status, 0)))).await
+        self.read_parsed(|bytes| Ok(http::status(bytes)?.map(|status| (status, 0)))).await
     }
 
     /// Returns `true` if nothing was read beyond the last response.
@@ -190,8 +190,8 @@
     ///
     /// Returns an error if no valid chunk arrives, or one longer than `max_bytes`.
     pub async fn chunk(&mut self, max_bytes: usize) -> Result<Vec<u8>, ConnectionError> {
-        self.read_parsed(|octets| {
-            Ok(http::chunk(octets, max_bytes)?.map(|(chunk, used)| (chunk.to_vec(), used)))
+        self.read_parsed(|bytes| {
+            Ok(http::chunk(bytes, max_bytes)?.map(|(chunk, used)| (chunk.to_vec(), used)))
         })
         .await
     }
@@ -212,11 +212,11 @@
                 body.extend(self.buffer.drain(..length));
             }
             Framing::Chunked => loop {
-                let octets = self.chunk(max_bytes).await?;
-                if octets.is_empty() {
+                let bytes = self.chunk(max_bytes).await?;
+                if bytes.is_empty() {
                     break;
                 }
-                body.extend_from_slice(&octets);
+                body.extend_from_slice(&bytes);
                 if body.len() > max_bytes {
                     return Err(ConnectionError::Malformed);
                 }
--- a/crates/quillhub-server/src/discovery/return_tests.rs
+++ b/crates/quillhub-server/src/discovery/return_tests.rs
@@ -282,8 +282,8 @@
             stream.write(if complete { length.as_bytes() } else { CHUNKED.as_bytes() }).await.unwrap();
             for piece in text.as_bytes().chunks(64 << 10) {
                 let piece = std::str::from_utf8(piece).unwrap();
-                let octets = if complete { piece.to_owned() } else { chunk(piece) };
-                stream.write(octets.as_bytes()).await.unwrap();
+                let bytes = if complete { piece.to_owned() } else { chunk(piece) };
+                stream.write(bytes.as_bytes()).await.unwrap();
                 advance(Duration::from_millis(200)).await;
             }
             timeout(READ_TIMEOUT, until_known(&instance)).await.expect("the list is given up before its end");
--- a/crates/quillhub-server/src/discovery/stream.rs
+++ b/crates/quillhub-server/src/discovery/stream.rs
@@ -14,12 +14,12 @@
 }
 
 impl ValueBoundaries {
-    /// Scans the next `octets` of the stream, and returns `true` if a value may end within them, or a line outside of
+    /// Scans the next `bytes` of the stream, and returns `true` if a value may end within them, or a line outside of
     /// any value.
-    pub(super) fn scan(&mut self, octets: &[u8]) -> bool {
+    pub(super) fn scan(&mut self, bytes: &[u8]) -> bool {
         let mut found = false;
-        for octet in octets {
-            match octet {
+        for byte in bytes {
+            match byte {
                 _ if self.escaped => self.escaped = false,
                 b'\\' if self.in_string => self.escaped = true,
                 b'"' => self.in_string = !self.in_string,
--- a/crates/quillhub-server/src/discovery/stream_tests.rs
+++ b/crates/quillhub-server/src/discovery/stream_tests.rs
@@ -17,6 +17,6 @@
         assert!(boundaries.scan(end) && !boundaries.scan(b" "), "{cut}");
     }
     let mut boundaries = ValueBoundaries::default();
-    let found = text.trim_start().bytes().filter(|octet| boundaries.scan(&[*octet])).count();
+    let found = text.trim_start().bytes().filter(|byte| boundaries.scan(&[*byte])).count();
     assert_eq!((found, boundaries.scan(b"noise"), boundaries.scan(b"\n")), (1, false, true));
 }
--- a/crates/quillhub-server/src/gossip.rs
+++ b/crates/quillhub-server/src/gossip.rs
@@ -49,11 +49,11 @@
 
     /// Passes each gossip message from other instances to `handle`. Never returns.
     pub async fn receive(self: Rc<Self>, handle: impl Fn(&[u8])) {
-        let mut octets = [0; MAX_DATAGRAM_BYTES + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            match self.socket.recv_from(&mut octets).await {
+            match self.socket.recv_from(&mut bytes).await {
                 Ok((length, from)) if length <= MAX_DATAGRAM_BYTES && Some(from) != self.own => {
-                    handle(&octets[..length]);
+                    handle(&bytes[..length]);
                 }
                 Ok(_) => {}
                 Err(_) => sleep(READ_ERROR_PAUSE).await,
--- a/crates/quillhub-server/src/http.rs
+++ b/crates/quillhub-server/src/http.rs
@@ -113,7 +113,7 @@
 fn header(input: &mut Input<'_>) -> ModalResult<(String, String)> {
     let name = take_while(1.., |byte: u8| byte.is_alphanum() || b"!#$%&'*+-.^_`|~".contains(&byte));
     let value = take_till(0.., |byte| byte == b'\r' || byte == b'\n');
-    let text = |octets: &[u8]| String::from_utf8_lossy(octets).trim().to_owned();
+    let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim().to_owned();
     (name, b':', space0, value, crlf)
         .map(|(name, _, _, value, _): (&[u8], _, _, &[u8], _)| (text(name), text(value)))
         .parse_next(input)
@@ -171,19 +171,19 @@
 
 /// Encodes a request. Header values must contain no line breaks; a `GET` request must have an empty body.
 pub fn request(method: &str, path: &str, host: &str, headers: &[(&str, &[u8])], body: &[u8]) -> Vec<u8> {
-    let mut octets = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n").into_bytes();
+    let mut bytes = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n").into_bytes();
     for (name, value) in headers {
-        octets.extend_from_slice(name.as_bytes());
-        octets.extend_from_slice(b": ");
-        octets.extend_from_slice(value);
-        octets.extend_from_slice(b"\r\n");
+        bytes.extend_from_slice(name.as_bytes());
+        bytes.extend_from_slice(b": ");
+        bytes.extend_from_slice(value);
+        bytes.extend_from_slice(b"\r\n");
     }
     if method != "GET" {
-        octets.extend_from_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
+        bytes.extend_from_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
     }
-    octets.extend_from_slice(b"\r\n");
-    octets.extend_from_slice(body);
-    octets
+    bytes.extend_from_slice(b"\r\n");
+    bytes.extend_from_slice(body);
+    bytes
 }
 
 #[cfg(test)]
--- a/crates/quillhub-server/src/resp.rs
+++ b/crates/quillhub-server/src/resp.rs
@@ -78,8 +78,8 @@
 }
 
 /// Encodes a bulk string.
-pub fn bulk(octets: &[u8]) -> Vec<u8> {
-    [format!("${}\r\n", octets.len()).as_bytes(), octets, b"\r\n"].concat()
+pub fn bulk(bytes: &[u8]) -> Vec<u8> {
+    [format!("${}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat()
 }
 
 #[cfg(test)]
--- a/crates/quillhub-server/tests/requests.rs
+++ b/crates/quillhub-server/tests/requests.rs
@@ -23,7 +23,7 @@
 /// Returns `true` if `request` is complete with its body. The last byte of a request is sent late, and may be part of a
 /// character.
 fn is_complete(request: &[u8]) -> bool {
-    let Some(end) = request.windows(4).position(|octets| octets == b"\r\n\r\n") else { return false };
+    let Some(end) = request.windows(4).position(|bytes| bytes == b"\r\n\r\n") else { return false };
     let head = std::str::from_utf8(&request[..end]).unwrap();
     let length = head.split_once("\r\nContent-Length: ").map(|(_, rest)| rest.lines().next().unwrap());
     request.len() >= end + 4 + length.map_or(0, |length| length.parse().unwrap())
@@ -80,7 +80,7 @@
     let (before, rest) = request.split_once("X-Deadline: ").unwrap();
     let (deadline, after) = rest.split_once("\r\n").unwrap();
     let (seconds, milliseconds) = deadline.split_once('.').unwrap();
-    let digits = |text: &str| text.bytes().all(|octet| octet.is_ascii_digit());
+    let digits = |text: &str| text.bytes().all(|byte| byte.is_ascii_digit());
     assert!(digits(seconds) && digits(milliseconds) && milliseconds.len() == 3, "{deadline}");
     let time_left: f64 = deadline.parse().unwrap();
     assert!(
