--- a/crates/quillhub-server/src/lib.rs
+++ b/crates/quillhub-server/src/lib.rs
@@ -34,31 +34,32 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-/// Runs an instance with the configuration in `text` until `stop` completes, and then shuts it down.
+/// Runs an instance with `configuration`, a JSON text, until `stop` completes, and then shuts it down.
 ///
-/// The shutdown ends when all messages are finished or when its deadlines have passed. Messages that are unfinished
-/// then remain in `state_directory` for the next process.
+/// The shutdown ends when all messages are finished or when its deadlines have passed. Messages still unfinished at
+/// that time remain in `state_directory` for the next process.
 ///
-/// `next_configuration` is called repeatedly. It waits for a new configuration and returns its text. Only the address
-/// of discovery and the platform can change while the instance runs.
+/// `next_configuration` is called repeatedly. It waits for a new configuration and returns its text. Only a change of
+/// the address of discovery and the platform takes effect while the instance runs; changes of other settings are
+/// logged, except of `known`.
 ///
 /// # Errors
 ///
 /// Returns an error if the instance cannot start.
 pub async fn serve(
-    text: &str,
+    configuration: &str,
     state_directory: &Path,
     stop: impl Future<Output = ()>,
     next_configuration: impl AsyncFnMut() -> Result<String, ReadError>,
 ) -> Result<(), ServeError> {
-    let value = configuration::parse(text)?;
+    let value = configuration::parse(configuration)?;
     let root = Setting::root(&value);
     let (address, discovery) = watch::channel(configuration::discovery(&root)?);
     LocalSet::new()
         .run_until(async {
             tokio::select! {
                 result = startup::run(&root, state_directory, discovery, stop) => result,
-                never = reload::follow(&value, &address, next_configuration) => match never {},
+                never = reload::apply_configurations(&value, &address, next_configuration) => match never {},
             }
         })
         .await
@@ -69,8 +70,8 @@
 /// # Errors
 ///
 /// Returns the first error in the configuration; its text is a single line.
-pub fn check(text: &str) -> Result<(), ConfigurationError> {
-    configuration::check(&Setting::root(&configuration::parse(text)?))
+pub fn check(configuration: &str) -> Result<(), ConfigurationError> {
+    configuration::check(&Setting::root(&configuration::parse(configuration)?))
 }
 
 #[cfg(test)]
--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::reload::follow;
+use crate::reload::apply_configurations;
 use crate::test_support::{
     OK, StateDirectory, answering, configuration, log_with, message, on_one_thread, unfinished_in,
 };
@@ -31,9 +31,9 @@
         ("settings", json!({"classes": [{"name": "g"}]}), "effect"),
         ("known", json!({"revision": 1, "members": [{"id": "e"}]}), "host_port"),
     ] {
-        let mut settings = configuration();
-        settings[name] = value;
-        let error = check(&settings.to_string()).unwrap_err().to_string();
+        let mut configuration = configuration();
+        configuration[name] = value;
+        let error = check(&configuration.to_string()).unwrap_err().to_string();
         assert!(error.contains(expected) && !error.contains('\n'), "{error}");
     }
     assert!(check("{").is_err());
@@ -57,13 +57,13 @@
 /// after the first invalid configuration.
 #[test]
 fn a_reload_changes_discoverys_address_and_an_invalid_configuration_changes_nothing() {
-    let started_with = configuration();
+    let initial = configuration();
     let (mut unusable, mut moved) = (configuration(), configuration());
     unusable["discovery"] = json!("127.0.0.1:2");
     unusable["seed"] = json!("x");
     moved["discovery"] = json!("127.0.0.1:3");
     moved["listen"] = json!("127.0.0.1:4");
-    assert_eq!(configuration::settings_requiring_restart(&started_with, &moved), ["listen"]);
+    assert_eq!(configuration::settings_requiring_restart(&initial, &moved), ["listen"]);
     let missing = ReadError { path: "configuration.json".into(), source: ErrorKind::NotFound.into() };
     let mut texts = vec![Ok(moved.to_string()), Ok(unusable.to_string()), Err(missing)];
     on_one_thread(async {
@@ -79,7 +79,7 @@
         tokio::select! {
             biased;
             changed = first_change => assert_eq!(changed.port(), 3),
-            never = follow(&started_with, &address, next) => match never {},
+            never = apply_configurations(&initial, &address, next) => match never {},
         }
     });
 }
@@ -87,7 +87,7 @@
 /// Guards against recovered messages that are sent to endpoints that drain or were removed: the list in the
 /// configuration may be outdated, and discovery's current list arrives only after the process has started.
 #[test]
-fn recovered_messages_follow_discoverys_list_at_startup() {
+fn recovered_messages_are_attempted_according_to_discoverys_list() {
     let directory = StateDirectory::new();
     drop(log_with(&directory, &[message("once")]));
     on_one_thread(async {
@@ -103,10 +103,11 @@
         let response =
             format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\r\n", list.len());
         let (discovery, _requests) = answering(vec![response.leak().as_bytes()]).await;
-        let mut settings = configuration();
-        settings["discovery"] = json!(discovery.to_string());
-        settings["known"] = json!({"revision": 1, "complete": true, "members": [member("e", old, "up")]});
-        let text = settings.to_string();
+        let mut configuration = configuration();
+        configuration["discovery"] = json!(discovery.to_string());
+        configuration["known"] =
+            json!({"revision": 1, "complete": true, "members": [member("e", old, "up")]});
+        let text = configuration.to_string();
         tokio::select! {
             ended = serve(&text, &directory.0, pending(), pending) => panic!("{ended:?}"),
             _ = old_requests.recv() => panic!("sent to the draining endpoint"),
@@ -123,10 +124,10 @@
     on_one_thread(async {
         tokio::time::pause();
         let listen = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        let mut settings = configuration();
-        settings["listen"] = json!(listen.to_string());
+        let mut configuration = configuration();
+        configuration["listen"] = json!(listen.to_string());
         let (stop, stopped) = oneshot::channel();
-        let (text, path) = (settings.to_string(), directory.0.clone());
+        let (text, path) = (configuration.to_string(), directory.0.clone());
         let stop_requested = async { drop(stopped.await) };
         let server = spawn_local(async move { serve(&text, &path, stop_requested, pending).await });
         let mut client = loop {
--- a/crates/quillhub-server/src/reload.rs
+++ b/crates/quillhub-server/src/reload.rs
@@ -21,13 +21,13 @@
 
 impl Reload {
     /// Reads a new configuration and compares it to the one that the instance was started with.
-    fn read(started_with: &Value, text: &str) -> Result<Self, ConfigurationError> {
+    fn read(initial: &Value, text: &str) -> Result<Self, ConfigurationError> {
         let value = configuration::parse(text)?;
         let root = Setting::root(&value);
         configuration::check(&root)?;
         Ok(Self {
             discovery: configuration::discovery(&root)?,
-            requiring_restart: configuration::settings_requiring_restart(started_with, &value),
+            requiring_restart: configuration::settings_requiring_restart(initial, &value),
         })
     }
 
@@ -45,14 +45,14 @@
 
 /// Applies each configuration that `next_configuration` returns. `address` publishes the address of discovery and the
 /// platform.
-pub async fn follow(
-    started_with: &Value,
+pub async fn apply_configurations(
+    initial: &Value,
     address: &watch::Sender<SocketAddr>,
     mut next_configuration: impl AsyncFnMut() -> Result<String, ReadError>,
 ) -> Infallible {
     loop {
         match next_configuration().await {
-            Ok(text) => match Reload::read(started_with, &text) {
+            Ok(text) => match Reload::read(initial, &text) {
                 Ok(reload) => reload.apply(address),
                 Err(error) => log_unusable(&error),
             },
@@ -62,5 +62,5 @@
 }
 
 fn log_unusable(error: &dyn Display) {
-    tracing::error!(%error, "new configuration cannot be used; keeping the old one");
+    tracing::error!(%error, "new configuration is invalid or unreadable; keeping the current one");
 }
