--- a/crates/quillhub-server/src/configuration.rs
+++ b/crates/quillhub-server/src/configuration.rs
@@ -1,7 +1,7 @@
 //! Reading of the configuration, with one function for the settings of each component.
 //!
-//! Invariant: [`check`] reads every setting that startup reads, so that an instance does not refuse at startup a
-//! configuration that passed the check.
+//! Invariant: [`check`] reads every setting that startup reads, so that startup never refuses a configuration that
+//! passed the check.
 
 use quillhub::Dispatcher;
 use quillhub_settings::{Setting, SettingsError};
@@ -10,9 +10,9 @@
 use std::time::Duration;
 use thiserror::Error;
 
-const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
+const BYTES_PER_MIB: f64 = 1024.0 * 1024.0;
 /// Default maximum size of the state directory.
-const DEFAULT_STATE_MB: f64 = 64.0;
+const DEFAULT_STATE_MIB: f64 = 64.0;
 /// Default number of file descriptors that the instance may use; the usual soft limit.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
 /// Top-level settings that may change while the instance runs: `discovery` takes effect at once, and `known` matters
@@ -70,10 +70,10 @@
 
 /// Creates the dispatcher from the settings `seed` and `settings`.
 pub fn dispatcher(root: &Setting) -> Result<ConfiguredDispatcher, ConfigurationError> {
-    let seed = root.require("seed")?;
-    let number =
-        u64::from_str_radix(seed.as_str()?, 16).map_err(|_| seed.unexpected("a hexadecimal number"))?;
-    let (mut dispatcher, columns) = quillhub_settings::read(number, root.require("settings")?.json())?;
+    let setting = root.require("seed")?;
+    let seed =
+        u64::from_str_radix(setting.as_str()?, 16).map_err(|_| setting.unexpected("a hexadecimal number"))?;
+    let (mut dispatcher, columns) = quillhub_settings::read(seed, root.require("settings")?.json())?;
     dispatcher.disable_batching(); // HTTP carries one message in each request
     let load_reports = columns.remaining_share.is_some() && columns.rate_limit.is_some();
     Ok(ConfiguredDispatcher { dispatcher, load_reports })
@@ -104,12 +104,13 @@
     Ok(Some(GossipAddresses { listen: listen.as_address()?, all: all.as_address()?, own }))
 }
 
-/// Returns the configured or default limits on the state directory and on file descriptors.
+/// Returns the configured or default limits on the state directory and on file descriptors. The setting `disk_mb`
+/// counts MiB.
 pub fn resource_limits(root: &Setting) -> Result<ResourceLimits, ConfigurationError> {
     let limits = root.section("limits");
-    let megabytes = limits.optional("disk_mb", Setting::as_f64)?.unwrap_or(DEFAULT_STATE_MB);
+    let mebibytes = limits.optional("disk_mb", Setting::as_f64)?.unwrap_or(DEFAULT_STATE_MIB);
     let descriptors = limits.optional("sockets", Setting::as_u64)?.unwrap_or(DEFAULT_DESCRIPTORS);
-    Ok(ResourceLimits { state_bytes: (megabytes * BYTES_PER_MB) as u64, descriptors: descriptors as usize })
+    Ok(ResourceLimits { state_bytes: (mebibytes * BYTES_PER_MIB) as u64, descriptors: descriptors as usize })
 }
 
 /// Returns the timeouts of connections to endpoints.
--- a/crates/quillhub-server/src/test_support.rs
+++ b/crates/quillhub-server/src/test_support.rs
@@ -25,7 +25,7 @@
 /// Maximum size of the state directories in tests.
 pub const STATE_BUDGET_BYTES: u64 = 1 << 20;
 
-/// Returns the configuration of an instance with a state directory of 1 MB. The system chooses the port for clients;
+/// Returns the configuration of an instance with a state directory of 1 MiB. The system chooses the port for clients;
 /// nothing listens at discovery's address.
 pub fn configuration() -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
@@ -158,7 +158,7 @@
     Wal::open(&directory.0, STATE_BUDGET_BYTES).unwrap().1
 }
 
-/// Returns an address that accepts connections and never responds, as long as the listener exists.
+/// Starts an endpoint that accepts connections and never responds until the listener is dropped.
 pub async fn silent_endpoint() -> (SocketAddr, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     (listener.local_addr().unwrap(), listener)
