--- a/crates/quillhub-server/src/discovery/entries.rs
+++ b/crates/quillhub-server/src/discovery/entries.rs
@@ -36,7 +36,7 @@
     kind: &'a str,
     destination: u64,
     state: EndpointState,
-    /// Rate that the list gives for the endpoint, if any.
+    /// Calls per second that the endpoint's route accepts, if listed.
     rate: Option<f64>,
 }
 
--- a/crates/quillhub-server/src/discovery/mod.rs
+++ b/crates/quillhub-server/src/discovery/mod.rs
@@ -2,7 +2,8 @@
 //! when the address of discovery changes.
 //!
 //! Invariant: the dispatcher is notified of the end of every request, even after a panic; without that, it would never
-//! poll again. The exception is a change of discovery's address, after which the next request is sent at once.
+//! ask for another request. The exception is a change of discovery's address, after which the next request is sent at
+//! once.
 
 mod entries;
 mod stream;
@@ -19,13 +20,13 @@
 use tokio::sync::{Notify, watch as watch_channel};
 use tokio::time::{Instant, sleep_until};
 
-/// Minimum time from the opening of one watch to the next if discovery need not be polled. A watch that was open for
-/// longer is reopened at once.
+/// Minimum time from the start of one request to the next if the dispatcher does not decide when discovery is polled. A
+/// watch that was open for longer is reopened at once.
 const MIN_REOPEN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// State of [`follow`], kept outside of it so that it survives a panic.
+/// State of [`keep_watching`], kept outside of it so that it survives a panic.
 #[derive(Default)]
-pub struct Progress {
+pub struct WatchState {
     /// Revision of the list that was applied last; `None` if a complete list must be requested next.
     revision: Cell<Option<u64>>,
     /// `true` if discovery's address has changed and no request was sent to the new one.
@@ -35,7 +36,7 @@
     outstanding: Cell<bool>,
 }
 
-impl Progress {
+impl WatchState {
     /// Creates the state after the list of `revision` was applied, or before any list with `None`.
     pub fn new(revision: Option<u64>) -> Rc<Self> {
         Rc::new(Self { revision: Cell::new(revision), ..Self::default() })
@@ -62,43 +63,44 @@
     }
 }
 
-/// Keeps a watch on discovery open, without end.
+/// Keeps a watch on discovery open. Never returns.
 ///
-/// If discovery `must_be_polled`, the dispatcher determines when a watch is opened. When discovery's address changes,
-/// the complete list is requested and a watch opened there at once.
-pub async fn follow(
+/// With `must_be_polled`, the dispatcher decides when discovery is polled, that is, when the next request is sent; its
+/// response may stay open as a watch. When discovery's address changes, the complete list is requested and a watch
+/// opened there at once.
+pub async fn keep_watching(
     instance: Rc<RefCell<Instance>>,
     mut discovery: watch_channel::Receiver<SocketAddr>,
-    progress: Rc<Progress>,
+    watch_state: Rc<WatchState>,
     must_be_polled: bool,
 ) {
     let watch_requested = instance.borrow().watch_requested();
     loop {
         // At the start of the loop, so that a request that ended in a panic is reported too: otherwise the dispatcher
-        // would never poll again.
-        if progress.outstanding.get() {
+        // would never ask for another request.
+        if watch_state.outstanding.get() {
             discard_notification(&watch_requested).await;
             instance.borrow_mut().handle_event(|dispatcher| dispatcher.endpoint_list_failed());
-            progress.outstanding.set(false);
+            watch_state.outstanding.set(false);
         }
-        if must_be_polled && !progress.moved.get() {
+        if must_be_polled && !watch_state.moved.get() {
             tokio::select! {
                 () = watch_requested.notified() => {}
-                Ok(()) = discovery.changed() => progress.discovery_moved(),
+                Ok(()) = discovery.changed() => watch_state.discovery_moved(),
             }
         }
         let address = *discovery.borrow_and_update();
         let opened = Instant::now();
-        progress.request_started();
+        watch_state.request_started();
         let result = tokio::select! {
-            result = watch::watch(&instance, address, &progress.revision) => result,
+            result = watch::watch(&instance, address, &watch_state.revision) => result,
             Ok(()) = discovery.changed() => {
-                progress.discovery_moved();
+                watch_state.discovery_moved();
                 continue;
             }
         };
         if let Err(error) = result {
-            tracing::info!(%error, revision = progress.revision.get(), "the watch on discovery ended");
+            tracing::info!(%error, revision = watch_state.revision.get(), "the watch on discovery ended");
         }
         if !must_be_polled {
             sleep_until(opened + MIN_REOPEN_INTERVAL).await;
--- a/crates/quillhub-server/src/discovery/return_tests.rs
+++ b/crates/quillhub-server/src/discovery/return_tests.rs
@@ -1,7 +1,7 @@
 //! Tests that changes are known in time once discovery returns from an outage or is slow, however earlier requests were
 //! lost. They use real sockets and virtual time.
 
-use super::watch::{MAX_LIST_BYTES, PATH, READ_TIMEOUT, REQUEST_TIMEOUT, request};
+use super::watch::{MAX_LIST_BYTES, READ_TIMEOUT, REGISTRY_PATH, REQUEST_TIMEOUT, request};
 use super::*;
 use crate::connection::ConnectionError;
 use crate::test_support::{StateDirectory, answering, configuration, full, instance_with, on_one_thread};
@@ -153,8 +153,8 @@
         let instance =
             instance_with(seed, &settings(must_be_polled), &directory, "127.0.0.1:1".parse().unwrap());
         let (_address_sender, address_receiver) = watch_channel::channel(address);
-        let progress = Progress::new(Some(6).filter(|_| !needs_complete_list));
-        spawn_local(follow(instance.clone(), address_receiver, progress, must_be_polled));
+        let watch_state = WatchState::new(Some(6).filter(|_| !needs_complete_list));
+        spawn_local(keep_watching(instance.clone(), address_receiver, watch_state, must_be_polled));
         instance.borrow_mut().handle_event(|_| ());
         timeout(outage + 10 * KNOWN_WITHIN, until_known(&instance)).await.expect("the list is never known");
         return_time.elapsed()
@@ -194,7 +194,7 @@
         tokio::time::pause();
         let (address, (socket, queued)) = full();
         let started = Instant::now();
-        let response = spawn_local(request(address, PATH));
+        let response = spawn_local(request(address, REGISTRY_PATH));
         yield_now().await;
         let late = Duration::from_millis(50);
         advance(REQUEST_TIMEOUT - late).await;
@@ -231,9 +231,9 @@
             let instance =
                 instance_with(7, &settings(must_be_polled), &directory, "127.0.0.1:1".parse().unwrap());
             let (_address_sender, address_receiver) = watch_channel::channel(address);
-            let (job, progress) = (instance.clone(), Progress::new(Some(6)));
+            let (job, watch_state) = (instance.clone(), WatchState::new(Some(6)));
             crate::startup::supervise(move || {
-                follow(job.clone(), address_receiver.clone(), progress.clone(), must_be_polled)
+                keep_watching(job.clone(), address_receiver.clone(), watch_state.clone(), must_be_polled)
             });
             instance.borrow_mut().handle_event(|_| ());
             requested.recv().await.unwrap();
@@ -270,10 +270,10 @@
             let address = listener.local_addr().unwrap();
             let instance = instance_with(7, &settings(false), &directory, "127.0.0.1:1".parse().unwrap());
             let (_address_sender, address_receiver) = watch_channel::channel(address);
-            spawn_local(follow(
+            spawn_local(keep_watching(
                 instance.clone(),
                 address_receiver,
-                Progress::new(Some(6).filter(|_| !complete)),
+                WatchState::new(Some(6).filter(|_| !complete)),
                 false,
             ));
             let mut stream = Served::new(listener.accept().await.unwrap().0);
--- a/crates/quillhub-server/src/discovery/stream.rs
+++ b/crates/quillhub-server/src/discovery/stream.rs
@@ -14,8 +14,8 @@
 }
 
 impl ValueBoundaries {
-    /// Scans the next `bytes` of the stream, and returns `true` if a value may end within them, or a line outside of
-    /// any value.
+    /// Scans the next `bytes` of the stream, and returns `true` if an object, an array, or a line outside of both may
+    /// end within them.
     pub(super) fn scan(&mut self, bytes: &[u8]) -> bool {
         let mut found = false;
         for byte in bytes {
--- a/crates/quillhub-server/src/discovery/tests.rs
+++ b/crates/quillhub-server/src/discovery/tests.rs
@@ -90,7 +90,7 @@
         let (new, mut new_requests) = answering(vec![listed, watched]).await;
         let instance = instance(&directory, old);
         let (address, address_receiver) = watch_channel::channel(old);
-        spawn_local(follow(instance.clone(), address_receiver, Progress::new(Some(6)), false));
+        spawn_local(keep_watching(instance.clone(), address_receiver, WatchState::new(Some(6)), false));
         assert!(old_requests.recv().await.unwrap().contains("after=6 "));
         address.send_replace(new);
         assert!(new_requests.recv().await.unwrap().starts_with("GET /registry/instances HTTP/1.1\r\n"));
@@ -175,10 +175,10 @@
             tokio::time::pause();
             let (address, mut requests) = answering(vec![answer; 4]).await;
             let (_address_sender, address_receiver) = watch_channel::channel(address);
-            spawn_local(follow(
+            spawn_local(keep_watching(
                 instance(&directory, address),
                 address_receiver,
-                Progress::new(Some(6)),
+                WatchState::new(Some(6)),
                 false,
             ));
             requests.recv().await.unwrap();
--- a/crates/quillhub-server/src/discovery/watch.rs
+++ b/crates/quillhub-server/src/discovery/watch.rs
@@ -16,20 +16,19 @@
 use tokio::time::{Instant, timeout};
 
 /// Path of the endpoint list and of the watch.
-pub(super) const PATH: &str = "/registry/instances";
+pub(super) const REGISTRY_PATH: &str = "/registry/instances";
 /// Time without input after which a watch counts as ended, even if its connection is still open. Discovery sends a line
 /// every 2 s.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time limit of a request from opening the connection to the end of the response's head. Discovery responds at once,
-/// and the limit leaves time for a connection that is established with the system's second try, after 1 s. Connection
-/// and head share one limit, since a request that is lost while discovery returns must leave time for the next one
-/// (docs/discovery-timing.md).
+/// and the limit leaves time for a connection that is established by the first retransmission of its SYN, after 1 s.
+/// Connection and head share one limit, since a request that is lost while discovery returns must leave time for the
+/// next one (docs/discovery-timing.md).
 pub(super) const REQUEST_TIMEOUT: Duration = READ_TIMEOUT;
 /// Time limit for a list from its first byte to its last, while more of it keeps arriving: enough for the longest list
 /// at 140 KB/s.
 const LIST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Maximum length of a list from discovery, which it sends as one line: enough for the complete list of a large
-/// deployment.
+/// Maximum length of a list from discovery, in any number of lines: enough for the complete list of a large deployment.
 pub const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// Sends a request to discovery and reads the head of the response; returns the connection and the framing of the body.
@@ -76,7 +75,7 @@
             revision.get().unwrap_or_default()
         }
     };
-    let (connection, framing) = request(address, &format!("{PATH}?watch=1&after={after}")).await?;
+    let (connection, framing) = request(address, &format!("{REGISTRY_PATH}?watch=1&after={after}")).await?;
     if framing != Framing::Chunked {
         return Err(ConnectionError::Malformed);
     }
@@ -88,7 +87,7 @@
     address: SocketAddr,
     revision: &Cell<Option<u64>>,
 ) -> Result<(), ConnectionError> {
-    let (mut connection, framing) = request(address, PATH).await?;
+    let (mut connection, framing) = request(address, REGISTRY_PATH).await?;
     let body = connection.body(framing, MAX_LIST_BYTES);
     let body = timeout(LIST_TIMEOUT, body).await.map_err(|_| ConnectionError::Ended)??;
     let list = serde_json::from_slice(&body).map_err(|_| ConnectionError::Malformed)?;
@@ -125,8 +124,8 @@
     }
 }
 
-/// Applies a list to the instance's endpoints, and stores its revision in `revision`. An invalid list is logged, and
-/// changes nothing.
+/// Applies a list to the instance's endpoints, and stores its revision in `revision`. An invalid list is logged,
+/// changes nothing and ends the watch.
 fn update(
     instance: &RefCell<Instance>,
     list: &Value,
--- a/crates/quillhub-server/src/startup.rs
+++ b/crates/quillhub-server/src/startup.rs
@@ -132,7 +132,7 @@
     let OpenedInstance { instance, gossip, recovered } = open(configuration, state_directory).await?;
     let revision = load_configured_endpoints(root, &instance)?;
     send_outcomes(&instance, &discovery);
-    follow_discovery(&instance, discovery, revision, must_be_polled);
+    watch_discovery(&instance, discovery, revision, must_be_polled);
     recover(&instance, recovered).await;
     if let Some(gossip) = gossip {
         receive_gossip(&instance, gossip);
@@ -213,15 +213,15 @@
     supervise(move || outcomes::send(instance.clone(), platform.clone()));
 }
 
-fn follow_discovery(
+fn watch_discovery(
     instance: &Rc<RefCell<Instance>>,
     discovery: watch::Receiver<SocketAddr>,
     revision: Option<u64>,
     must_be_polled: bool,
 ) {
-    let (instance, progress) = (instance.clone(), discovery::Progress::new(revision));
+    let (instance, watch_state) = (instance.clone(), discovery::WatchState::new(revision));
     supervise(move || {
-        discovery::follow(instance.clone(), discovery.clone(), progress.clone(), must_be_polled)
+        discovery::keep_watching(instance.clone(), discovery.clone(), watch_state.clone(), must_be_polled)
     });
 }
 
