--- a/crates/quillhub-server/src/discovery/mod.rs
+++ b/crates/quillhub-server/src/discovery/mod.rs
@@ -113,5 +113,5 @@
 mod tests;
 
 #[cfg(test)]
-#[path = "return_tests.rs"]
-mod return_tests;
+#[path = "outage_tests.rs"]
+mod outage_tests;
--- a/crates/quillhub-server/src/discovery/return_tests.rs
+++ b/crates/quillhub-server/src/discovery/outage_tests.rs
@@ -1,5 +1,5 @@
-//! Tests that changes are known in time once discovery returns from an outage or is slow, however earlier requests were
-//! lost. They use real sockets and virtual time.
+//! Tests that endpoint changes are applied in time after an outage of discovery, however its connections failed, and
+//! from a slow discovery. They use real sockets and virtual time.
 
 use super::watch::{MAX_LIST_BYTES, READ_TIMEOUT, REGISTRY_PATH, REQUEST_TIMEOUT, request};
 use super::*;
@@ -13,8 +13,8 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{advance, sleep, timeout};
 
-/// Time within which a change must be known, counted from when discovery has it and can be reached.
-const KNOWN_WITHIN: Duration = Duration::from_secs(6);
+/// Maximum time until a change is applied, counted from when discovery has it and can be reached.
+const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
 const LIST: &str = r#"{"revision":9,"complete":true,"members":[{"id":"f","host_port":"127.0.0.1:2","cell":9,"phase":"up"}]}"#;
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -24,7 +24,7 @@
 
 /// Kind of failure of a connection to discovery during its outage. No such connection recovers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Loss {
+enum ConnectionFailure {
     Refused,
     NeverConnected,
     Closed,
@@ -35,32 +35,34 @@
     HalfList,
 }
 
-const ALL: [Loss; 7] = [
-    Loss::Refused,
-    Loss::NeverConnected,
-    Loss::Closed,
-    Loss::Silent,
-    Loss::HalfHead,
-    Loss::LateHead,
-    Loss::HalfList,
+const ALL_FAILURES: [ConnectionFailure; 7] = [
+    ConnectionFailure::Refused,
+    ConnectionFailure::NeverConnected,
+    ConnectionFailure::Closed,
+    ConnectionFailure::Silent,
+    ConnectionFailure::HalfHead,
+    ConnectionFailure::LateHead,
+    ConnectionFailure::HalfList,
 ];
 
 /// Serves a connection to discovery during its outage.
-async fn serve_failing(loss: Loss, stream: TcpStream) -> std::io::Result<()> {
+async fn serve_failing(failure: ConnectionFailure, stream: TcpStream) -> std::io::Result<()> {
     let mut stream = Served::new(stream);
     let Some(requested) = stream.next().await? else { return Ok(()) };
     let is_watch = requested.path.contains("watch");
     let length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LIST.len());
     let head = if is_watch { CHUNKED } else { &length };
-    match loss {
-        Loss::Refused | Loss::NeverConnected | Loss::Closed => return Ok(()),
-        Loss::Silent => {}
-        Loss::HalfHead => stream.write(b"HTTP/1.1 200 OK\r\nTransf").await?,
-        Loss::LateHead => {
+    match failure {
+        ConnectionFailure::Refused | ConnectionFailure::NeverConnected | ConnectionFailure::Closed => {
+            return Ok(());
+        }
+        ConnectionFailure::Silent => {}
+        ConnectionFailure::HalfHead => stream.write(b"HTTP/1.1 200 OK\r\nTransf").await?,
+        ConnectionFailure::LateHead => {
             sleep(REQUEST_TIMEOUT - Duration::from_millis(50)).await;
             stream.write(head.as_bytes()).await?;
         }
-        Loss::HalfList => {
+        ConnectionFailure::HalfList => {
             let half = &LIST[..LIST.len() / 2];
             let body = if is_watch { chunk(half) } else { half.to_owned() };
             stream.write(format!("{head}{body}").as_bytes()).await?;
@@ -69,7 +71,7 @@
     std::future::pending().await
 }
 
-/// Serves a connection to discovery after its return: each request gets [`LIST`], followed by empty lines in a watch.
+/// Serves a connection to discovery after its outage: each request gets [`LIST`], followed by empty lines in a watch.
 async fn serve(stream: TcpStream) -> std::io::Result<()> {
     let mut stream = Served::new(stream);
     while let Some(requested) = stream.next().await? {
@@ -86,23 +88,23 @@
     Ok(())
 }
 
-/// Starts a fake discovery whose connections fail by `loss` until `return_time`, and returns its address.
-fn start_discovery(loss: Loss, return_time: Instant) -> SocketAddr {
+/// Starts a fake discovery whose connections fail by `failure` until `outage_end`, and returns its address.
+fn start_discovery(failure: ConnectionFailure, outage_end: Instant) -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
     let mut queued = None;
-    match loss {
-        Loss::Refused => {}
-        Loss::NeverConnected => {
+    match failure {
+        ConnectionFailure::Refused => {}
+        ConnectionFailure::NeverConnected => {
             socket.listen(0).unwrap();
             queued = Some(StdStream::connect(address).unwrap());
         }
         _ => socket.listen(64).unwrap(),
     }
     spawn_local(async move {
-        if matches!(loss, Loss::Refused | Loss::NeverConnected) {
-            sleep_until(return_time).await;
+        if matches!(failure, ConnectionFailure::Refused | ConnectionFailure::NeverConnected) {
+            sleep_until(outage_end).await;
             socket.listen(64).unwrap();
         }
         socket.set_nonblocking(true).unwrap();
@@ -110,10 +112,10 @@
         loop {
             let (stream, _) = listener.accept().await.unwrap();
             drop(queued.take());
-            let loss = Some(loss).filter(|_| Instant::now() < return_time);
+            let failure = Some(failure).filter(|_| Instant::now() < outage_end);
             spawn_local(async move {
-                let _ = match loss {
-                    Some(loss) => serve_failing(loss, stream).await,
+                let _ = match failure {
+                    Some(failure) => serve_failing(failure, stream).await,
                     None => serve(stream).await,
                 };
             });
@@ -129,18 +131,18 @@
     settings
 }
 
-/// Waits until the instance knows the endpoint in [`LIST`].
-async fn until_known(instance: &RefCell<Instance>) {
+/// Waits until the endpoint in [`LIST`] is applied to the instance.
+async fn until_applied(instance: &RefCell<Instance>) {
     while instance.borrow().endpoint_address("f").is_none() {
         sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Returns the time from the return of discovery, after an outage of `outage`, until its list is known. With
+/// Returns the time from the end of an outage of discovery, which lasts `outage`, until its list is applied. With
 /// `needs_complete_list`, no revision is known before.
-fn time_until_known(
+fn time_until_applied(
     seed: u64,
-    loss: Loss,
+    failure: ConnectionFailure,
     must_be_polled: bool,
     needs_complete_list: bool,
     outage: Duration,
@@ -148,46 +150,56 @@
     let directory = StateDirectory::new();
     on_one_thread(async {
         tokio::time::pause();
-        let return_time = Instant::now() + outage;
-        let address = start_discovery(loss, return_time);
+        let outage_end = Instant::now() + outage;
+        let address = start_discovery(failure, outage_end);
         let instance =
             instance_with(seed, &settings(must_be_polled), &directory, "127.0.0.1:1".parse().unwrap());
         let (_address_sender, address_receiver) = watch_channel::channel(address);
         let watch_state = WatchState::new(Some(6).filter(|_| !needs_complete_list));
         spawn_local(keep_watching(instance.clone(), address_receiver, watch_state, must_be_polled));
+        // Applies the rules once, so that the dispatcher requests its first watch.
         instance.borrow_mut().handle_event(|_| ());
-        timeout(outage + 10 * KNOWN_WITHIN, until_known(&instance)).await.expect("the list is never known");
-        return_time.elapsed()
+        timeout(outage + 10 * MAX_UPDATE_DELAY, until_applied(&instance))
+            .await
+            .expect("the list is applied in time");
+        outage_end.elapsed()
     })
 }
 
-/// Checks the time until the list is known for each kind of loss, and for returns at many moments between two lost
-/// requests: the waits of a lost request and of the next ones add up.
-fn assert_known_in_time(must_be_polled: bool) {
-    for (loss, complete) in ALL.into_iter().flat_map(|loss| [(loss, false), (loss, true)]) {
+/// Checks the time until the list is applied for each kind of failure, and for outages that end at many moments between
+/// two failed requests: the waits of a failed request and of the next ones add up.
+fn assert_applied_in_time(must_be_polled: bool) {
+    for (failure, needs_complete_list) in
+        ALL_FAILURES.into_iter().flat_map(|failure| [(failure, false), (failure, true)])
+    {
         let outages = (0..24).map(|nth| Duration::from_millis(8_000 + nth * 233));
         let delays = outages.enumerate().map(|(seed, outage)| {
-            let delay = time_until_known(seed as u64, loss, must_be_polled, complete, outage);
+            let delay = time_until_applied(seed as u64, failure, must_be_polled, needs_complete_list, outage);
             (delay, outage)
         });
         let (longest, outage) = delays.max().unwrap();
-        println!("{loss:?}, complete list {complete}: known {longest:?} after an outage of {outage:?}");
-        assert!(longest < KNOWN_WITHIN, "{loss:?}, complete list {complete}: {longest:?}, outage {outage:?}");
+        println!(
+            "{failure:?}, complete list {needs_complete_list}: applied {longest:?} after an outage of {outage:?}"
+        );
+        assert!(
+            longest < MAX_UPDATE_DELAY,
+            "{failure:?}, complete list {needs_complete_list}: {longest:?}, outage {outage:?}"
+        );
     }
 }
 
 #[test]
-fn changes_are_known_within_six_seconds_of_the_return_of_discovery_that_pushes() {
-    assert_known_in_time(false);
+fn changes_are_applied_within_six_seconds_after_an_outage_of_discovery_that_pushes() {
+    assert_applied_in_time(false);
 }
 
 #[test]
-fn changes_are_known_within_six_seconds_of_the_return_of_discovery_that_is_polled() {
-    assert_known_in_time(true);
+fn changes_are_applied_within_six_seconds_after_an_outage_of_discovery_that_is_polled() {
+    assert_applied_in_time(true);
 }
 
-/// A connection that is established late, with the system's second try, must not prolong its request, since the next
-/// request would then be sent too late.
+/// A connection that is established late, by the first retransmission of its SYN, must not prolong its request, since
+/// the next request would then be sent too late.
 #[test]
 fn a_request_has_one_timeout_for_its_connection_and_its_head() {
     on_one_thread(async {
@@ -218,7 +230,7 @@
     });
 }
 
-/// Without a report of the request's end, the dispatcher waits for it and never polls discovery again.
+/// Without a report of the request's end, the dispatcher waits for it and never asks for another request.
 #[test]
 #[allow(clippy::await_holding_refcell_ref)] // borrowing the instance while the list is applied causes the panic
 fn a_panic_in_reading_a_list_is_followed_by_another_request() {
@@ -235,6 +247,7 @@
             crate::startup::supervise(move || {
                 keep_watching(job.clone(), address_receiver.clone(), watch_state.clone(), must_be_polled)
             });
+            // Applies the rules once, so that the dispatcher requests its first watch.
             instance.borrow_mut().handle_event(|_| ());
             requested.recv().await.unwrap();
             let borrowed = instance.borrow_mut(); // applying the list, which has arrived, panics
@@ -243,16 +256,17 @@
             let failed = Instant::now();
             assert!(
                 instance.borrow().endpoint_address("f").is_none(),
-                "the list was applied before the panic"
+                "the list is not applied before the panic"
             );
-            timeout(KNOWN_WITHIN, until_known(&instance)).await.expect("discovery is not polled again");
-            assert!(failed.elapsed() < KNOWN_WITHIN);
+            timeout(MAX_UPDATE_DELAY, until_applied(&instance)).await.expect("discovery is polled again");
+            assert!(failed.elapsed() < MAX_UPDATE_DELAY);
         });
     }
 }
 
 /// A list of 3 MiB takes several seconds over a slow connection. A limit that counts from the request, or a parser that
-/// starts anew at each line of indented JSON, would give the list up, as a response of its own or within a watch.
+/// starts anew at each line of indented JSON, would discard the list. Covers a list as a response of its own and within
+/// a watch.
 #[test]
 fn a_long_list_over_a_slow_connection_is_read_to_its_end() {
     let rows = (0..22_000).map(|n| {
@@ -262,7 +276,7 @@
     let list = json!({"revision": 9, "complete": true, "members": rows.chain([last]).collect::<Vec<_>>()});
     let text: &str = serde_json::to_string_pretty(&list).unwrap().leak();
     assert!((3 << 20..MAX_LIST_BYTES).contains(&text.len()), "{}", text.len());
-    for complete in [false, true] {
+    for needs_complete_list in [false, true] {
         let directory = StateDirectory::new();
         on_one_thread(async {
             tokio::time::pause();
@@ -273,20 +287,23 @@
             spawn_local(keep_watching(
                 instance.clone(),
                 address_receiver,
-                WatchState::new(Some(6).filter(|_| !complete)),
+                WatchState::new(Some(6).filter(|_| !needs_complete_list)),
                 false,
             ));
             let mut stream = Served::new(listener.accept().await.unwrap().0);
             stream.next().await.unwrap();
             let length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
-            stream.write(if complete { length.as_bytes() } else { CHUNKED.as_bytes() }).await.unwrap();
+            stream
+                .write(if needs_complete_list { length.as_bytes() } else { CHUNKED.as_bytes() })
+                .await
+                .unwrap();
             for piece in text.as_bytes().chunks(64 << 10) {
                 let piece = std::str::from_utf8(piece).unwrap();
-                let bytes = if complete { piece.to_owned() } else { chunk(piece) };
+                let bytes = if needs_complete_list { piece.to_owned() } else { chunk(piece) };
                 stream.write(bytes.as_bytes()).await.unwrap();
                 advance(Duration::from_millis(200)).await;
             }
-            timeout(READ_TIMEOUT, until_known(&instance)).await.expect("the list is given up before its end");
+            timeout(READ_TIMEOUT, until_applied(&instance)).await.expect("the list is read to its end");
         });
     }
 }
--- a/crates/quillhub-server/src/discovery/tests.rs
+++ b/crates/quillhub-server/src/discovery/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_complete_list_replaces_what_was_known_and_changes_add_to_it() {
+fn a_complete_list_replaces_the_known_endpoints_and_changes_are_applied_to_them() {
     let two = list(true, &[member("f", 2, "up"), member("g", 3, "draining")]);
     assert_eq!(ports_after(std::slice::from_ref(&two)), [None, Some(2), Some(3)]);
     assert_eq!(ports_after(&[list(false, &[member("f", 2, "up")])]), [Some(1), Some(2), None]);
@@ -65,10 +65,10 @@
 fn a_watch_reads_lines_wherever_they_are_split() {
     let directory = StateDirectory::new();
     on_one_thread(async {
-        let answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n\
+        let response = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n\
             1f\r\n{\"revision\":7,\"complete\":true,\"\r\n10\r\nmembers\":[]}\n{\"r\r\n\
             26\r\nevision\":8,\"members\":[],\"more\":[null]}\r\n1\r\n\n\r\n0\r\n\r\n";
-        let (address, mut requests) = answering(vec![answer]).await;
+        let (address, mut requests) = answering(vec![response]).await;
         let instance = instance(&directory, address);
         let revision = Cell::new(Some(6));
         assert!(matches!(watch(&instance, address, &revision).await, Err(ConnectionError::Ended)));
@@ -100,18 +100,18 @@
     });
 }
 
-/// Watches a fake discovery from revision 6 on; it sends `chunks` and, if `ends` is set, the end of the response.
-/// Returns the result of the watch, the last revision, and whether `e` and `f` are known.
-fn watch_chunks(chunks: &[&str], ends: bool) -> (Result<(), ConnectionError>, Option<u64>, [bool; 2]) {
+/// Watches a fake discovery from revision 6 on; it sends `chunks` and, if the response `is_complete`, its end. Returns
+/// the result of the watch, the last revision, and whether `e` and `f` are known.
+fn watch_chunks(chunks: &[&str], is_complete: bool) -> (Result<(), ConnectionError>, Option<u64>, [bool; 2]) {
     let directory = StateDirectory::new();
     on_one_thread(async {
         tokio::time::pause();
-        let mut answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned();
+        let mut response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned();
         for chunk in chunks {
-            answer += &format!("{:x}\r\n{chunk}\r\n", chunk.len());
+            response += &format!("{:x}\r\n{chunk}\r\n", chunk.len());
         }
-        answer += if ends { "0\r\n\r\n" } else { "" };
-        let (address, _requests) = answering(vec![answer.leak().as_bytes()]).await;
+        response += if is_complete { "0\r\n\r\n" } else { "" };
+        let (address, _requests) = answering(vec![response.leak().as_bytes()]).await;
         let instance = instance(&directory, address);
         let revision = Cell::new(Some(6));
         let ended = watch(&instance, address, &revision).await;
@@ -136,11 +136,12 @@
 
 /// A complete list that is applied without its last entries would remove endpoints that discovery still lists.
 #[test]
-fn a_truncated_list_or_none_changes_nothing() {
+fn a_truncated_list_and_text_that_is_no_list_change_nothing() {
     let text = list(true, &[member("f", 2, "up")]).to_string();
-    for (text, ends) in [(&text[..text.len() - 1], true), (&text[..40], false), ("noise", true), ("41", true)]
+    for (text, is_complete) in
+        [(&text[..text.len() - 1], true), (&text[..40], false), ("noise", true), ("41", true)]
     {
-        let watched = watch_chunks(&[text, "\n"], ends);
+        let watched = watch_chunks(&[text, "\n"], is_complete);
         assert!(matches!(watched, (Err(_), Some(6), [true, false])), "{watched:?}");
     }
 }
@@ -168,12 +169,12 @@
 #[test]
 fn a_silent_watch_is_reopened_at_once_and_one_that_ends_at_once_after_a_pause() {
     let silent = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
-    let headless = b"HTTP/1.1 100 x\r\n\r\n";
-    for (answer, gap) in [(&silent[..], 2_500), (headless, 2_500), (b"", 250)] {
+    let only_interim = b"HTTP/1.1 100 x\r\n\r\n";
+    for (response, gap) in [(&silent[..], 2_500), (only_interim, 2_500), (b"", 250)] {
         let directory = StateDirectory::new();
         on_one_thread(async {
             tokio::time::pause();
-            let (address, mut requests) = answering(vec![answer; 4]).await;
+            let (address, mut requests) = answering(vec![response; 4]).await;
             let (_address_sender, address_receiver) = watch_channel::channel(address);
             spawn_local(keep_watching(
                 instance(&directory, address),
