--- a/crates/quillhub-bench-adapter/src/session_tests.rs
+++ b/crates/quillhub-bench-adapter/src/session_tests.rs
@@ -63,10 +63,10 @@
         ("RESOLVED courier/0 1 0 endpoint_a lost 5 0 - -", "line 8: expected an outcome, found 'lost'"),
         ("RESOLVED courier/0 1 0 endpoint_a ok 5 1 - 1;2", "comma-separated numbers"),
         ("HELLO courier/1 7 {", "line 8: expected settings as a JSON object"),
-        ("HELLO courier/1 7 {\"nInstances\":\"two\"}", "expected a whole number as settings' nInstances"),
+        ("HELLO courier/1 7 {\"nInstances\":\"two\"}", "expected a whole number as setting nInstances"),
         (
             "HELLO courier/1 7 {\"classes\":[{\"effect\":\"x\"}]}",
-            "free, guarded or single_shot as settings' classes[0].effect",
+            "free, guarded or single_shot as setting classes[0].effect",
         ),
     ] {
         let error = error_in_second_batch(line);
--- a/crates/quillhub-server/src/lib_tests.rs
+++ b/crates/quillhub-server/src/lib_tests.rs
@@ -22,7 +22,7 @@
 #[test]
 fn an_unusable_configuration_is_reported_in_one_line() {
     for (name, value, expected) in [
-        ("listen", json!("here"), "an address as settings' listen"),
+        ("listen", json!("here"), "an address as setting listen"),
         ("listen", Value::Null, "found none"),
         ("seed", json!("x7"), "a hexadecimal number"),
         ("discovery", json!(7), "a string"),
--- a/crates/quillhub-settings/src/error.rs
+++ b/crates/quillhub-settings/src/error.rs
@@ -53,7 +53,7 @@
         name: String,
     },
     /// The value of a setting has the wrong type or is out of range.
-    #[error("expected {expected} as settings' {path}, found '{found}'")]
+    #[error("expected {expected} as setting {path}, found '{found}'")]
     Unexpected {
         /// Path of the setting, such as `classes[0].effect`.
         path: String,
