--- a/crates/quillhub-bench-adapter/src/adapter.rs
+++ b/crates/quillhub-bench-adapter/src/adapter.rs
@@ -8,14 +8,14 @@
 use crate::lists::{EndpointLists, Entry};
 use crate::reply::Reply;
 use quillhub::{AttemptResult, Dispatcher, EndpointUpdate, LoadReport, NewMessage};
-use quillhub_settings::ReportColumns;
+use quillhub_settings::ReportPositions;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// Running instance and its dispatcher, whose time counts from the start of the instance.
 struct HostedInstance {
     dispatcher: Dispatcher,
-    report_columns: ReportColumns,
+    report_positions: ReportPositions,
     /// Start of the instance, in microseconds on the simulator's clock.
     started_us: u64,
 }
@@ -70,9 +70,9 @@
 
     /// Builds the load report from the values that the settings select, or returns `None` if one of them is missing.
     fn load_report(&self, values: &[f64]) -> Option<LoadReport> {
-        let value = |column: Option<usize>| column.and_then(|column| values.get(column)).copied();
-        let remaining_share = value(self.report_columns.remaining_share)?;
-        let rate_limit = value(self.report_columns.rate_limit)?;
+        let value = |position: Option<usize>| position.and_then(|position| values.get(position)).copied();
+        let remaining_share = value(self.report_positions.remaining_share)?;
+        let rate_limit = value(self.report_positions.rate_limit)?;
         Some(LoadReport { remaining_share, rate_limit })
     }
 
@@ -138,8 +138,9 @@
 
     fn start_instance(&mut self, instance: &str, fields: &mut Fields) -> Result<(), LineError> {
         let seed = fields.number("randomSeed")?;
-        let (dispatcher, report_columns) = quillhub_settings::read_text(seed, fields.take_rest())?;
-        let hosted = HostedInstance { dispatcher, report_columns, started_us: self.clock_us };
+        let (dispatcher, report_positions) =
+            quillhub_settings::dispatcher_from_text(seed, fields.take_rest())?;
+        let hosted = HostedInstance { dispatcher, report_positions, started_us: self.clock_us };
         self.instances.insert(instance.into(), hosted);
         Ok(())
     }
--- a/crates/quillhub-scale/src/lightweight.rs
+++ b/crates/quillhub-scale/src/lightweight.rs
@@ -362,7 +362,8 @@
 }
 
 async fn live(common: Common, number: u64, status: Arc<Status>, socket: Rc<UdpSocket>) {
-    let read = quillhub_settings::read(common.seed + number, &settings::decisions(common.couriers));
+    let read =
+        quillhub_settings::dispatcher_from_json(common.seed + number, &settings::decisions(common.couriers));
     let (mut dispatcher, _) = read.expect("the rig's own settings can be read");
     dispatcher.disable_batching();
     let state = State {
--- a/crates/quillhub-server/src/configuration.rs
+++ b/crates/quillhub-server/src/configuration.rs
@@ -73,9 +73,10 @@
     let setting = root.require("seed")?;
     let seed =
         u64::from_str_radix(setting.as_str()?, 16).map_err(|_| setting.unexpected("a hexadecimal number"))?;
-    let (mut dispatcher, columns) = quillhub_settings::read(seed, root.require("settings")?.json())?;
+    let (mut dispatcher, positions) =
+        quillhub_settings::dispatcher_from_json(seed, root.require("settings")?.json())?;
     dispatcher.disable_batching(); // HTTP carries one message in each request
-    let load_reports = columns.remaining_share.is_some() && columns.rate_limit.is_some();
+    let load_reports = positions.remaining_share.is_some() && positions.rate_limit.is_some();
     Ok(ConfiguredDispatcher { dispatcher, load_reports })
 }
 
--- a/crates/quillhub-server/src/test_support.rs
+++ b/crates/quillhub-server/src/test_support.rs
@@ -63,7 +63,7 @@
 
     /// Creates the instance and recovers the messages.
     pub fn build(self) -> Rc<RefCell<Instance>> {
-        let (dispatcher, _) = quillhub_settings::read(self.seed, &self.settings).unwrap();
+        let (dispatcher, _) = quillhub_settings::dispatcher_from_json(self.seed, &self.settings).unwrap();
         let (wal, recovered) = Wal::open(&self.directory.0, STATE_BUDGET_BYTES).unwrap();
         let instance = Instance::new(InstanceParts {
             dispatcher,
--- a/crates/quillhub-settings/src/dispatcher.rs
+++ b/crates/quillhub-settings/src/dispatcher.rs
@@ -10,7 +10,7 @@
 ///
 /// The setting `report.names` determines them; a value that it does not name has no position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ReportColumns {
+pub struct ReportPositions {
     /// Position of the share of the rate limit that is left.
     pub remaining_share: Option<usize>,
     /// Position of the rate limit.
@@ -24,10 +24,10 @@
 /// # Errors
 ///
 /// Returns an error if `text` is not a JSON object; otherwise the error of the first invalid or missing setting.
-pub fn read_text(seed: u64, text: &str) -> Result<(Dispatcher, ReportColumns), SettingsError> {
+pub fn dispatcher_from_text(seed: u64, text: &str) -> Result<(Dispatcher, ReportPositions), SettingsError> {
     let value: Value = serde_json::from_str(text)
         .map_err(|source| SettingsError::NotJson { found: Excerpt::new(text), source })?;
-    read(seed, &value)
+    dispatcher_from_json(seed, &value)
 }
 
 /// Creates a dispatcher from parsed JSON, and returns it with the positions of the values in load reports.
@@ -37,7 +37,10 @@
 /// # Errors
 ///
 /// Returns an error if `value` is not an object; otherwise the error of the first invalid or missing setting.
-pub fn read(seed: u64, value: &Value) -> Result<(Dispatcher, ReportColumns), SettingsError> {
+pub fn dispatcher_from_json(
+    seed: u64,
+    value: &Value,
+) -> Result<(Dispatcher, ReportPositions), SettingsError> {
     if !value.is_object() {
         return Err(SettingsError::NotAnObject { found: Excerpt::new(&value.to_string()) });
     }
@@ -45,13 +48,13 @@
     let mut dispatcher = settings.new_dispatcher(seed)?;
     settings.set_limits(&mut dispatcher)?;
     settings.set_slow_start(&mut dispatcher)?;
-    settings.set_connections_and_ordering(&mut dispatcher)?;
+    settings.set_idle_timeout_gossip_and_ordering(&mut dispatcher)?;
     settings.set_discovery(&mut dispatcher)?;
     settings.add_service_classes(&mut dispatcher)?;
     settings.set_routes_and_batch_limits(&mut dispatcher)?;
     settings.set_costs(&mut dispatcher)?;
     settings.add_tenants(&mut dispatcher)?;
-    Ok((dispatcher, settings.report_columns()?))
+    Ok((dispatcher, settings.report_positions()?))
 }
 
 /// Root of the settings, and the sections that several functions read; an absent section counts as empty.
@@ -111,7 +114,7 @@
         Ok(())
     }
 
-    fn set_connections_and_ordering(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
+    fn set_idle_timeout_gossip_and_ordering(&self, dispatcher: &mut Dispatcher) -> Result<(), SettingsError> {
         if let Some(timeout) = self.limits.optional("idleCloseUs", Setting::as_duration)? {
             dispatcher.set_endpoint_idle_timeout(timeout);
         }
@@ -186,10 +189,10 @@
         Ok(())
     }
 
-    fn report_columns(&self) -> Result<ReportColumns, SettingsError> {
+    fn report_positions(&self) -> Result<ReportPositions, SettingsError> {
         let names = self.root.section("report").optional("names", Setting::as_str_list)?.unwrap_or_default();
         let position = |value_name: &str| names.iter().position(|name| *name == value_name);
-        Ok(ReportColumns { remaining_share: position("x0"), rate_limit: position("x1") })
+        Ok(ReportPositions { remaining_share: position("x0"), rate_limit: position("x1") })
     }
 }
 
--- a/crates/quillhub-settings/src/error.rs
+++ b/crates/quillhub-settings/src/error.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Maximum length of an [`Excerpt`], in characters, without the mark of a truncated text.
+/// Maximum length of an [`Excerpt`], in characters, without the `..` that marks a truncated text.
 const MAX_EXCERPT_CHARS: usize = 60;
 
 /// Beginning of an invalid text, quoted in error messages to bound their length.
--- a/crates/quillhub-settings/src/lib.rs
+++ b/crates/quillhub-settings/src/lib.rs
@@ -7,6 +7,6 @@
 mod error;
 mod setting;
 
-pub use dispatcher::{ReportColumns, read, read_text};
+pub use dispatcher::{ReportPositions, dispatcher_from_json, dispatcher_from_text};
 pub use error::{Excerpt, SettingsError};
 pub use setting::Setting;
