--- a/crates/quillhub-bench-adapter/src/main.rs
+++ b/crates/quillhub-bench-adapter/src/main.rs
@@ -13,14 +13,14 @@
 use std::process::ExitCode;
 
 /// Exit status after malformed input, or a failure to read input or write a reply.
-const FAILURE_STATUS: u8 = 2;
+const EXIT_FAILURE: u8 = 2;
 
 fn main() -> ExitCode {
     match session::serve(stdin().lock(), BufWriter::new(stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("quillhub-bench-adapter: {error}");
-            ExitCode::from(FAILURE_STATUS)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
--- a/crates/quillhub-bench-adapter/tests/session.rs
+++ b/crates/quillhub-bench-adapter/tests/session.rs
@@ -10,7 +10,7 @@
 /// Start of the reply lines with log events, which the comparison leaves out because their texts may change.
 const LOG_ACTION: &str = "EMIT ";
 /// Exit status after malformed input.
-const FAILURE_STATUS: i32 = 2;
+const EXIT_FAILURE: i32 = 2;
 
 /// First 7 lines of a session: a batch that starts one instance and announces one endpoint, answered with `EOR 1`, and
 /// the start of a second batch.
@@ -47,7 +47,7 @@
     let Output { status, stdout: out, stderr } = run_adapter(input);
     let actual = (status.code(), String::from_utf8_lossy(&out), String::from_utf8_lossy(&stderr));
     let expected = format!("quillhub-bench-adapter: {message}\n");
-    assert_eq!(actual, (Some(FAILURE_STATUS), stdout.into(), expected.into()));
+    assert_eq!(actual, (Some(EXIT_FAILURE), stdout.into(), expected.into()));
 }
 
 #[test]
--- a/crates/quillhub-server/src/command.rs
+++ b/crates/quillhub-server/src/command.rs
@@ -11,7 +11,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 /// Exit status of a command that failed. A command line that cannot be parsed has status 1, which argh sets.
-const EXIT_FAILED: u8 = 2;
+const EXIT_FAILURE: u8 = 2;
 
 /// Source of the path of the configuration file.
 const CONFIGURATION_PATH: PathSource = PathSource { option: "--config", variable: "RELAY_CONFIG" };
@@ -164,7 +164,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("quillhub: {error}");
-            ExitCode::from(EXIT_FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
--- a/crates/quillhub-server/tests/configurations.rs
+++ b/crates/quillhub-server/tests/configurations.rs
@@ -18,7 +18,7 @@
 const STATE_VARIABLE: &str = "RELAY_STATE";
 
 /// Exit status of a command that failed.
-const EXIT_FAILED: i32 = 2;
+const EXIT_FAILURE: i32 = 2;
 /// Exit status for a command line that cannot be parsed.
 const EXIT_UNPARSED: i32 = 1;
 
@@ -90,9 +90,9 @@
 }
 
 /// Writes a configuration file and returns its path.
-fn write_configuration(folder: &Folder, content: impl AsRef<[u8]>) -> PathBuf {
-    let path = folder.0.join("configuration.json");
-    std::fs::write(&path, content).expect("the folder is writable");
+fn write_configuration(directory: &Folder, content: impl AsRef<[u8]>) -> PathBuf {
+    let path = directory.0.join("configuration.json");
+    std::fs::write(&path, content).expect("the directory is writable");
     path
 }
 
@@ -112,26 +112,26 @@
 
 /// Checks that `check` refuses a configuration with `message`.
 fn assert_check_refuses(content: &[u8], message: &str) {
-    let folder = Folder::new();
-    let path = write_configuration(&folder, content);
-    assert_output(check(&path), EXIT_FAILED, "", &format!("quillhub: {message}\n"));
+    let directory = Folder::new();
+    let path = write_configuration(&directory, content);
+    assert_output(check(&path), EXIT_FAILURE, "", &format!("quillhub: {message}\n"));
 }
 
 #[test]
 fn the_complete_configuration_is_accepted() {
-    let folder = Folder::new();
-    let path = write_configuration(&folder, COMPLETE);
+    let directory = Folder::new();
+    let path = write_configuration(&directory, COMPLETE);
     assert_output(check(&path), 0, ACCEPTED, "");
 }
 
 /// Guards against optional settings that are required, and against checks that are too strict.
 #[test]
 fn every_valid_change_of_the_complete_configuration_is_accepted() {
-    let folder = Folder::new();
+    let directory = Folder::new();
     let changes = changes(ACCEPTED_CHANGES);
     assert_eq!(changes.len(), 29);
     for change in changes {
-        let path = write_configuration(&folder, changed(&change).to_string());
+        let path = write_configuration(&directory, changed(&change).to_string());
         assert_output(check(&path), 0, ACCEPTED, "");
     }
 }
@@ -150,7 +150,7 @@
 /// the program exits even if it fails to refuse a configuration.
 #[test]
 fn serve_refuses_every_invalid_value_with_the_message_of_check() {
-    let folder = Folder::new();
+    let directory = Folder::new();
     let state = Folder::new();
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = taken.local_addr().expect("it is bound").to_string();
@@ -159,8 +159,8 @@
         if change.pointer != "/listen" {
             configuration["listen"] = address.clone().into();
         }
-        let path = write_configuration(&folder, configuration.to_string());
-        assert_output(serve(&path, &state.0), EXIT_FAILED, "", &format!("quillhub: {}\n", change.message));
+        let path = write_configuration(&directory, configuration.to_string());
+        assert_output(serve(&path, &state.0), EXIT_FAILURE, "", &format!("quillhub: {}\n", change.message));
     }
 }
 
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn json_that_is_not_an_object_is_refused_for_the_first_missing_setting() {
+fn json_that_is_not_an_object_is_refused_with_the_error_for_the_first_missing_setting() {
     for text in ["[]", "7", "\"seed\"", "null", "{}"] {
         assert_check_refuses(text.as_bytes(), "expected settings with .seed, found none");
     }
@@ -188,43 +188,43 @@
 
 #[test]
 fn a_file_that_cannot_be_read_is_refused_with_its_path() {
-    let folder = Folder::new();
+    let directory = Folder::new();
     let state = Folder::new();
-    let missing = folder.0.join("missing.json");
+    let missing = directory.0.join("missing.json");
     let line = format!("quillhub: {}: No such file or directory (os error 2)\n", missing.display());
-    assert_output(check(&missing), EXIT_FAILED, "", &line);
-    assert_output(serve(&missing, &state.0), EXIT_FAILED, "", &line);
-    let line = format!("quillhub: {}: Is a directory (os error 21)\n", folder.0.display());
-    assert_output(check(&folder.0), EXIT_FAILED, "", &line);
-    let binary = write_configuration(&folder, b"{\"seed\": \"\xff\"}");
+    assert_output(check(&missing), EXIT_FAILURE, "", &line);
+    assert_output(serve(&missing, &state.0), EXIT_FAILURE, "", &line);
+    let line = format!("quillhub: {}: Is a directory (os error 21)\n", directory.0.display());
+    assert_output(check(&directory.0), EXIT_FAILURE, "", &line);
+    let binary = write_configuration(&directory, b"{\"seed\": \"\xff\"}");
     let line = format!("quillhub: {}: stream did not contain valid UTF-8\n", binary.display());
-    assert_output(check(&binary), EXIT_FAILED, "", &line);
+    assert_output(check(&binary), EXIT_FAILURE, "", &line);
 }
 
 #[test]
 fn a_command_without_a_path_names_the_option_and_the_variable() {
     let config = "quillhub: expected --config or $RELAY_CONFIG, found neither\n";
-    assert_output(program(&["check"]), EXIT_FAILED, "", config);
-    assert_output(program(&["serve"]), EXIT_FAILED, "", config);
-    assert_output(program(&["serve", "--state", "."]), EXIT_FAILED, "", config);
+    assert_output(program(&["check"]), EXIT_FAILURE, "", config);
+    assert_output(program(&["serve"]), EXIT_FAILURE, "", config);
+    assert_output(program(&["serve", "--state", "."]), EXIT_FAILURE, "", config);
     let state = "quillhub: expected --state or $RELAY_STATE, found neither\n";
-    assert_output(program(&["serve", "--config", "missing.json"]), EXIT_FAILED, "", state);
+    assert_output(program(&["serve", "--config", "missing.json"]), EXIT_FAILURE, "", state);
 }
 
 #[test]
 fn environment_variables_replace_missing_options_and_options_take_precedence() {
-    let folder = Folder::new();
-    let path = write_configuration(&folder, COMPLETE);
+    let directory = Folder::new();
+    let path = write_configuration(&directory, COMPLETE);
     let mut by_variable = program(&["check"]);
     by_variable.env(CONFIG_VARIABLE, &path);
     assert_output(by_variable, 0, ACCEPTED, "");
     let mut by_option = check(&path);
-    by_option.env(CONFIG_VARIABLE, folder.0.join("missing.json"));
+    by_option.env(CONFIG_VARIABLE, directory.0.join("missing.json"));
     assert_output(by_option, 0, ACCEPTED, "");
     let mut serve = program(&["serve"]);
-    serve.env(CONFIG_VARIABLE, &path).env(STATE_VARIABLE, folder.0.join("missing"));
+    serve.env(CONFIG_VARIABLE, &path).env(STATE_VARIABLE, directory.0.join("missing"));
     let line = "quillhub: the state directory cannot be used: No such file or directory (os error 2)\n";
-    assert_output(serve, EXIT_FAILED, "", line);
+    assert_output(serve, EXIT_FAILURE, "", line);
 }
 
 #[test]
@@ -259,49 +259,49 @@
 
 #[test]
 fn serve_refuses_a_state_directory_that_cannot_be_used() {
-    let folder = Folder::new();
-    let path = write_configuration(&folder, COMPLETE);
+    let directory = Folder::new();
+    let path = write_configuration(&directory, COMPLETE);
     for (state, cause) in [
-        (folder.0.join("missing"), "No such file or directory (os error 2)"),
+        (directory.0.join("missing"), "No such file or directory (os error 2)"),
         (path.clone(), "Not a directory (os error 20)"),
     ] {
         let line = format!("quillhub: the state directory cannot be used: {cause}\n");
-        assert_output(serve(&path, &state), EXIT_FAILED, "", &line);
+        assert_output(serve(&path, &state), EXIT_FAILURE, "", &line);
     }
 }
 
 #[test]
 fn serve_refuses_an_address_that_is_in_use() {
-    let (folder, state) = (Folder::new(), Folder::new());
+    let (directory, state) = (Folder::new(), Folder::new());
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let mut configuration = complete();
     configuration["listen"] = taken.local_addr().expect("it is bound").to_string().into();
-    let path = write_configuration(&folder, configuration.to_string());
+    let path = write_configuration(&directory, configuration.to_string());
     assert_output(check(&path), 0, ACCEPTED, "");
-    assert_output(serve(&path, &state.0), EXIT_FAILED, "", ADDRESS_IN_USE);
+    assert_output(serve(&path, &state.0), EXIT_FAILURE, "", ADDRESS_IN_USE);
 }
 
 #[test]
 fn serve_refuses_a_gossip_address_that_is_in_use() {
-    let (folder, state) = (Folder::new(), Folder::new());
+    let (directory, state) = (Folder::new(), Folder::new());
     let taken = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     let mut configuration = complete();
     configuration["peer_listen"] = taken.local_addr().expect("it is bound").to_string().into();
-    let path = write_configuration(&folder, configuration.to_string());
+    let path = write_configuration(&directory, configuration.to_string());
     let line =
         "quillhub: the gossip address (peer_listen) cannot be used: Address already in use (os error 98)\n";
-    assert_output(serve(&path, &state.0), EXIT_FAILED, "", line);
+    assert_output(serve(&path, &state.0), EXIT_FAILURE, "", line);
 }
 
 /// Guards against a server that refuses to start with a configuration that passed `check`.
 #[test]
-fn serve_refuses_what_check_accepts_only_for_an_address_in_use() {
-    let (folder, state) = (Folder::new(), Folder::new());
+fn a_configuration_that_passes_check_fails_serve_only_by_its_address_in_use() {
+    let (directory, state) = (Folder::new(), Folder::new());
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     for change in changes(ACCEPTED_CHANGES).iter().filter(|change| change.pointer != "/listen") {
         let mut configuration = changed(change);
         configuration["listen"] = taken.local_addr().expect("it is bound").to_string().into();
-        let path = write_configuration(&folder, configuration.to_string());
-        assert_output(serve(&path, &state.0), EXIT_FAILED, "", ADDRESS_IN_USE);
+        let path = write_configuration(&directory, configuration.to_string());
+        assert_output(serve(&path, &state.0), EXIT_FAILURE, "", ADDRESS_IN_USE);
     }
 }
