--- a/crates/quillhub-server/tests/instance/mod.rs
+++ b/crates/quillhub-server/tests/instance/mod.rs
@@ -79,8 +79,8 @@
 const CENTURY_US: u64 = 100 * 365 * 24 * 3_600 * 1_000_000;
 const SECOND_US: u64 = 1_000_000;
 
-/// Returns the service classes of the messages in the state directory of the first version, except for one that is
-/// meant to be unknown.
+/// Returns the service classes of the messages in the state directory of version 1, except for one that is meant to be
+/// unknown.
 pub fn classes() -> [Value; 4] {
     [
         class("free", "free", 0),
@@ -90,8 +90,8 @@
     ]
 }
 
-/// Returns a copy of the state directory of the first version, so that the fixture stays unchanged.
-pub fn first_version_state_directory() -> Folder {
+/// Returns a copy of the state directory of version 1, so that the fixture stays unchanged.
+pub fn version_1_state_directory() -> Folder {
     let (fixture, copy) = (Path::new("tests/fixtures/state-directory-v1"), Folder::new());
     for segment in ["wal-0000000000", "wal-0000000001"] {
         std::fs::write(copy.0.join(segment), std::fs::read(fixture.join(segment)).unwrap()).unwrap();
--- a/crates/quillhub-server/tests/process_signals.rs
+++ b/crates/quillhub-server/tests/process_signals.rs
@@ -22,7 +22,7 @@
 use tokio::time::{Instant, timeout};
 
 const DEDUPLICATION_WINDOW: Duration = Duration::from_secs(6);
-/// Tolerance for the time of an attempt.
+/// Tolerance for the time at which a request is received.
 const TOLERANCE: Duration = Duration::from_millis(50);
 /// Time limit of a test, far longer than the test takes.
 const TEST_TIMEOUT: Duration = Duration::from_secs(40);
@@ -269,7 +269,7 @@
             (spawn_local(check), (step, class, signal))
         });
         for (check, case) in running.collect::<Vec<_>>() {
-            assert!(check.await.unwrap().is_ok(), "no outcome: {case:?}");
+            assert!(check.await.unwrap().is_ok(), "one outcome in time: {case:?}");
         }
     });
 }
@@ -277,7 +277,7 @@
 /// Guards against a process that does not exit, or fails, because a signal arrives before it is ready or while it
 /// already shuts down.
 #[test]
-fn signals_during_startup_or_shutdown_end_the_process_as_a_single_one_does() {
+fn further_signals_and_early_ones_end_the_process_regularly() {
     let test = async {
         let (state, files) = (Folder::new(), Folder::new());
         let (listen, silent) = (unused_address(), TcpListener::bind("127.0.0.1:0").await.unwrap());
@@ -296,5 +296,5 @@
         }
         assert!(instance.end().await.unwrap().success());
     };
-    on_one_thread(async { timeout(TEST_TIMEOUT, test).await.expect("the process does not exit") });
+    on_one_thread(async { timeout(TEST_TIMEOUT, test).await.expect("the process exits in time") });
 }
--- a/crates/quillhub-server/tests/replies.rs
+++ b/crates/quillhub-server/tests/replies.rs
@@ -17,8 +17,8 @@
 /// free.
 const CAPACITY: usize = 8;
 
-fn submit(request: &str, list: &str) -> Vec<u8> {
-    command(&["SUBMIT", "0", request, list, "body"].map(str::as_bytes))
+fn submit(client_id: &str, list: &str) -> Vec<u8> {
+    command(&["SUBMIT", "0", client_id, list, "body"].map(str::as_bytes))
 }
 
 /// Starts an instance whose only endpoint is at `endpoint`, and whose discovery is unreachable.
@@ -35,7 +35,7 @@
     (listener.local_addr().unwrap(), listener)
 }
 
-/// Runs `test` with an instance whose endpoint never answers.
+/// Runs `test` with an instance whose endpoint is silent.
 fn with_instance(test: impl AsyncFnOnce(SocketAddr, &Path)) {
     let state = Folder::new();
     let test_run = async {
@@ -179,12 +179,12 @@
 }
 
 #[test]
-fn a_busy_reply_without_a_retry_delay_has_exactly_these_bytes() {
+fn a_busy_reply_without_a_retry_after_has_exactly_these_bytes() {
     with_instance(async |address, _| assert_reply_when_full(address, 0, b"-BUSY\r\n").await);
 }
 
 #[test]
-fn a_busy_reply_with_the_maximum_retry_delay_has_exactly_these_bytes() {
+fn a_busy_reply_with_the_maximum_retry_after_has_exactly_these_bytes() {
     let state = Folder::new();
     let test_run = async {
         let (address, endpoint) = silent_endpoint().await;
--- a/crates/quillhub-server/tests/requests.rs
+++ b/crates/quillhub-server/tests/requests.rs
@@ -3,9 +3,7 @@
 
 mod instance;
 
-use instance::{
-    Instance, TEST_TIMEOUT, classes, configuration, endpoint_list, first_version_state_directory,
-};
+use instance::{Instance, TEST_TIMEOUT, classes, configuration, endpoint_list, version_1_state_directory};
 use quillhub_fakes::clients::{ask, command};
 use quillhub_fakes::scratch::{Folder, on_one_thread};
 use std::net::SocketAddr;
@@ -138,7 +136,7 @@
 
 #[test]
 fn a_request_with_final_outcomes_to_the_platform_has_exactly_these_bytes() {
-    let state = first_version_state_directory();
+    let state = version_1_state_directory();
     let test = async {
         let (address, mut requests) = recording_server().await;
         let _instance = Instance::start(configuration(address, 100, &classes()), &state.0).await;
--- a/crates/quillhub-server/tests/restarts.rs
+++ b/crates/quillhub-server/tests/resource_limits.rs
@@ -97,20 +97,20 @@
 /// Guards against an instance that can no longer reach discovery, endpoints or clients, because idle clients and
 /// attempts without a response have used up all file descriptors.
 #[test]
-fn descriptors_remain_for_discovery_and_endpoints_despite_idle_clients_and_hanging_attempts() {
+fn descriptors_remain_for_discovery_and_endpoints_despite_idle_clients_and_silent_endpoints() {
     let test = async {
         let (state, files) = (Folder::new(), Folder::new());
         let (listen, discovery) = (unused_address(1), unused_address(2));
-        let hanging = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let healthy = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let hanging_address = hanging.local_addr().unwrap();
-        let known: Vec<_> = (0..200).map(|n| member(format!("e{n}"), hanging_address, 9)).collect();
+        let silent_address = silent.local_addr().unwrap();
+        let known: Vec<_> = (0..200).map(|n| member(format!("e{n}"), silent_address, 9)).collect();
         let extended = [known.clone(), vec![member("f".into(), healthy.local_addr().unwrap(), 10)]].concat();
         let (attempts, opened) = (Rc::new(Cell::new(0)), Rc::new(Notify::new()));
         let (attempt_count, attempt_opened) = (attempts.clone(), opened.clone());
         spawn_local(async move {
             let mut open = Vec::new();
-            while let Ok((stream, _)) = hanging.accept().await {
+            while let Ok((stream, _)) = silent.accept().await {
                 open.push(stream);
                 attempt_count.set(open.len());
                 attempt_opened.notify_one();
@@ -125,7 +125,7 @@
         while attempts.get() < DESCRIPTORS / 8 {
             opened.notified().await;
         }
-        println!("{} attempts hang", attempts.get());
+        println!("{} attempts without a response", attempts.get());
         let mut idle = Vec::new();
         for _ in 0..2 * DESCRIPTORS {
             idle.push(TcpStream::connect(listen).await.unwrap());
@@ -144,7 +144,7 @@
                 spawn_local(serve(stream, Value::Null, at_healthy.clone()));
             }
         });
-        println!("{} attempts hang, and {} clients are idle", attempts.get(), idle.len());
+        println!("{} attempts without a response, and {} clients are idle", attempts.get(), idle.len());
         // A new client that sends a command is served. The first client has been idle longest, and the instance may
         // have closed its connection.
         let mut id = 300;
@@ -158,7 +158,7 @@
         println!("the client was served");
         delivered.notified().await;
     };
-    on_one_thread(async { timeout(TEST_TIMEOUT, test).await.expect("file descriptors ran out") });
+    on_one_thread(async { timeout(TEST_TIMEOUT, test).await.expect("file descriptors remain") });
 }
 
 /// Guards against a restart that takes too long because the instance recovers many messages or waits for discovery,
--- a/crates/quillhub-server/tests/scenario.rs
+++ b/crates/quillhub-server/tests/scenario.rs
@@ -1,5 +1,5 @@
 //! Short scenario with faults, played over loopback with the fakes: whatever the timing, every message gets one
-//! outcome, and almost no idempotency key is executed twice.
+//! outcome, and almost no message with an idempotency key is executed twice.
 
 use quillhub_fakes::clients::{self, RequestLog, ScheduledMessage};
 use quillhub_fakes::endpoints::{self, EndpointEventKind};
@@ -146,13 +146,14 @@
         );
         drop(stop);
         instance.join().unwrap().unwrap();
-        // A retry with the same key may be executed, since its destination discards it; most keys have none.
+        // A retry with the same key counts as an execution, although the destination discards its effect; fewer than a
+        // tenth of the keys may have more than one.
         assert!(executions.values().filter(|times| **times > 1).count() * 10 < executions.len().max(10));
     });
 }
 
 #[test]
-fn a_fault_that_sockets_cannot_reproduce_is_rejected_with_a_single_line() {
+fn a_fault_that_sockets_cannot_reproduce_is_refused_with_a_single_line() {
     let text = SCENARIO.replace("what = 'refuse'", "what = { cut = {} }");
     let error = endpoints::check_supported(scenario(&text)).unwrap_err();
     assert!(
--- a/crates/quillhub-server/tests/state_directory.rs
+++ b/crates/quillhub-server/tests/state_directory.rs
@@ -1,11 +1,9 @@
-//! Test that an instance can read a state directory of the first version, and that each message in it gets exactly one
+//! Tests that an instance can read a state directory of version 1, and that each message in it gets exactly one
 //! outcome.
 
 mod instance;
 
-use instance::{
-    Instance, TEST_TIMEOUT, classes, configuration, endpoint_list, first_version_state_directory,
-};
+use instance::{Instance, TEST_TIMEOUT, classes, configuration, endpoint_list, version_1_state_directory};
 use quillhub_fakes::http::Served;
 use quillhub_fakes::scratch::on_one_thread;
 use serde_json::Value;
@@ -78,9 +76,9 @@
     (client_id.into(), idempotency_key.map(Into::into), body.into())
 }
 
-/// Returns the line by which the platform learns the outcome of the message with `client_id`.
-fn outcome_line(client_id: &str, result: &str) -> String {
-    format!("{{\"ref\":\"{client_id}\",{result}}}")
+/// Returns the line that reports the outcome of a message to the platform; `members` are the JSON members after the id.
+fn outcome_line(client_id: &str, members: &str) -> String {
+    format!("{{\"ref\":\"{client_id}\",{members}}}")
 }
 
 /// Receives `expected` values and returns them sorted.
@@ -99,8 +97,8 @@
 }
 
 #[test]
-fn each_message_in_a_state_directory_of_the_first_version_gets_exactly_one_outcome() {
-    let state = first_version_state_directory();
+fn each_message_in_a_state_directory_of_version_1_gets_exactly_one_outcome() {
+    let state = version_1_state_directory();
     let test = async {
         let (configuration, mut received) = start_servers().await;
         let instance = Instance::start(configuration.clone(), &state.0).await;
