--- a/crates/quillhub-bench-adapter/src/adapter.rs
+++ b/crates/quillhub-bench-adapter/src/adapter.rs
@@ -1,4 +1,5 @@
-//! The running instances: passes each event to the dispatcher of its instance, then lets the dispatcher act.
+//! Adapter between the simulator and the running instances: passes each event to the dispatcher of its instance, then
+//! applies the dispatcher's rules.
 //!
 //! Invariant: instances share only the clock and the endpoint lists.
 
@@ -31,7 +32,7 @@
             InstanceEvent::Inbound => self.submit(&SubmittedMessage::parse(fields)?)?,
             InstanceEvent::Resolved => self.attempt_ended(EndedAttempt::parse(fields)?),
             InstanceEvent::Timer => {
-                events::parse_timer(fields)?;
+                events::skip_timer(fields)?;
                 self.dispatcher.timer_fired();
             }
             InstanceEvent::ClientLeft => self.dispatcher.finish(events::parse_client_left(fields)?),
--- a/crates/quillhub-bench-adapter/src/events.rs
+++ b/crates/quillhub-bench-adapter/src/events.rs
@@ -9,14 +9,15 @@
 use quillhub::{AttemptOutcome, MessageId};
 use std::time::Duration;
 
-/// Event for one instance: every line of a batch except `LIST` and `ENTRY`, which belong to no instance.
+/// Event for one instance: every line of a batch except `TICK`, `LIST`, `ENTRY` and `YOUR_TURN`, which belong to no
+/// instance.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     /// An instance starts, with the settings in the line.
     Hello,
     /// An instance is stopped and removed.
     Shutdown,
-    /// An instance receives an endpoint list, or the failure to get one.
+    /// An instance receives an endpoint list, or the report that discovery could not be polled.
     Announce,
     /// Another event of a running instance.
     Instance(InstanceEvent),
@@ -29,9 +30,9 @@
     Inbound,
     /// An attempt ended.
     Resolved,
-    /// The timer that the dispatcher requested last fired.
+    /// The most recently requested timer fired.
     Timer,
-    /// The client of a message left.
+    /// The client of a message disconnected.
     ClientLeft,
     /// A gossip message arrived from another instance.
     Memo,
@@ -166,12 +167,12 @@
     }
 }
 
-/// Parses the fields of a `TIMER` line, whose value is not needed.
-pub fn parse_timer(fields: &mut Fields) -> Result<(), LineError> {
+/// Checks the field of a `TIMER` line, which is not used.
+pub fn skip_timer(fields: &mut Fields) -> Result<(), LineError> {
     fields.text("ctx").map(|_| ())
 }
 
-/// Returns the identifier of the message whose client left.
+/// Returns the identifier of the message whose client disconnected.
 pub fn parse_client_left(fields: &mut Fields) -> Result<MessageId, LineError> {
     fields.number("ref")
 }
