--- a/crates/quillhub-bench-adapter/src/session_tests.rs
+++ b/crates/quillhub-bench-adapter/src/session_tests.rs
@@ -1,4 +1,4 @@
-//! Sessions within the process: the replies to an input, and the error that ends it.
+//! Tests of a session in the same process: its replies, and the error that ends it.
 
 use super::*;
 
@@ -25,16 +25,16 @@
     error.unwrap_or_else(|| panic!("no error with {line}"))
 }
 
+/// Guards against reporting the regular end of a simulation, which closes the input after a reply, as a failure.
 #[test]
 fn input_that_ends_between_batches_ends_the_session_without_an_error() {
-    // Guards against reporting the regular end of a simulation, which closes the input after a reply, as a failure.
     assert_eq!(run_session(FIRST_BATCH), ("EOR 1\n".into(), None));
     assert_eq!(run_session(""), (String::new(), None));
 }
 
+/// Guards against taking truncated input, as a crashed simulator leaves it, for a regular end.
 #[test]
 fn input_that_ends_within_a_batch_is_an_error_with_its_line_number() {
-    // Guards against taking truncated input, as left by a simulator that died, for a regular end.
     let (output, error) = run_session(&format!("{FIRST_BATCH}TICK 2000 2\nTIMER courier/0 beat\n"));
     assert_eq!(output, "EOR 1\n");
     assert_eq!(error.unwrap(), "line 9: expected YOUR_TURN, found end of input");
@@ -44,9 +44,9 @@
     );
 }
 
+/// Guards against ignoring malformed input, answering part of its batch, or printing a long line in full.
 #[test]
 fn a_malformed_line_ends_the_session_with_a_short_one_line_message() {
-    // Guards against ignoring malformed input, answering part of its batch, or printing a long line in full.
     for (line, message) in [
         ("WAVE courier/0", "line 8: expected an event, found 'WAVE courier/0'"),
         ("INBOUND courier/0 x - g - 9000 - 0 9 0 0", "line 8: expected a number as ref, found 'x'"),
@@ -76,11 +76,11 @@
     assert!(serve(&b"TICK \xff 1\n"[..], Vec::new()).unwrap_err().to_string().contains("UTF-8"));
 }
 
+/// Guards against ending the session, or attempting the message twice, after an event for a message that is not pending
+/// or after gossip that cannot be decoded. The simulator can report an attempt or a disconnected client after the
+/// message has its final outcome.
 #[test]
 fn events_for_unknown_messages_and_malformed_gossip_affect_no_other_message() {
-    // Guards against ending the session, or attempting the message twice, after an event for a message that is not
-    // pending or after gossip that cannot be decoded. The simulator can report an attempt or a departed client after
-    // the message has its final outcome.
     let (output, error) = run_session(&format!(
         "{FIRST_BATCH}TICK 2000 2\nINBOUND courier/0 77 - g - 5002000 - 0 9 0 0\nRESOLVED courier/0 5 0 endpoint_a ok 5 1 - -\n\
          MEMO courier/0 1 AQ==\nMEMO courier/0 9999 -\nCLIENT_LEFT courier/0 6\nYOUR_TURN\nTICK 3000 3\nRESOLVED courier/0 77 0 endpoint_a ok 5 1 - 0.4,2\nYOUR_TURN\n"
@@ -91,9 +91,9 @@
     assert_eq!((before, after.split_once('\n').unwrap().1), ("EOR 1\n", "EOR 2\nEOR 3\n"));
 }
 
+/// Guards against announcing the older entries when the simulator uses the number of a list a second time.
 #[test]
 fn an_endpoint_list_replaces_an_older_one_with_its_number() {
-    // Guards against announcing the older entries when the simulator uses the number of a list a second time.
     let (output, error) = run_session(&format!(
         "{FIRST_BATCH}TICK 2000 2\nLIST 3 1\nENTRY endpoint_b z k 9 IN 1 -\nANNOUNCE courier/0 3 full 2\n\
          INBOUND courier/0 77 - g - 5002000 - 0 9 0 0\nYOUR_TURN\n"
--- a/crates/quillhub-bench-adapter/tests/session.rs
+++ b/crates/quillhub-bench-adapter/tests/session.rs
@@ -1,5 +1,5 @@
-//! The adapter as a process: its replies to a recorded session, byte for byte, and its message for each malformed
-//! input.
+//! Tests of the adapter as a process: its replies to a recorded session, byte for byte except for log events, and its
+//! message for each malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -43,17 +43,17 @@
 }
 
 /// Asserts that the adapter exits with a failure, `stdout` as its replies, and `message` as its only error line.
-fn assert_rejected(input: &[u8], stdout: &str, message: &str) {
+fn assert_refused(input: &[u8], stdout: &str, message: &str) {
     let Output { status, stdout: out, stderr } = run_adapter(input);
     let actual = (status.code(), String::from_utf8_lossy(&out), String::from_utf8_lossy(&stderr));
     let expected = format!("quillhub-bench-adapter: {message}\n");
     assert_eq!(actual, (Some(EXIT_FAILURE), stdout.into(), expected.into()));
 }
 
+/// Guards against unintended changes of decisions or of the simulator protocol: results of the bench would no longer be
+/// comparable with earlier ones.
 #[test]
 fn replies_to_the_recorded_session_are_unchanged() {
-    // Guards against unintended changes of decisions or of the simulator protocol: results of the bench would no longer
-    // be comparable with earlier ones.
     let Output { status, stdout, stderr } = run_adapter(RECORDED_INPUT.as_bytes());
     let text = String::from_utf8(stdout).expect("replies are UTF-8");
     let replies: String = text.split_inclusive('\n').filter(|line| !line.starts_with(LOG_ACTION)).collect();
@@ -61,9 +61,9 @@
     assert_eq!((status.code(), stderr.as_slice()), (Some(0), &b""[..]));
 }
 
+/// Guards against a recording that leaves an event or an action out, whose changes the comparison would miss.
 #[test]
 fn the_recorded_session_contains_every_event_and_every_action() {
-    // Guards against a recording that leaves an event or an action out, whose changes the comparison would miss.
     let has = |text: &str, word: &str| text.lines().any(|line| line.split(' ').next() == Some(word));
     for event in [
         "TICK",
@@ -88,16 +88,16 @@
     }
 }
 
+/// Guards against a failure when the simulator closes the input before its first batch.
 #[test]
 fn empty_input_ends_the_adapter_successfully() {
-    // Guards against a failure when the simulator closes the input before its first batch.
     let output = run_adapter(b"");
     assert_eq!((output.status.code(), output.stdout, output.stderr), (Some(0), vec![], vec![]));
 }
 
+/// Guards against answering a batch whose start is malformed or whose end is missing.
 #[test]
-fn a_malformed_batch_is_rejected_with_its_line_number() {
-    // Guards against answering a batch whose start is malformed or whose end is missing.
+fn a_malformed_batch_is_refused_with_its_line_number() {
     for (input, message) in [
         ("TICK 20", "line 1: expected a line ending with a newline, found 'TICK 20'"),
         ("TICK 20 1\n", "line 2: expected YOUR_TURN, found end of input"),
@@ -108,25 +108,25 @@
         ("TICK 20 -1\n", "line 1: expected a number as the batch number, found '-1'"),
         ("TICK 20 1 2\n", "line 1: expected end of line, found '2'"),
     ] {
-        assert_rejected(input.as_bytes(), "", message);
+        assert_refused(input.as_bytes(), "", message);
     }
-    assert_rejected(b"TICK \xff 1\n", "", "line 1: expected UTF-8 text, found 'TICK \u{fffd} 1\n'");
+    assert_refused(b"TICK \xff 1\n", "", "line 1: expected UTF-8 text, found 'TICK \u{fffd} 1\n'");
 }
 
+/// Guards against ignoring an invalid field, or applying part of an event. Each row of the fixture is an event line and
+/// the message for it.
 #[test]
-fn a_malformed_event_is_rejected_with_its_line_number() {
-    // Guards against ignoring an invalid field, or applying part of an event. Each row of the fixture is an event line
-    // and the message for it.
+fn a_malformed_event_is_refused_with_its_line_number() {
     for row in include_str!("fixtures/refused_events.txt").lines() {
         let (event, message) = row.split_once(" => ").expect("a row consists of an event and a message");
         let input = format!("{STARTUP}{event}\nYOUR_TURN\n");
-        assert_rejected(input.as_bytes(), "EOR 1\n", &format!("line 8: {message}"));
+        assert_refused(input.as_bytes(), "EOR 1\n", &format!("line 8: {message}"));
     }
 }
 
+/// Guards against using an endpoint list of which entries are missing or malformed.
 #[test]
-fn an_incomplete_endpoint_list_is_rejected_with_its_line_number() {
-    // Guards against using an endpoint list of which entries are missing or malformed.
+fn an_incomplete_endpoint_list_is_refused_with_its_line_number() {
     let list = format!("{STARTUP}LIST 4 2\n");
     for (rest, message) in [
         ("YOUR_TURN\n", "line 9: expected 2 more ENTRY of list 4, found 'YOUR_TURN'"),
@@ -139,6 +139,6 @@
         ("ENTRY e\n", "line 9: expected rackZone, found end of line"),
         ("ENTRY\n", "line 9: expected endpoint, found ''"),
     ] {
-        assert_rejected(format!("{list}{rest}").as_bytes(), "EOR 1\n", message);
+        assert_refused(format!("{list}{rest}").as_bytes(), "EOR 1\n", message);
     }
 }
