--- a/crates/quillhub-server/src/startup.rs
+++ b/crates/quillhub-server/src/startup.rs
@@ -188,8 +188,9 @@
 /// Recovers the messages in the log, after the first response of discovery or [`DISCOVERY_WAIT_TIMEOUT`].
 ///
 /// Prevents recovered messages from being attempted according to an outdated endpoint list, for example at endpoints
-/// that drain: recovered messages are attempted immediately, and discovery's current list arrives only after the start.
-/// Delays startup by up to [`DISCOVERY_WAIT_TIMEOUT`] while discovery does not respond.
+/// that drain: the instance must use discovery's current list from its start on, but that list arrives only after the
+/// start, and recovered messages are attempted immediately. Delays startup by up to [`DISCOVERY_WAIT_TIMEOUT`] while
+/// discovery does not respond.
 async fn recover(instance: &RefCell<Instance>, recovered: BTreeMap<MessageId, LoggedMessage>) {
     let responded = instance.borrow().discovery_responded();
     // Applies the rules once, so that the dispatcher requests its first watch.
@@ -198,8 +199,8 @@
     instance.borrow_mut().recover(recovered);
 }
 
-/// Spawns a task and restarts it whenever it panics; a task that returns is not restarted. A panic therefore ends only
-/// the work that the task was doing at the time.
+/// Spawns a task and restarts it whenever it panics, so that a panic ends only the work that the task was doing at the
+/// time. A task that returns is not restarted.
 pub fn supervise<F: Future<Output = ()> + 'static>(create_task: impl Fn() -> F + 'static) {
     spawn_local(async move {
         while spawn_local(create_task()).await.is_err() {
