--- a/crates/quillhub-scale/src/lightweight.rs
+++ b/crates/quillhub-scale/src/lightweight.rs
@@ -385,7 +385,10 @@
 
 /// Runs a lightweight instance until its task is aborted.
 async fn run(parameters: FleetParameters, number: u64, status: Arc<Status>, socket: Rc<UdpSocket>) {
-    let read = quillhub_settings::read(parameters.seed + number, &settings::decisions(parameters.instances));
+    let read = quillhub_settings::dispatcher_from_json(
+        parameters.seed + number,
+        &settings::decisions(parameters.instances),
+    );
     let (mut dispatcher, _) = read.expect("the settings of lightweight instances are valid");
     dispatcher.disable_batching();
     let state = State {
--- a/crates/quillhub-server/src/attempts/tests.rs
+++ b/crates/quillhub-server/src/attempts/tests.rs
@@ -14,29 +14,29 @@
     timeout: Duration,
     request: impl Fn(Duration) -> Vec<u8>,
     may_send_request: impl Fn() -> bool,
-) -> (Result<Response, CallError>, Option<HttpConnection>) {
+) -> (Result<Response, AttemptError>, Option<HttpConnection>) {
     let attempt =
         Attempt { pooled, address, connect_timeout: UNREACHED_TIMEOUT, timeout, request, may_send_request };
     let AttemptEnd { result, reusable } = attempt.run().await;
     (result, reusable)
 }
 
-/// Makes one attempt at a fake endpoint that sends `answer`. Returns its outcome, whether that is final, and whether
-/// the connection can be reused.
-fn verdict_on(answer: &'static [u8]) -> (AttemptOutcome, bool, bool) {
+/// Makes one attempt at a fake endpoint that sends `response`. Returns its outcome, whether it finishes the message,
+/// and whether the connection can be reused.
+fn classify_response(response: &'static [u8]) -> (AttemptOutcome, bool, bool) {
     on_one_thread(async {
-        let (address, _requests) = scripted_server(vec![answer]).await;
+        let (address, _requests) = scripted_server(vec![response]).await;
         let (result, connection) =
             attempt(None, address, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await;
-        let Verdict { outcome, finished } = Verdict::of(&result, false);
+        let ClassifiedResult { outcome, finished } = ClassifiedResult::classify(&result, false);
         (outcome, finished, connection.is_some())
     })
 }
 
 #[test]
-fn each_response_has_its_outcome() {
+fn responses_are_classified_by_status_and_headers() {
     let wait = Some(Duration::from_millis(1500));
-    for (answer, outcome, finished, reusable) in [
+    for (response, outcome, finished, reusable) in [
         (OK, AttemptOutcome::Delivered, true, true),
         (
             &b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\n"[..],
@@ -87,18 +87,23 @@
         (b"", AttemptOutcome::ConnectionReset, false, false),
         (b"RESP", AttemptOutcome::ConnectionReset, false, false),
     ] {
-        assert_eq!(verdict_on(answer), (outcome, finished, reusable), "{}", String::from_utf8_lossy(answer));
+        assert_eq!(
+            classify_response(response),
+            (outcome, finished, reusable),
+            "{}",
+            String::from_utf8_lossy(response)
+        );
     }
 }
 
 /// A rejection by a full connection table is not due to the rate limit. Without the distinction, 46,139 of 46,401
-/// rejections on a day without faults, with many instances, were mistaken for rejections by a rate limit.
+/// rejections in a run without faults, with many instances, were mistaken for rejections by a rate limit.
 #[test]
-fn only_a_rejection_of_a_new_connection_without_a_load_report_is_a_connection_limit() {
+fn only_a_rejection_without_a_load_report_on_a_new_connection_counts_as_a_connection_limit() {
     let bare = &b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"[..];
     let reporting = &b"HTTP/1.1 503 x\r\nX-Load: x0=0,x1=9\r\nContent-Length: 0\r\n\r\n"[..];
     let waiting = &b"HTTP/1.1 503 x\r\nX-Backoff-Ms: 9\r\nContent-Length: 0\r\n\r\n"[..];
-    for (answer, on_new_connection, load_reports, expected) in [
+    for (response, on_new_connection, load_reports, expected) in [
         (bare, true, true, AttemptOutcome::ConnectionLimit),
         (bare, true, false, AttemptOutcome::Rejected { retry_after: None }),
         (bare, false, true, AttemptOutcome::Rejected { retry_after: None }),
@@ -106,20 +111,24 @@
         (waiting, true, true, AttemptOutcome::Rejected { retry_after: Some(Duration::from_millis(9)) }),
     ] {
         on_one_thread(async {
-            let (address, _requests) = scripted_server(vec![answer]).await;
+            let (address, _requests) = scripted_server(vec![response]).await;
             let connection = if on_new_connection { None } else { HttpConnection::open(address).await.ok() };
             let (result, _) =
                 attempt(connection, address, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await;
-            assert_eq!(Verdict::of(&result, load_reports), Verdict { outcome: expected, finished: false });
+            assert_eq!(
+                ClassifiedResult::classify(&result, load_reports),
+                ClassifiedResult { outcome: expected, finished: false }
+            );
         });
     }
 }
 
-/// A rejection that is taken from a corrupted response would let a message be sent again that may have been executed.
+/// A rejection that is taken from a corrupted response would let a message be sent again that may have been executed. A
+/// duplicate response after a complete one does not corrupt it.
 #[test]
-fn a_corrupted_response_proves_nothing_but_a_200_status_line_and_does_not_prolong_its_attempt() {
+fn a_corrupted_response_never_shows_that_the_message_was_not_executed() {
     let wait = Some(Duration::from_millis(1500));
-    for (answer, outcome, finished) in [
+    for (response, outcome, finished) in [
         (&b"HTTP/1.1 200 OK\r\nCont\0ent: \xff"[..], AttemptOutcome::Delivered, true),
         (b"HTTP/1.1 200 OK\r\nA: b", AttemptOutcome::Delivered, true),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", AttemptOutcome::Delivered, true),
@@ -162,38 +171,47 @@
         (b"HTTP/1.1 504 x\r\nContent-Length: 7\r\n\r\n", AttemptOutcome::ConnectionReset, false),
         (b"HTTP/1.1 410 x\r\nContent-Length: +0\r\n\r\n", AttemptOutcome::ConnectionReset, false),
     ] {
-        assert_eq!(verdict_on(answer), (outcome, finished, false), "{}", String::from_utf8_lossy(answer));
+        assert_eq!(
+            classify_response(response),
+            (outcome, finished, false),
+            "{}",
+            String::from_utf8_lossy(response)
+        );
     }
 }
 
 #[test]
-fn the_error_of_an_attempt_without_a_response_shows_how_far_its_request_came() {
+fn the_error_of_an_attempt_without_a_response_tells_which_part_of_its_request_was_sent() {
     on_one_thread(async {
         let short = Duration::from_millis(20);
         let closed = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         assert!(matches!(
             attempt(None, closed, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || true).await.0,
-            Err(CallError::ConnectFailed)
+            Err(AttemptError::ConnectFailed)
         ));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let silent = listener.local_addr().unwrap();
         let open = async || Some(HttpConnection::open(silent).await.unwrap());
         assert!(matches!(
             attempt(open().await, silent, short, |_| b"x".to_vec(), || true).await.0,
-            Err(CallError::TimedOut)
+            Err(AttemptError::TimedOut)
         ));
         // The request exceeds the socket buffers, so its last byte is never written.
         let endless = vec![b'x'; 64 << 20];
         assert!(matches!(
             attempt(open().await, silent, short, |_| endless.clone(), || true).await.0,
-            Err(CallError::ConnectFailed)
+            Err(AttemptError::ConnectFailed)
         ));
         let (result, connection) =
             attempt(None, silent, UNREACHED_TIMEOUT, |_| b"x".to_vec(), || false).await;
-        assert!(matches!(result, Err(CallError::NotSent)) && connection.is_some());
-        let ends =
-            [CallError::NotSent, CallError::ConnectFailed, CallError::ConnectionReset, CallError::TimedOut]
-                .map(|result| Verdict::of(&Err(result), true).outcome);
+        assert!(matches!(result, Err(AttemptError::NotSent)) && connection.is_some());
+        let ends = [
+            AttemptError::NotSent,
+            AttemptError::ConnectFailed,
+            AttemptError::ConnectionReset,
+            AttemptError::TimedOut,
+        ]
+        .map(|result| ClassifiedResult::classify(&Err(result), true).outcome);
         let expected = [
             AttemptOutcome::NotSent,
             AttemptOutcome::ConnectFailed,
@@ -205,7 +223,7 @@
 }
 
 #[test]
-fn a_load_report_is_read_where_both_values_are_present() {
+fn a_load_report_is_read_if_both_values_are_present_and_plausible() {
     assert_eq!(
         parse_load_report("x0=0.4,x1=25"),
         Some(LoadReport { remaining_share: 0.4, rate_limit: 25.0 })
@@ -221,12 +239,12 @@
     }
 }
 
-/// A request that is written completely to a connection that the endpoint has closed, or on which a late duplicate
-/// arrives, ends with the attempt unresolved, although the message was not executed.
+/// Guards against attempts that count as possibly executed although the endpoint got no complete request: those on a
+/// connection that the endpoint has closed, or on which a duplicate response arrives.
 #[test]
-fn a_pooled_connection_that_closes_or_receives_a_stray_response_is_replaced_before_the_last_byte() {
+fn a_pooled_connection_that_closes_or_receives_a_duplicate_response_is_replaced_before_the_last_byte() {
     on_one_thread(async {
-        for stray in [&b""[..], b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"] {
+        for surplus in [&b""[..], b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let address = listener.local_addr().unwrap();
             let pooled = HttpConnection::open(address).await.unwrap();
@@ -235,9 +253,10 @@
             let peer = spawn_local(async move {
                 let mut first = [0; 1];
                 server_stream.read_exact(&mut first).await.unwrap();
-                server_stream.write_all(stray).await.unwrap(); // the peer closes or sends once the request begins to arrive
+                // The peer closes or sends once the request begins to arrive.
+                server_stream.write_all(surplus).await.unwrap();
                 let mut rest = Vec::new();
-                if stray.is_empty() {
+                if surplus.is_empty() {
                     drop(server_stream);
                 } else {
                     server_stream.read_to_end(&mut rest).await.unwrap();
@@ -247,7 +266,7 @@
             let (result, connection) =
                 attempt(Some(pooled), address, UNREACHED_TIMEOUT, |_| b"xyz".to_vec(), || true).await;
             // The second connection is refused, since the listener is closed: the message was not executed.
-            assert!(matches!(result, Err(CallError::ConnectFailed)) && connection.is_none());
+            assert!(matches!(result, Err(AttemptError::ConnectFailed)) && connection.is_none());
             assert!(!peer.await.unwrap().ends_with(b"z"), "the last byte was not sent");
         }
     });
@@ -255,7 +274,7 @@
 
 /// Makes an attempt with a timeout of 100 ms on a clock that advances in steps: once the endpoint has the last byte of
 /// the request, it writes each of `pieces` and advances the clock by `step`. Returns the result and the duration.
-fn attempt_on_stepped_clock(pieces: &[&[u8]], step: Duration) -> (Result<Response, CallError>, Duration) {
+fn attempt_on_stepped_clock(pieces: &[&[u8]], step: Duration) -> (Result<Response, AttemptError>, Duration) {
     on_one_thread(async {
         tokio::time::pause();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -281,13 +300,13 @@
 }
 
 /// The timer has millisecond resolution, so a response may be read just after the deadline, when the endpoint may have
-/// given the request up. An attempt that took 2.488018365 s, with 2.487269528 s announced, counted as delivered that
-/// way, and the message was lost.
+/// stopped processing the request. An attempt that took 2.488018365 s, with 2.487269528 s stated, counted as delivered
+/// that way, and the message was lost.
 #[test]
-fn a_response_read_after_the_announced_deadline_counts_as_timed_out() {
+fn a_response_read_after_the_stated_deadline_counts_as_timed_out() {
     let whole = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     let (result, _) = attempt_on_stepped_clock(&[whole], Duration::from_millis(101));
-    assert!(matches!(result, Err(CallError::TimedOut)), "{result:?}");
+    assert!(matches!(result, Err(AttemptError::TimedOut)), "{result:?}");
     let (result, _) = attempt_on_stepped_clock(&[b"HTTP/1.1 ", b"200 OK\r\n\r\n"], Duration::from_millis(40));
     assert!(matches!(result, Ok(Response { status: 200, .. })), "{result:?}");
 }
@@ -301,7 +320,7 @@
         [(begun, 1), (&[&interim[..]], 1), (&[&b"HTTP/1.1 100 x\r\nA: "[..]], 1), (&endless, 1)]
     {
         let (result, took) = attempt_on_stepped_clock(pieces, Duration::from_millis(step));
-        assert!(matches!(result, Err(CallError::TimedOut | CallError::ConnectionReset)), "{result:?}");
+        assert!(matches!(result, Err(AttemptError::TimedOut | AttemptError::ConnectionReset)), "{result:?}");
         assert!(took <= attempt_timeout + Duration::from_millis(2), "{took:?}");
     }
     let (result, took) = attempt_on_stepped_clock(&[b"HTTP/1.1 503 x\r\nA: "], Duration::from_millis(1));
@@ -329,7 +348,7 @@
         });
         let request = |left: Duration| format!("left {}", left.as_millis()).into_bytes();
         let (result, _) = attempt(Some(pooled), address, Duration::from_millis(100), request, || true).await;
-        assert!(matches!(result, Err(CallError::TimedOut)), "{result:?}");
+        assert!(matches!(result, Err(AttemptError::TimedOut)), "{result:?}");
         let left: u64 = peer.await.unwrap()["left ".len()..].parse().unwrap();
         assert!((95..=98).contains(&left), "{left} ms");
     });
--- a/crates/quillhub-server/src/command.rs
+++ b/crates/quillhub-server/src/command.rs
@@ -1,6 +1,6 @@
 //! Command line of the program `quillhub`.
 //!
-//! Invariant: a command that fails prints one line to standard error and exits with status 2.
+//! Invariant: the error of a failed command is printed to standard error as one line, and the exit status is 2.
 
 use crate::{ConfigurationError, ReadError, ServeError};
 use argh::FromArgs;
@@ -11,7 +11,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 /// Exit status of a command that failed. A command line that cannot be parsed has status 1, which argh sets.
-const EXIT_FAILED: u8 = 2;
+const EXIT_FAILURE: u8 = 2;
 
 /// Source of the path of the configuration file.
 const CONFIGURATION_PATH: PathSource = PathSource { option: "--config", variable: "RELAY_CONFIG" };
@@ -20,7 +20,7 @@
 
 // `--help` prints the doc comments of the following types.
 
-/// Outbound message gateway: accepts messages from clients and delivers them to the endpoints of partners.
+/// Outbound message gateway: accepts messages from clients and delivers them to the endpoints of their destinations.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -142,7 +142,7 @@
     fn execute(self) -> Result<(), CommandError> {
         let text = read_file(&CONFIGURATION_PATH.get(self.config)?)?;
         crate::check(&text)?;
-        println!("the configuration can be used");
+        println!("the configuration is valid");
         Ok(())
     }
 }
@@ -164,7 +164,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("quillhub: {error}");
-            ExitCode::from(EXIT_FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
--- a/crates/quillhub-server/src/instance/driver.rs
+++ b/crates/quillhub-server/src/instance/driver.rs
@@ -2,7 +2,7 @@
 
 use super::messages::PendingMessage;
 use super::{AttemptId, Instance, log_failed_write};
-use crate::attempts::{Attempt, AttemptEnd, Verdict};
+use crate::attempts::{Attempt, AttemptEnd, ClassifiedResult};
 use crate::http;
 use crate::wal::{FinalResult, RecordKind};
 use quillhub::{Dispatcher, Driver, LogEvent, MessageId};
@@ -15,7 +15,7 @@
 const DELIVERY_PATH: &str = "/events";
 
 /// Returns a function that encodes the request to deliver `message`. Its argument is the time that the attempt will
-/// still wait for the response, which the request announces to the endpoint.
+/// still wait for the response, which the request states to the endpoint.
 fn delivery_request(
     message: &PendingMessage,
     address: Option<SocketAddr>,
@@ -43,14 +43,14 @@
         self.attempts_in_flight += 1;
         let weak = self.weak.clone();
         spawn_local(async move {
-            let call = spawn_local(async move {
+            let task = spawn_local(async move {
                 match attempt {
                     Some(attempt) => attempt.run().await,
                     None => AttemptEnd::not_sent(),
                 }
             });
             // A panic in the attempt's task ends only that attempt. The message may have been executed.
-            let end = call.await.unwrap_or_else(|_| AttemptEnd::connection_reset());
+            let end = task.await.unwrap_or_else(|_| AttemptEnd::connection_reset());
             if let Some(instance) = weak.upgrade() {
                 instance.borrow_mut().attempt_ended(&id, end, started.elapsed());
             }
@@ -58,16 +58,16 @@
     }
 
     /// Records in the log that an attempt finished its message or is known not to have executed it.
-    pub(super) fn record_attempt(&mut self, id: &AttemptId, verdict: &Verdict) {
+    pub(super) fn record_attempt(&mut self, id: &AttemptId, classified: &ClassifiedResult) {
         if !self.messages.contains(id.message) {
             return;
         }
-        if verdict.finished {
+        if classified.finished {
             log_failed_write(id.message, RecordKind::Finished, self.wal.record_finished(id.message));
             if let Some(message) = self.messages.remove(id.message) {
-                self.messages.remember_client_id(self.now(), message.client_id);
+                self.messages.retain_client_id(self.now(), message.client_id);
             }
-        } else if verdict.outcome.known_not_executed() {
+        } else if classified.outcome.known_not_executed() {
             log_failed_write(
                 id.message,
                 RecordKind::NotExecuted,
@@ -80,7 +80,7 @@
 impl Driver for Instance {
     fn start_attempt(&mut self, id: MessageId, endpoint: &str, timeout: Duration) {
         let started = Instant::now();
-        let written = self.write_record(id);
+        let written = self.write_acceptance(id);
         let Some(message) = self.messages.get_mut(id) else { return };
         let attempt = message.begin_attempt();
         let address = self.pool.address(endpoint);
@@ -118,11 +118,11 @@
     }
 
     fn reject(&mut self, id: MessageId, retry_after: Option<Duration>) {
-        self.finish(id, FinalResult::Rejected { retry_after });
+        self.finish_undelivered(id, FinalResult::Rejected { retry_after });
     }
 
     fn abandon(&mut self, id: MessageId) {
-        self.finish(id, FinalResult::Abandoned);
+        self.finish_undelivered(id, FinalResult::Abandoned);
     }
 
     fn close_idle_connections(&mut self, endpoint: &str) {
--- a/crates/quillhub-server/src/instance/recovery_tests.rs
+++ b/crates/quillhub-server/src/instance/recovery_tests.rs
@@ -2,7 +2,7 @@
 use crate::instance::{FinalOutcome, SubmitOutcome};
 use crate::test_support::{
     InstanceBuilder, OK, StateDirectory, configuration, instance, log_with, message, on_one_thread,
-    pending_in, scripted_server, silent_endpoint, submit, unconnectable_address, until_attempts_ended,
+    scripted_server, silent_endpoint, submit, unconnectable_address, unfinished_in, until_attempts_ended,
     until_idle,
 };
 use crate::wal::FinalResult;
@@ -27,7 +27,7 @@
 /// Guards against lost messages and against a second execution: at the crash, the endpoint has received the requests
 /// and not responded.
 #[test]
-fn messages_in_flight_at_a_crash_are_recovered_and_an_at_most_once_one_is_not_retried() {
+fn messages_in_flight_at_a_crash_are_recovered_and_an_at_most_once_message_is_not_retried() {
     let directory = StateDirectory::new();
     on_one_thread(async {
         let (address, mut requests) = scripted_server(vec![b"HTTP/1.1 100 Continue\r\n\r\n"; 4]).await;
@@ -41,7 +41,7 @@
         let second = restart(&directory, address);
         let second = second.borrow();
         let outcomes: Vec<_> = second.outcomes.iter().map(|end| (end.message, is_rejected(end))).collect();
-        assert_eq!(outcomes, [(1, false)], "the at-most-once one is abandoned");
+        assert_eq!(outcomes, [(1, false)], "the at-most-once message is abandoned");
         let attempts = second.messages.get(2).unwrap().attempts;
         assert_eq!((attempts, second.attempts_in_flight), (2, 1), "the other is retried");
     });
@@ -65,7 +65,7 @@
         assert_eq!(results[0], FinalResult::Rejected { retry_after });
         second.outcomes_confirmed(1);
     });
-    assert!(pending_in(&directory).is_empty());
+    assert!(unfinished_in(&directory).is_empty());
 }
 
 /// Guards against a message that stays in the log without an outcome because the settings no longer define its service
@@ -81,13 +81,13 @@
         let outcomes: Vec<_> = instance.outcomes.iter().map(|end| (end.message, is_rejected(end))).collect();
         assert_eq!((outcomes, instance.messages.len()), (vec![(1, false)], 0));
     });
-    assert_eq!(pending_in(&directory)[&1].outcome, Some(FinalResult::Abandoned));
+    assert_eq!(unfinished_in(&directory)[&1].outcome, Some(FinalResult::Abandoned));
 }
 
 /// Guards against a second execution after the wall clock was set back, here by an hour. The age of the recorded
-/// attempt is then unknown, and the endpoint may have forgotten the idempotency key.
+/// attempt is then unknown, and the deduplication window may have passed.
 #[test]
-fn a_message_with_an_idempotency_key_whose_attempt_lies_in_the_future_is_not_retried() {
+fn a_deduplicated_message_whose_attempt_lies_in_the_future_is_not_retried() {
     for (in_future, attempts) in [(false, 1), (true, 0)] {
         let directory = StateDirectory::new();
         let mut log = log_with(&directory, &[message("marked")]);
@@ -193,7 +193,7 @@
 /// Starts an instance with a deduplication window of 1 s. Its state directory contains message 1, with one attempt that
 /// started `age` ago and may have executed it, and message 2 with the same ordering key and no attempt.
 fn restart_after(directory: &StateDirectory, endpoint: SocketAddr, age: Duration) -> Rc<RefCell<Instance>> {
-    let messages = [1, 2].map(|id| RecoveredMessage {
+    let messages = [1, 2].map(|id| LoggedMessage {
         ordering_key: Some(5),
         client_id: format!("ab{id}").into_bytes(),
         idempotency_key: Some(format!("k{id}").into_bytes()),
@@ -213,7 +213,7 @@
 /// Guards against a message that blocks the later ones of its ordering key after a restart. Its deduplication window
 /// may have expired during the restart, or have less time left than a usual attempt takes.
 #[test]
-fn a_message_whose_deduplication_window_expires_in_a_restart_is_finished_at_once_and_blocks_none_behind_it() {
+fn a_message_whose_window_expires_during_a_restart_is_given_up_at_once_and_does_not_block_its_ordering_key() {
     for age in [700, 1_000, 1_200, 60_000].map(Duration::from_millis) {
         let directory = StateDirectory::new();
         on_one_thread(async {
@@ -227,11 +227,11 @@
             instance.borrow_mut().outcomes_confirmed(1);
             assert!(instance.borrow().is_idle(), "age {age:?}");
         });
-        assert!(pending_in(&directory).is_empty(), "age {age:?}");
+        assert!(unfinished_in(&directory).is_empty(), "age {age:?}");
     }
 }
 
-/// Guards against abandoning a message that a retry can still deliver, and against breaking the order of its key.
+/// Guards against giving up a message that a retry can still deliver, and against breaking the order of its key.
 #[test]
 fn a_message_whose_deduplication_window_still_allows_an_attempt_after_a_restart_is_retried_first() {
     let directory = StateDirectory::new();
@@ -244,5 +244,5 @@
         assert!(request.contains("Idempotency-Key: k1\r\n"), "{request}");
         until_idle(&instance).await;
     });
-    assert!(pending_in(&directory).is_empty());
+    assert!(unfinished_in(&directory).is_empty());
 }
--- a/crates/quillhub-server/src/instance/submission.rs
+++ b/crates/quillhub-server/src/instance/submission.rs
@@ -4,7 +4,7 @@
 
 use super::Instance;
 use super::messages::PendingMessage;
-use crate::wal::{self, FinalResult, RecoveredMessage};
+use crate::wal::{self, FinalResult, LoggedMessage};
 use quillhub::{DestinationId, MessageId, NewMessage};
 use std::time::{Duration, SystemTime};
 
@@ -13,9 +13,9 @@
 pub struct Submission<'a> {
     /// Name of the message's service class in the settings.
     pub service_class: &'a str,
-    /// Key whose messages are delivered one after the other; `None` if the order does not matter.
+    /// Ordering key, if any: messages with the same key are delivered in order if their service class is ordered.
     pub ordering_key: Option<u64>,
-    /// Maximum time until the message is delivered, counted from its submission.
+    /// Time from the submission of the message to its deadline.
     pub time_to_live: Duration,
     /// Destination of the message.
     pub destination: DestinationId,
@@ -34,8 +34,8 @@
     /// instance assigned to it.
     Accepted(MessageId),
     /// The message was rejected and may be submitted again, preferably after `retry_after`.
-    Busy {
-        /// Time that the client should wait; `None` if unknown.
+    Rejected {
+        /// Suggested delay before the client submits the message again; `None` if none is suggested.
         retry_after: Option<Duration>,
     },
     /// The message is valid but could not be accepted.
@@ -61,7 +61,7 @@
     /// A message with the same client id is pending or was finished recently.
     #[error("the id is held already")]
     DuplicateClientId,
-    /// Discovery lists no endpoint of the destination.
+    /// The endpoint list does not contain the destination, and has not contained it recently.
     #[error("unknown destination")]
     UnknownDestination,
     /// The settings define no service class of the given name.
@@ -73,7 +73,7 @@
     /// Converts the result of a message that the dispatcher finished while it was being submitted.
     fn from(result: FinalResult) -> Self {
         match result {
-            FinalResult::Rejected { retry_after } => Self::Busy { retry_after },
+            FinalResult::Rejected { retry_after } => Self::Rejected { retry_after },
             FinalResult::Abandoned => Self::Failed(SubmitFailure::Abandoned),
         }
     }
@@ -83,9 +83,10 @@
     /// Accepts a message unless the submission is invalid, the dispatcher finishes the message immediately, or its
     /// record cannot be written.
     pub fn submit(&mut self, submission: Submission) -> SubmitOutcome {
-        self.messages.forget_old_client_ids(self.now());
-        // Refuses ids of pending messages: endpoints could not distinguish two messages with the same id.
-        if self.messages.knows_client_id(submission.client_id) {
+        self.messages.remove_expired_client_ids(self.now());
+        // Refuses ids of pending and of recently finished messages: endpoints could not distinguish two messages with
+        // the same id.
+        if self.messages.contains_client_id(submission.client_id) {
             return SubmitOutcome::Invalid(InvalidSubmission::DuplicateClientId);
         }
         let is_known =
@@ -93,19 +94,20 @@
         if !is_known(submission.destination) {
             return SubmitOutcome::Invalid(InvalidSubmission::UnknownDestination);
         }
-        let id = self.wal.next_id();
+        let id = self.wal.allocate_id();
         let message = logged_message(&submission);
         let record = wal::accepted_payload(&message);
         let capacity = self.wal.remaining_capacity().saturating_sub(record.len() as u64);
-        self.messages.insert(id, PendingMessage::accepted(message, record));
+        self.messages.insert(id, PendingMessage::submitted(message, record));
         if let Some(outcome) = self.dispatch(id, &submission, capacity) {
             return outcome;
         }
         self.commit(id, &submission)
     }
 
-    /// Passes the message to the dispatcher, with the `capacity` in bytes that the state directory has left besides it.
-    /// Returns the outcome of the submission if that finishes the message or shows that it is invalid.
+    /// Passes the message to the dispatcher; `capacity` is the number of bytes that the state directory has left after
+    /// storing the message. Returns the outcome if the dispatcher finishes the message immediately or does not know its
+    /// service class.
     fn dispatch(&mut self, id: MessageId, submission: &Submission, capacity: u64) -> Option<SubmitOutcome> {
         self.immediate_outcome = None;
         let deadline = self.now() + submission.time_to_live;
@@ -127,21 +129,21 @@
         self.immediate_outcome.take()
     }
 
-    /// Writes the record of the message's acceptance. From then on the message has a final outcome, even if the process
-    /// crashes.
+    /// Writes the record of the message's acceptance, unless its first attempt has done so. From then on the message
+    /// gets a final outcome, even if the process crashes.
     fn commit(&mut self, id: MessageId, submission: &Submission) -> SubmitOutcome {
         let Submission { service_class, destination, time_to_live, client_id, .. } = *submission;
-        let shown_id = String::from_utf8_lossy(client_id);
+        let printable_id = String::from_utf8_lossy(client_id);
         tracing::debug!(
             message_id = id,
-            client_id = %shown_id,
+            client_id = %printable_id,
             service_class,
             destination,
             ?time_to_live,
-            "message accepted"
+            "message submitted"
         );
-        self.messages.reserve_client_id(client_id);
-        if let Err(error) = self.write_record(id) {
+        self.messages.add_client_id(client_id);
+        if let Err(error) = self.write_acceptance(id) {
             tracing::error!(message_id = id, %error, "message could not be accepted");
             self.withdraw(id);
             return SubmitOutcome::Failed(SubmitFailure::StateDirectory);
@@ -151,8 +153,8 @@
 }
 
 /// Returns the message in the form in which the log stores it.
-fn logged_message(submission: &Submission) -> RecoveredMessage {
-    RecoveredMessage {
+fn logged_message(submission: &Submission) -> LoggedMessage {
+    LoggedMessage {
         service_class: submission.service_class.into(),
         destination: submission.destination,
         ordering_key: submission.ordering_key,
@@ -160,6 +162,6 @@
         client_id: submission.client_id.into(),
         idempotency_key: submission.idempotency_key.map(Into::into),
         body: submission.body.into(),
-        ..RecoveredMessage::default()
+        ..LoggedMessage::default()
     }
 }
--- a/crates/quillhub-server/src/instance/tests.rs
+++ b/crates/quillhub-server/src/instance/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::test_support::{
     OK, STATE_BUDGET_BYTES, StateDirectory, TIME_TO_LIVE, endpoint_update, instance, on_one_thread,
-    pending_in, scripted_server, silent_endpoint, submission, submit, submit_body, until_attempts_ended,
+    scripted_server, silent_endpoint, submission, submit, submit_body, unfinished_in, until_attempts_ended,
     until_idle,
 };
 use quillhub::{AttemptOutcome, Driver, EndpointState};
@@ -24,7 +24,7 @@
         assert!(request.ends_with("\r\nContent-Length: 5\r\n\r\n\0body"), "{request}");
         until_idle(&instance).await;
     });
-    assert!(pending_in(&directory).is_empty());
+    assert!(unfinished_in(&directory).is_empty());
 }
 
 /// Guards against submissions that are refused but still take a place in the queue, in the log or among the final
@@ -42,12 +42,12 @@
         }
         assert_eq!(
             submit(&instance, "once"),
-            SubmitOutcome::Busy { retry_after: None },
+            SubmitOutcome::Rejected { retry_after: None },
             "the queue is nearly full"
         );
         assert!(instance.borrow().outcomes.is_empty());
     });
-    assert_eq!(pending_in(&directory).len(), 8);
+    assert_eq!(unfinished_in(&directory).len(), 8);
 }
 
 /// Guards against a state directory that exceeds its budget while endpoints do not respond.
@@ -61,7 +61,7 @@
         let submit = || submit_body(&instance, "once", &body);
         let accepted = (0..9).take_while(|_| matches!(submit(), SubmitOutcome::Accepted(_))).count();
         assert!((3..9).contains(&accepted));
-        assert_eq!(submit(), SubmitOutcome::Busy { retry_after: None });
+        assert_eq!(submit(), SubmitOutcome::Rejected { retry_after: None });
         assert!(directory.size() <= STATE_BUDGET_BYTES);
     });
 }
@@ -96,7 +96,7 @@
         instance.borrow_mut().withdraw(1);
         assert!(instance.borrow().messages.is_empty());
     });
-    assert!(pending_in(&directory).is_empty());
+    assert!(unfinished_in(&directory).is_empty());
 }
 
 /// Guards against an instance without a dispatcher: it is taken out while an event is handled, and a panic skips the
@@ -124,13 +124,13 @@
         assert_eq!(submit(&instance, "free"), SubmitOutcome::Accepted(1));
         assert_eq!(instance.borrow().attempts_in_flight, 0);
     });
-    assert_eq!(pending_in(&directory).len(), 1);
+    assert_eq!(unfinished_in(&directory).len(), 1);
 }
 
-/// Guards against attempts that are sent on the strength of an outdated decision. Each change happens after the
+/// Guards against requests that are sent after the decision for them is outdated. Each change happens after the
 /// dispatcher started the attempt and before the attempt's first byte, while its connection opens.
 #[test]
-fn an_attempt_sends_nothing_after_its_client_left_or_its_endpoint_drained_or_requested_a_wait() {
+fn no_request_is_sent_after_a_withdrawal_or_once_its_endpoint_drains_is_removed_or_sends_a_retry_after() {
     let listed = |state| {
         move |instance: &mut Instance| {
             instance.handle_event(|dispatcher| dispatcher.endpoint_updated(endpoint_update(state)))
@@ -146,14 +146,14 @@
     };
     type Change = Box<dyn Fn(&mut Instance)>;
     let changes: [(&str, Change); 5] = [
-        ("the client left", Box::new(|instance| instance.withdraw(1))),
+        ("the message is withdrawn", Box::new(|instance| instance.withdraw(1))),
         ("the endpoint drains", Box::new(listed(EndpointState::Draining))),
         ("the endpoint is removed", Box::new(listed(EndpointState::Removed))),
         (
-            "the endpoint requests a wait",
+            "the endpoint sends a retry-after",
             Box::new(move |instance| instance.handle_event(|dispatcher| dispatcher.attempt_ended(rejected))),
         ),
-        ("nothing", Box::new(|_| ())),
+        ("no change", Box::new(|_| ())),
     ];
     for (description, change) in changes {
         let directory = StateDirectory::new();
@@ -169,7 +169,7 @@
             let mut received = std::iter::from_fn(|| requests.try_recv().ok());
             assert_eq!(
                 received.any(|request| request.ends_with("body")),
-                description == "nothing",
+                description == "no change",
                 "{description}"
             );
         });
@@ -179,7 +179,7 @@
 /// Guards against two messages with the same client id, which endpoints and the platform could not distinguish, for
 /// example when a client submits a message again after a restart of the instance.
 #[test]
-fn a_duplicate_client_id_is_rejected_and_the_first_message_stays() {
+fn a_duplicate_client_id_is_refused_and_the_first_message_stays_pending() {
     let directory = StateDirectory::new();
     on_one_thread(async {
         let (address, _listener) = silent_endpoint().await;
@@ -203,6 +203,6 @@
         assert_eq!(submit(&second, b"a", 9), duplicate, "also after the message is finished");
         second.borrow_mut().clock_offset += CLIENT_ID_RETENTION;
         assert!(matches!(submit(&second, b"a", 9), SubmitOutcome::Accepted(_)));
-        assert_eq!(second.borrow().messages.remembered_count(), 0);
+        assert_eq!(second.borrow().messages.retained_id_count(), 0);
     });
 }
--- a/crates/quillhub-server/src/test_support.rs
+++ b/crates/quillhub-server/src/test_support.rs
@@ -3,7 +3,7 @@
 
 use crate::instance::{Instance, InstanceParts, Submission, SubmitOutcome};
 use crate::pool::ConnectionPool;
-use crate::wal::{RecoveredMessage, Wal, accepted_payload};
+use crate::wal::{LoggedMessage, Wal, accepted_payload};
 use quillhub::{EndpointState, EndpointUpdate, MessageId};
 pub use quillhub_fakes::scratch::{ScratchDirectory as StateDirectory, on_one_thread};
 pub use quillhub_fakes::scripted::{OK, scripted_server, unconnectable_address};
@@ -25,7 +25,7 @@
 /// Maximum size of the state directories in tests.
 pub const STATE_BUDGET_BYTES: u64 = 1 << 20;
 
-/// Returns the configuration of an instance with a state directory of 1 MB. The system chooses the port for clients;
+/// Returns the configuration of an instance with a state directory of 1 MiB. The system chooses the port for clients;
 /// nothing listens at discovery's address.
 pub fn configuration() -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
@@ -63,7 +63,7 @@
 
     /// Creates the instance and recovers the messages.
     pub fn build(self) -> Rc<RefCell<Instance>> {
-        let (dispatcher, _) = quillhub_settings::read(self.seed, &self.settings).unwrap();
+        let (dispatcher, _) = quillhub_settings::dispatcher_from_json(self.seed, &self.settings).unwrap();
         let (wal, recovered) = Wal::open(&self.directory.0, STATE_BUDGET_BYTES).unwrap();
         let instance = Instance::new(InstanceParts {
             dispatcher,
@@ -132,33 +132,33 @@
 }
 
 /// Returns a message to [`DESTINATION`], without ordering key and idempotency key, as the log stores it.
-pub fn message(service_class: &str) -> RecoveredMessage {
-    RecoveredMessage {
+pub fn message(service_class: &str) -> LoggedMessage {
+    LoggedMessage {
         service_class: service_class.into(),
         destination: DESTINATION,
         deadline: Some(SystemTime::now() + TIME_TO_LIVE),
         client_id: b"ab".to_vec(),
         body: b"body".to_vec(),
-        ..RecoveredMessage::default()
+        ..LoggedMessage::default()
     }
 }
 
 /// Creates a log in `directory` that contains `messages`, whose ids count from 1.
-pub fn log_with(directory: &StateDirectory, messages: &[RecoveredMessage]) -> Wal {
+pub fn log_with(directory: &StateDirectory, messages: &[LoggedMessage]) -> Wal {
     let (mut wal, _) = Wal::open(&directory.0, STATE_BUDGET_BYTES).unwrap();
     for message in messages {
-        let id = wal.next_id();
+        let id = wal.allocate_id();
         wal.record_accepted(id, &accepted_payload(message)).unwrap();
     }
     wal
 }
 
 /// Returns the unfinished messages in a state directory.
-pub fn pending_in(directory: &StateDirectory) -> BTreeMap<MessageId, RecoveredMessage> {
+pub fn unfinished_in(directory: &StateDirectory) -> BTreeMap<MessageId, LoggedMessage> {
     Wal::open(&directory.0, STATE_BUDGET_BYTES).unwrap().1
 }
 
-/// Returns an address that accepts connections and never responds, as long as the listener exists.
+/// Starts an endpoint that accepts connections and never responds until the listener is dropped.
 pub async fn silent_endpoint() -> (SocketAddr, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     (listener.local_addr().unwrap(), listener)
--- a/crates/quillhub-server/tests/requests.rs
+++ b/crates/quillhub-server/tests/requests.rs
@@ -3,9 +3,7 @@
 
 mod instance;
 
-use instance::{
-    Instance, TEST_TIMEOUT, classes, configuration, endpoint_list, first_version_state_directory,
-};
+use instance::{Instance, TEST_TIMEOUT, classes, configuration, endpoint_list, version_1_state_directory};
 use quillhub_fakes::clients::{command, send_command};
 use quillhub_fakes::scratch::{ScratchDirectory, on_one_thread};
 use std::net::SocketAddr;
@@ -23,7 +21,7 @@
 /// Returns `true` if `request` is complete with its body. The last byte of a request is sent late, and may be part of a
 /// character.
 fn is_complete(request: &[u8]) -> bool {
-    let Some(end) = request.windows(4).position(|octets| octets == b"\r\n\r\n") else { return false };
+    let Some(end) = request.windows(4).position(|bytes| bytes == b"\r\n\r\n") else { return false };
     let head = std::str::from_utf8(&request[..end]).unwrap();
     let length = head.split_once("\r\nContent-Length: ").map(|(_, rest)| rest.lines().next().unwrap());
     request.len() >= end + 4 + length.map_or(0, |length| length.parse().unwrap())
@@ -80,7 +78,7 @@
     let (before, rest) = request.split_once("X-Deadline: ").unwrap();
     let (deadline, after) = rest.split_once("\r\n").unwrap();
     let (seconds, milliseconds) = deadline.split_once('.').unwrap();
-    let digits = |text: &str| text.bytes().all(|octet| octet.is_ascii_digit());
+    let digits = |text: &str| text.bytes().all(|byte| byte.is_ascii_digit());
     assert!(digits(seconds) && digits(milliseconds) && milliseconds.len() == 3, "{deadline}");
     let time_left: f64 = deadline.parse().unwrap();
     assert!(
@@ -138,7 +136,7 @@
 
 #[test]
 fn a_request_with_final_outcomes_to_the_platform_has_exactly_these_bytes() {
-    let state = first_version_state_directory();
+    let state = version_1_state_directory();
     let test = async {
         let (address, mut requests) = recording_server().await;
         let _instance = Instance::start(configuration(address, 100, &classes()), &state.0).await;
--- a/crates/quillhub-settings/src/error.rs
+++ b/crates/quillhub-settings/src/error.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Maximum length of an [`Excerpt`], in characters, without the mark of a truncated text.
+/// Maximum length of an [`Excerpt`], in characters, without the `..` that marks a truncated text.
 const MAX_EXCERPT_CHARS: usize = 60;
 
 /// Beginning of an invalid text, quoted in error messages to bound their length.
@@ -53,7 +53,7 @@
         name: String,
     },
     /// The value of a setting has the wrong type or is out of range.
-    #[error("expected {expected} as settings' {path}, found '{found}'")]
+    #[error("expected {expected} as setting {path}, found '{found}'")]
     Unexpected {
         /// Path of the setting, such as `classes[0].effect`.
         path: String,
