--- a/crates/quillhub-scale/src/plan.rs
+++ b/crates/quillhub-scale/src/plan.rs
@@ -80,8 +80,8 @@
     pub fn unit(self) -> &'static str {
         match self {
             Self::Destinations => "destinations known",
-            Self::Backlog => "messages held",
-            Self::Instances => "hollow couriers",
+            Self::Backlog => "pending messages",
+            Self::Instances => "lightweight instances",
             Self::Changes => "changes an hour",
         }
     }
