--- a/crates/quillhub-experiments/src/capacity/evidence.rs
+++ b/crates/quillhub-experiments/src/capacity/evidence.rs
@@ -79,7 +79,7 @@
         let value = sustained
             .reduce(f64::max)
             .ok_or(format!("{LOAD_TEST}: expected steps with messages on time, found none"))?;
-        let steps = format!("{} sustained, {}% of it on time", short(value), MIN_ON_TIME_SHARE * 100.0);
+        let steps = format!("{} sustained with {}% on time", short(value), MIN_ON_TIME_SHARE * 100.0);
         Ok(Figure { value, steps, is_conclusive: true, experiment: LOAD_TEST.into() })
     }
 
@@ -155,7 +155,7 @@
         }
         let is_conclusive =
             fit::held_out(&samples).is_some_and(|held_out| held_out.supports_extrapolation(&fit));
-        let steps = format!("{} for each (slope of {})", short(fit.slope), formula(&fit));
+        let steps = format!("{} per unit of N (slope of {})", short(fit.slope), formula(&fit));
         Ok(Figure { value: fit.slope, steps, is_conclusive, experiment })
     }
 }
--- a/crates/quillhub-experiments/src/capacity/needs.rs
+++ b/crates/quillhub-experiments/src/capacity/needs.rs
@@ -50,6 +50,14 @@
         Self::Failures,
     ];
 
+    /// Returns the name for the tables of the page.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Instance => "instance",
+            _ => self.block(),
+        }
+    }
+
     /// Returns the name of the block on the page.
     pub fn block(self) -> &'static str {
         match self {
@@ -93,8 +101,8 @@
     /// Returns the text for the page.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Satisfied => "carries today",
-            Self::NotShown => "not shown",
+            Self::Satisfied => "satisfied",
+            Self::NotShown => "not confirmed",
             Self::Missing => "missing",
             Self::Unlimited => "no limit set",
         }
@@ -197,7 +205,7 @@
 ///
 /// Returns a message if the kept results lack a figure.
 pub fn all(evidence: &Evidence) -> Result<Vec<Need>, String> {
-    let parts = [instance, backlog, control, platform, endpoints, clients, tools, failures];
+    let parts = [instance, endpoint_list, backlog, control, platform, endpoints, clients, tools, failures];
     let rows: Result<Vec<_>, _> = parts.iter().map(|part| part(evidence)).collect();
     Ok(rows?.concat())
 }
@@ -233,47 +241,56 @@
     let change_bytes = evidence.slope_per_unit(Changes, figure::CONTROL_BYTES)?;
     let changes_per_hour = CHANGES_PER_DAY / HOURS_PER_DAY;
     Ok(vec![
-        cores(evidence, role, "processor, all destinations known, cores", Destinations, DESTINATIONS, rate)?
+        cores(evidence, role, "CPU, all destinations known, cores", Destinations, DESTINATIONS, rate)?
             .mechanism(PLACEMENT),
         cores(
             evidence,
             role,
-            "processor, a share of 740 known, cores",
+            "CPU, a share of 740 destinations known, cores",
             Destinations,
             DESTINATIONS_EACH,
             rate,
         )?
         .mechanism(DISPATCHER),
         control("memory, all destinations known, MB", DESTINATIONS)?.mechanism(PLACEMENT),
-        control("memory, a share of 740 known, MB", DESTINATIONS_EACH)?.mechanism(DISPATCHER),
-        idle("idle processor, all destinations known, % of a core", Destinations, DESTINATIONS)?
+        control("memory, a share of 740 destinations known, MB", DESTINATIONS_EACH)?.mechanism(DISPATCHER),
+        idle("idle CPU, all destinations known, % of a core", Destinations, DESTINATIONS)?
             .mechanism(PLACEMENT),
-        idle("idle processor, a share of 740 known, % of a core", Destinations, DESTINATIONS_EACH)?
-            .mechanism(DISPATCHER),
-        idle("idle processor beside 1,300 instances, % of a core", Instances, INSTANCES)?
+        idle("idle CPU, a share of 740 destinations known, % of a core", Destinations, DESTINATIONS_EACH)?
             .mechanism(DISPATCHER),
-        need("control, bytes a second", Instances, figure::CONTROL_BYTES, INSTANCES)?
+        idle("idle CPU beside 1,300 instances, % of a core", Instances, INSTANCES)?.mechanism(DISPATCHER),
+        need("control traffic, bytes a second", Instances, figure::CONTROL_BYTES, INSTANCES)?
             .plus(change_bytes, changes_per_hour, "71 changes an hour")
             .limit(operators(MAX_CONTROL_BYTES_PER_S))
             .mechanism(WATCH),
-        need("control, packets a second", Instances, figure::CONTROL_PACKETS, INSTANCES)?.mechanism(WATCH),
-        need("the whole list, bytes of one line", Destinations, figure::LIST_BYTES, DESTINATIONS)?
+        need("control traffic, packets a second", Instances, figure::CONTROL_PACKETS, INSTANCES)?
+            .mechanism(WATCH),
+    ])
+}
+
+/// Returns the needs that arise from the endpoint list of one instance.
+fn endpoint_list(evidence: &Evidence) -> Result<Vec<Need>, String> {
+    let need = |quantity, name, size| {
+        let found = evidence.figure_at(Destinations, name, size)?;
+        Ok::<_, String>(Need::new(Role::Instance, quantity, found))
+    };
+    Ok(vec![
+        need("full endpoint list, bytes in one line", figure::LIST_BYTES, DESTINATIONS)?
             .limit(Limit { value: MAX_LIST_BYTES as f64, source: "discovery.rs, MAX_LIST_BYTES" })
             .mechanism(PLACEMENT),
-        need("the whole list, s of its control bytes", Destinations, figure::LIST_BYTES, DESTINATIONS)?
+        need("full endpoint list, s at the limit of control traffic", figure::LIST_BYTES, DESTINATIONS)?
             .times(1.0 / MAX_CONTROL_BYTES_PER_S, "1 / 6,000 bytes a second")
             .limit(operators(MAX_PROPAGATION_S))
             .mechanism(PLACEMENT),
         need(
-            "the list of a share of 740, s of its control bytes",
-            Destinations,
+            "endpoint list of a share of 740 destinations, s at the limit of control traffic",
             figure::LIST_BYTES,
             DESTINATIONS_EACH,
         )?
         .times(1.0 / MAX_CONTROL_BYTES_PER_S, "1 / 6,000 bytes a second")
         .limit(operators(MAX_PROPAGATION_S))
         .mechanism("a list in parts, or by differences"),
-        need("ready, all destinations known, s", Destinations, figure::READY_S, DESTINATIONS)?
+        need("time until ready, all destinations known, s", figure::READY_S, DESTINATIONS)?
             .limit(operators(MAX_READY_S))
             .mechanism(PLACEMENT),
     ])
@@ -293,19 +310,19 @@
     let limit = Limit { value: sustained.value, source: "the largest size sustained" };
     Ok(vec![
         messages.limit(limit).mechanism(DURABLE_BACKLOG),
-        cores(evidence, role, "processor beside the full backlog, cores", Backlog, backlog, rate)?
+        cores(evidence, role, "CPU with the full backlog, cores", Backlog, backlog, rate)?
             .mechanism(DURABLE_BACKLOG),
         need("submitting a message of the full backlog, cores", figure::FILL_US)?
             .times(rate / US_PER_S, "423 messages a second / 1e6 us")
             .limit(ONE_CORE)
             .mechanism(DURABLE_BACKLOG),
         need("memory with the full backlog, MB", figure::MEMORY_MB)?
-            .limit(estimate(MEMORY_MB, "estimate: 4 GB a core, as usual machines have"))
+            .limit(estimate(MEMORY_MB, "estimate: 4 GB a core, as machines usually have"))
             .mechanism(DURABLE_BACKLOG),
-        need("idle processor with the full backlog, % of a core", figure::IDLE_PERCENT)?
+        need("idle CPU with the full backlog, % of a core", figure::IDLE_PERCENT)?
             .limit(estimate(100.0, "one thread"))
             .mechanism(DURABLE_BACKLOG),
-        need("ready after a kill with the full backlog, s", figure::READY_AGAIN_S)?
+        need("time until ready after a kill with the full backlog, s", figure::READY_AGAIN_S)?
             .limit(operators(MAX_READY_S))
             .mechanism(DURABLE_BACKLOG),
         need("state directory with the full backlog, MB", figure::STATE_MB)?.mechanism(DURABLE_BACKLOG),
@@ -320,30 +337,33 @@
     let changes_per_s = CHANGES_PER_DAY / SECONDS_PER_DAY;
     let machines = || Limit { value: CONTROL_MACHINES, source: "operators: machines, taken as a core each" };
     Ok(vec![
-        need("connections of discovery", figure::CONNECTIONS)?
+        need("connections to discovery", figure::CONNECTIONS)?
             .limit(estimate(CONTROL_MACHINES * 20_000.0, "estimate: 20,000 descriptors a machine"))
             .mechanism(WATCH),
         need("bytes a second while nothing changes", figure::DISCOVERY_BYTES)?
             .limit(estimate(CONTROL_MACHINES * NETWORK_BYTES_PER_S, "estimate: 10 Gbit/s a machine"))
             .mechanism(WATCH),
-        need("processor while nothing changes, cores", figure::DISCOVERY_US)?
+        need("CPU while nothing changes, cores", figure::DISCOVERY_US)?
             .times(1.0 / US_PER_S, "1 / 1e6 us")
             .limit(machines())
             .mechanism(WATCH),
-        need("bytes of the day's changes sent to all instances, a second", figure::CHANGE_BYTES)?
+        need("bytes a second to send a day's changes to all instances", figure::CHANGE_BYTES)?
             .times(changes_per_s, "1,700 / 86,400 changes a second")
             .limit(estimate(CONTROL_MACHINES * NETWORK_BYTES_PER_S, "estimate: 10 Gbit/s a machine"))
             .mechanism(WATCH),
-        need("processor of the day's changes, cores", figure::CHANGE_MS)?
+        need("CPU for a day's changes, cores", figure::CHANGE_MS)?
             .times(changes_per_s / 1e3, "1,700 / 86,400 changes a second / 1e3 ms")
             .limit(machines())
             .mechanism(WATCH),
-        need("a change in force at the last instance, s", figure::CALM_WORST_S)?
-            .limit(operators(MAX_PROPAGATION_S))
-            .mechanism(WATCH),
-        need("a change in force at the last instance while a tenth restarts, s", figure::RESTARTING_WORST_S)?
+        need("time until a change is in force at the last instance, s", figure::CALM_WORST_S)?
             .limit(operators(MAX_PROPAGATION_S))
             .mechanism(WATCH),
+        need(
+            "time until a change is in force at the last instance while a tenth of the instances restart, s",
+            figure::RESTARTING_WORST_S,
+        )?
+        .limit(operators(MAX_PROPAGATION_S))
+        .mechanism(WATCH),
     ])
 }
 
@@ -360,12 +380,12 @@
     Ok(vec![
         Need::computed(
             role,
-            "final outcomes a second, if all for a destination that is down fail",
+            "final outcomes a second if all messages for destinations that are down fail",
             outcomes,
             steps,
         )
         .mechanism("calls of up to 64 outcomes each"),
-        Need::new(role, "bytes a second, one outcome a call", bytes)
+        Need::new(role, "bytes a second with one outcome per call", bytes)
             .times(outcomes / INSTANCES, "6,050 outcomes a second / 1,300 in the run")
             .limit(estimate(NETWORK_BYTES_PER_S, "estimate: 10 Gbit/s, one machine"))
             .mechanism("calls of up to 64 outcomes each"),
@@ -429,7 +449,7 @@
     let role = Role::Tools;
     let lines = INSTANCES;
     Ok(vec![
-        Need::computed(role, "logs to be read together", lines, "1,300 instances x 1 log".into())
+        Need::computed(role, "logs to read together", lines, "1,300 instances x 1 log".into())
             .mechanism("a view over all instances, which does not exist"),
     ])
 }
@@ -454,24 +474,32 @@
     let drained = target::messages_per_s_each(INSTANCES) + target::backlog_per_instance() / SECONDS_PER_DAY;
     let message = evidence.figure_at(Destinations, figure::MESSAGE_US, DESTINATIONS_EACH)?;
     Ok(vec![
-        share("3 machines down, 424 a second each, cores", INSTANCES - FAILED_MACHINES)?,
-        share("one zone down, 494 a second each, cores", INSTANCES * (ZONES - 1.0) / ZONES)?,
-        share("a region cut off, 846 a second each, cores", INSTANCES / 2.0)?,
-        Need::new(role, "draining the full backlog within a day besides new messages, cores", message)
-            .times(drained / US_PER_S, "(423 + 5.077e6 / 86,400 s) a second / 1e6 us")
-            .limit(ONE_CORE)
-            .mechanism(DISPATCHER),
-        need("restart of all at once, 20 destinations, s", figure::RESTART_S)?
+        share("CPU with 3 machines down, 424 messages a second each, cores", INSTANCES - FAILED_MACHINES)?,
+        share(
+            "CPU with one zone down, 494 messages a second each, cores",
+            INSTANCES * (ZONES - 1.0) / ZONES,
+        )?,
+        share("CPU with a region cut off, 846 messages a second each, cores", INSTANCES / 2.0)?,
+        Need::new(
+            role,
+            "CPU to drain the full backlog within a day in addition to new messages, cores",
+            message,
+        )
+        .times(drained / US_PER_S, "(423 + 5.077e6 / 86,400 s) a second / 1e6 us")
+        .limit(ONE_CORE)
+        .mechanism(DISPATCHER),
+        need("restart of all instances at once, 20 destinations, s", figure::RESTART_S)?
             .limit(operators(MAX_READY_S))
             .mechanism(WATCH),
-        need("restart of all at once, control processor, core seconds", figure::RESTART_CPU_S)?
+        need("restart of all instances at once, control CPU, core seconds", figure::RESTART_CPU_S)?
             .limit(estimate(CONTROL_MACHINES * MAX_READY_S, "operators: 20 machines for 10 s"))
             .mechanism(WATCH),
-        Need::new(role, "restart of all at once, the whole list to each, s of the network", list)
-            .times(
-                INSTANCES / (CONTROL_MACHINES * NETWORK_BYTES_PER_S),
-                "1,300 / (20 x 1.25e9 bytes a second)",
-            )
-            .mechanism(PLACEMENT),
+        Need::new(
+            role,
+            "restart of all instances at once, full endpoint list to each, s of network time",
+            list,
+        )
+        .times(INSTANCES / (CONTROL_MACHINES * NETWORK_BYTES_PER_S), "1,300 / (20 x 1.25e9 bytes a second)")
+        .mechanism(PLACEMENT),
     ])
 }
--- a/crates/quillhub-experiments/src/capacity/tables.rs
+++ b/crates/quillhub-experiments/src/capacity/tables.rs
@@ -11,7 +11,7 @@
 /// Returns a table of the machines that the scale tests ran on, with their load averages.
 pub fn machine(evidence: &Evidence) -> Result<String, String> {
     let mut text =
-        String::from("| experiment | cores | memory MB | kernel | plays | load average, min to max |\n");
+        String::from("| experiment | cores | memory MB | kernel | runs | load average, min to max |\n");
     text.push_str("| --- | --- | --- | --- | --- | --- |\n");
     for slope in Slope::ALL {
         let points = evidence.points(slope);
@@ -22,10 +22,10 @@
         let load_averages = || points.iter().flat_map(|point| point.load_average);
         let (min, max) = (load_averages().fold(f64::MAX, f64::min), load_averages().fold(0.0, f64::max));
         for (cores, memory, kernel) in machines {
-            let (name, plays) = (experiment_name(slope), points.len());
+            let (name, runs) = (experiment_name(slope), points.len());
             let _ = writeln!(
                 text,
-                "| `{name}` | {cores} | {memory} | {kernel} | {plays} | {min:.1} to {max:.1} |"
+                "| `{name}` | {cores} | {memory} | {kernel} | {runs} | {min:.1} to {max:.1} |"
             );
         }
     }
@@ -36,7 +36,7 @@
 pub fn slope(slope: Slope, points: &[Point]) -> String {
     let sizes: BTreeSet<u64> = points.iter().map(|point| point.size).collect();
     let headings: Vec<String> = sizes.iter().map(u64::to_string).collect();
-    let mut text = format!("Means by {} (half of the range between plays):\n\n", slope.unit());
+    let mut text = format!("Means by {} (half of the range between runs):\n\n", slope.unit());
     let _ = writeln!(text, "| figure | {} |", headings.join(" | "));
     let _ = writeln!(text, "| --- |{}", " --- |".repeat(sizes.len()));
     let rows = scale::rows(points);
@@ -71,9 +71,9 @@
         return format!("| {} | too few sizes | | | | | | no extrapolation |\n", row.name);
     };
     let verdict = match held_out.is_accurate() {
-        true if held_out.supports_extrapolation(&fit) => "holds",
-        true => "holds with another shape: not used to extrapolate",
-        false => "misses: not used to extrapolate",
+        true if held_out.supports_extrapolation(&fit) => "accurate",
+        true => "accurate with another shape: not used to extrapolate",
+        false => "inaccurate: not used to extrapolate",
     };
     format!(
         "| {} | {} | {} | {:.0}% | {} ({}) | {} | {:+.1}% | {verdict} |\n",
@@ -140,7 +140,7 @@
             text,
             "| {} | {} | {} | {} | {} | {} | {} |",
             ratio(need),
-            need.role.block(),
+            need.role.name(),
             need.quantity,
             short(need.value),
             limit(need),
