--- a/crates/quillhub-fakes/examples/mixed_versions/gossip.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/gossip.rs
@@ -4,7 +4,7 @@
 //! it. The destination goes down again: an instance that learned of the recovery logs the ejection of an endpoint that
 //! was warming up, and one that did not has nothing to log, as the endpoint is still ejected.
 
-use crate::instance::{Process, Server, endpoint_list, member, service_class, write_endpoint_list};
+use crate::instance::{Process, Server, endpoint_list, list_entry, service_class, write_endpoint_list};
 use quillhub_fakes::clients::{command, open, send_command, wait_until_ready};
 use quillhub_fakes::http::ServerConnection;
 use quillhub_fakes::scratch::ScratchDirectory;
@@ -28,7 +28,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time in which a change of health must be logged.
 const LOG_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time for which an instance that must not learn of a recovery is watched.
+/// Time for which the logs are checked for an ejection after malformed datagrams.
 const NO_CHANGE_TIME: Duration = Duration::from_secs(5);
 /// Pause between two messages of a client.
 const MESSAGE_INTERVAL: Duration = Duration::from_millis(100);
@@ -39,12 +39,12 @@
 const RECOVERY: &str = "before=ejected after=warming up";
 const EJECTION_AFTER_RECOVERY: &str = "before=warming up after=ejected";
 
-/// Relay that passes each datagram on to all instances but its sender, and counts.
+/// Relay that forwards each datagram to all instances but its sender, and counts the datagrams of each instance.
 struct Relay {
     socket: UdpSocket,
     members: RefCell<Vec<SocketAddr>>,
-    sent_by: RefCell<Vec<u32>>,
-    delivered_to: RefCell<Vec<u32>>,
+    sent_counts: RefCell<Vec<u32>>,
+    forwarded_counts: RefCell<Vec<u32>>,
     datagrams: RefCell<BTreeSet<Vec<u8>>>,
 }
 
@@ -56,9 +56,9 @@
             self.datagrams.borrow_mut().insert(octets[..length].to_vec());
             for (number, member) in members.into_iter().enumerate() {
                 if member == from {
-                    self.sent_by.borrow_mut()[number] += 1;
+                    self.sent_counts.borrow_mut()[number] += 1;
                 } else if self.socket.send_to(&octets[..length], member).await.is_ok() {
-                    self.delivered_to.borrow_mut()[number] += 1;
+                    self.forwarded_counts.borrow_mut()[number] += 1;
                 }
             }
         }
@@ -66,7 +66,7 @@
 }
 
 /// Instance with the address for its clients and the number of messages submitted to it.
-struct Member {
+struct GossipInstance {
     process: Process,
     listen: SocketAddr,
     submitted: Cell<u64>,
@@ -74,7 +74,7 @@
     requests: Rc<Cell<u32>>,
 }
 
-impl Member {
+impl GossipInstance {
     /// Submits a message and ignores whether it is rejected.
     async fn submit(&self, number: usize) -> io::Result<()> {
         let sequence = self.submitted.replace(self.submitted.get() + 1);
@@ -100,7 +100,7 @@
 }
 
 struct Fleet {
-    members: Vec<Member>,
+    members: Vec<GossipInstance>,
     endpoint: Server,
     relay: Rc<Relay>,
     requests: Vec<Rc<Cell<u32>>>,
@@ -108,7 +108,8 @@
     _directories: Vec<ScratchDirectory>,
 }
 
-/// Delivers, and counts the requests by the instance number at the start of their ids.
+/// Responds to each request with status 200 and counts it for the instance whose number begins its id; resets the
+/// connection instead while `is_down` is set.
 async fn serve_endpoint(requests: Vec<Rc<Cell<u32>>>, is_down: Rc<Cell<bool>>, mut stream: ServerConnection) {
     while let Ok(Some(request)) = stream.next().await {
         if is_down.get() {
@@ -167,13 +168,13 @@
     let relay = Rc::new(Relay {
         socket,
         members: RefCell::new(peers.members.clone()),
-        sent_by: RefCell::new(zeros.clone()),
-        delivered_to: RefCell::new(zeros),
+        sent_counts: RefCell::new(zeros.clone()),
+        forwarded_counts: RefCell::new(zeros),
         datagrams: RefCell::default(),
     });
     spawn_local(relay.clone().run());
     let endpoint = Server::closed()?;
-    let list = endpoint_list(&[member("e1", endpoint.address, DESTINATION)]);
+    let list = endpoint_list(&[list_entry("e1", endpoint.address, DESTINATION)]);
     let mut control = Server::closed()?;
     let known = list.clone();
     control.open(move |stream| serve_control(known.clone(), stream)).await?;
@@ -184,7 +185,12 @@
         let configuration = configuration(listen, control.address, &list, &peers, number);
         let process = Process::start(program, &configuration, &state.0, &directory.0, "instance")?;
         requests.push(Rc::new(Cell::new(0)));
-        members.push(Member { process, listen, submitted: Cell::new(0), requests: requests[number].clone() });
+        members.push(GossipInstance {
+            process,
+            listen,
+            submitted: Cell::new(0),
+            requests: requests[number].clone(),
+        });
         directories.extend([state, directory]);
     }
     Ok(Fleet { members, endpoint, relay, requests, _control: control, _directories: directories })
@@ -202,8 +208,8 @@
         Ok(())
     }
 
-    /// Waits until no message is pending.
-    async fn drain(&self) {
+    /// Waits for twice the deadline, after which no message is pending.
+    async fn wait_for_expiry(&self) {
         sleep(Duration::from_millis(2 * DEADLINE_MS)).await;
     }
 
@@ -217,27 +223,27 @@
         let serve = move |stream| serve_endpoint(requests.clone(), down.clone(), stream);
         self.endpoint.open(serve).await.map_err(failed)?;
         let before: Vec<_> = self.members.iter().map(|member| member.requests.get()).collect();
-        let sent = self.relay.sent_by.borrow()[deliverer];
+        let sent = self.relay.sent_counts.borrow()[deliverer];
         let recoveries = self.members[deliverer].process.count_log_lines(RECOVERY);
         let member = &self.members[deliverer];
         if !member.submit_until_logged(deliverer, RECOVERY, recoveries + 1).await.map_err(failed)? {
             return Err(format!("instance {deliverer} has not delivered to the recovered destination"));
         }
-        self.drain().await;
+        self.wait_for_expiry().await;
         let others = self.members.iter().zip(&before).enumerate().filter(|(number, _)| *number != deliverer);
         if others.clone().any(|(_, (member, before))| member.requests.get() != *before) {
             return Err("another instance sent to the recovered destination".into());
         }
         println!(
             "instance {deliverer} delivered and sent {} datagrams",
-            self.relay.sent_by.borrow()[deliverer] - sent
+            self.relay.sent_counts.borrow()[deliverer] - sent
         );
         is_down.set(true);
         self.endpoint.close();
         ejections.iter_mut().for_each(|count| *count += 1);
         self.wait_until_logged(EJECTION_AFTER_RECOVERY, ejections).await?;
         println!("  all {} instances were warming up the endpoint", self.members.len());
-        self.drain().await;
+        self.wait_for_expiry().await;
         Ok(())
     }
 
@@ -284,14 +290,14 @@
     let mut ejections = vec![0; programs.len()];
     fleet.wait_until_logged(FIRST_EJECTION, &vec![1; programs.len()]).await?;
     println!("the destination is down: all {} instances ejected its endpoint", programs.len());
-    fleet.drain().await;
+    fleet.wait_for_expiry().await;
     fleet.send_malformed().await?;
-    fleet.drain().await;
+    fleet.wait_for_expiry().await;
     for deliverer in 0..programs.len() {
         fleet.recover(deliverer, &mut ejections).await?;
     }
-    println!("datagrams sent by each: {:?}", fleet.relay.sent_by.borrow());
-    println!("datagrams passed on to each: {:?}", fleet.relay.delivered_to.borrow());
+    println!("datagrams sent by each: {:?}", fleet.relay.sent_counts.borrow());
+    println!("datagrams passed on to each: {:?}", fleet.relay.forwarded_counts.borrow());
     println!("distinct datagrams: {:02x?}", fleet.relay.datagrams.borrow());
     Ok(())
 }
--- a/crates/quillhub-fakes/examples/mixed_versions/instance.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/instance.rs
@@ -34,7 +34,7 @@
         Ok(Self { child: command.spawn()?, log })
     }
 
-    /// Ends the process with SIGKILL and waits for its end.
+    /// Kills the process with SIGKILL and waits for its exit.
     pub fn kill(&mut self) -> io::Result<()> {
         self.child.kill()?;
         self.child.wait().map(drop)
@@ -61,7 +61,7 @@
 }
 
 impl Server {
-    /// Reserves an address on which connections are refused until [`Server::open`].
+    /// Creates a closed server at a loopback address that was free at the time of the call.
     pub fn closed() -> io::Result<Self> {
         let address = std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?;
         Ok(Self { address, accepting: None })
@@ -87,7 +87,7 @@
 }
 
 /// Returns an entry of the endpoint list.
-pub fn member(id: &str, address: SocketAddr, destination: u64) -> Value {
+pub fn list_entry(id: &str, address: SocketAddr, destination: u64) -> Value {
     json!({"id": id, "host_port": address.to_string(), "cell": destination, "phase": "up"})
 }
 
--- a/crates/quillhub-fakes/examples/mixed_versions/main.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/main.rs
@@ -5,7 +5,7 @@
 //! - `gossip PROGRAM...`: one instance of each program exchange gossip. Each in turn delivers to a destination that
 //!   has recovered, and every other instance must learn of the recovery from its datagram.
 //!
-//! Exit status: 0 if all checks hold, 1 if one does not, 2 if the command line cannot be read.
+//! Exit status: 0 if all checks pass, 1 if one does not, 2 if the command line cannot be read.
 
 mod gossip;
 mod instance;
--- a/crates/quillhub-fakes/examples/mixed_versions/takeover.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/takeover.rs
@@ -1,6 +1,6 @@
 //! Takeover of a state directory: a killed instance is replaced by one of another build.
 
-use crate::instance::{Process, Server, endpoint_list, member, service_class, write_endpoint_list};
+use crate::instance::{Process, Server, endpoint_list, list_entry, service_class, write_endpoint_list};
 use quillhub_fakes::clients::{command, open, send_command, wait_until_ready};
 use quillhub_fakes::http::{Request, ServerConnection};
 use quillhub_fakes::scratch::ScratchDirectory;
@@ -21,7 +21,7 @@
 const CONNECTIONS: usize = 8;
 /// Deadline of most messages, in milliseconds: far longer than the run.
 const DEADLINE_MS: u64 = 120_000;
-/// Deadline of the messages that expire before the kill, in milliseconds.
+/// Deadline of the messages that may expire before the kill, in milliseconds.
 const SHORT_DEADLINE_MS: u64 = 1_500;
 /// Time in which an instance must become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -34,26 +34,27 @@
 /// Bytes of a frame before the part that its length field counts.
 const FRAME_PREFIX_BYTES: usize = 8;
 
-/// Destination whose endpoint delivers.
-const DELIVERS: u64 = 1;
+/// Destination whose endpoint responds with status 200.
+const DELIVERING: u64 = 1;
 /// Destination whose endpoint rejects until the takeover.
-const REJECTS: u64 = 2;
+const REJECTING: u64 = 2;
 /// Destination whose endpoint does not respond until the takeover.
-const HANGS: u64 = 3;
+const HANGING: u64 = 3;
 /// Destination whose endpoint refuses connections until the takeover.
-const REFUSES: u64 = 4;
+const REFUSING: u64 = 4;
 
-/// Service class and destination of the messages, in turn. The last one expires before the kill.
+/// Service class and destination of the messages, in turn. Messages of the last kind may expire before
+/// the kill.
 const MESSAGE_KINDS: [(&str, u64); 9] = [
-    ("free", DELIVERS),
-    ("once", DELIVERS),
-    ("keyed", DELIVERS),
-    ("free", REJECTS),
-    ("once", REJECTS),
-    ("free", HANGS),
-    ("once", HANGS),
-    ("keyed", REFUSES),
-    ("brief", HANGS),
+    ("free", DELIVERING),
+    ("once", DELIVERING),
+    ("keyed", DELIVERING),
+    ("free", REJECTING),
+    ("once", REJECTING),
+    ("free", HANGING),
+    ("once", HANGING),
+    ("keyed", REFUSING),
+    ("brief", HANGING),
 ];
 
 /// Observations of a message by the clients, the endpoints and the platform.
@@ -72,7 +73,7 @@
 #[derive(Default)]
 struct Run {
     messages: RefCell<BTreeMap<String, Observations>>,
-    rejected_submissions: Cell<u64>,
+    not_accepted: Cell<u64>,
     unconfirmed_outcomes: Cell<u64>,
     taken_over: Cell<bool>,
 }
@@ -99,10 +100,10 @@
     while let Ok(Some(request)) = stream.next().await {
         let id = request.id.unwrap_or_default();
         let taken_over = run.taken_over.get();
-        if destination == HANGS && !taken_over {
+        if destination == HANGING && !taken_over {
             std::future::pending::<()>().await;
         }
-        if destination == REJECTS && !taken_over {
+        if destination == REJECTING && !taken_over {
             let _ = stream.answer(503, "", b"").await;
             continue;
         }
@@ -151,7 +152,7 @@
         let parts: [&[u8]; 5] = [b"SUBMIT", b"0", id.as_bytes(), list.as_bytes(), b"body"];
         match send_command(&mut stream, &command(&parts)).await?.as_str() {
             "+OK" => run.observe(&id, |message| message.accepted = true),
-            _ => run.rejected_submissions.set(run.rejected_submissions.get() + 1),
+            _ => run.not_accepted.set(run.not_accepted.get() + 1),
         }
         sleep(Duration::from_millis(2)).await;
     }
@@ -186,15 +187,15 @@
 async fn start_servers(run: &Rc<Run>) -> io::Result<Environment> {
     let mut servers = Vec::new();
     let mut members = Vec::new();
-    for destination in [DELIVERS, REJECTS, HANGS] {
+    for destination in [DELIVERING, REJECTING, HANGING] {
         let mut server = Server::closed()?;
         let shared = run.clone();
         server.open(move |stream| serve_endpoint(shared.clone(), destination, stream)).await?;
-        members.push(member(&format!("e{destination}"), server.address, destination));
+        members.push(list_entry(&format!("e{destination}"), server.address, destination));
         servers.push(server);
     }
     let refusing = Server::closed()?;
-    members.push(member("e4", refusing.address, REFUSES));
+    members.push(list_entry("e4", refusing.address, REFUSING));
     let list = endpoint_list(&members);
     let mut control = Server::closed()?;
     let (shared, known) = (run.clone(), list.clone());
@@ -277,7 +278,7 @@
     let killed = Instant::now();
     while clients.join_next().await.is_some() {}
     let frames = frames_per_segment(&state.0).map_err(failed)?;
-    println!("killed with {} segments of {frames:?} records", frames.len());
+    println!("state directory at the kill: {} segments with {frames:?} records", frames.len());
     run.taken_over.set(true);
     let _second = start(second, "second").map_err(failed)?;
     if !wait_until_ready(environment.listen, READY_TIMEOUT).await {
@@ -285,12 +286,12 @@
     }
     println!("second instance ready {:.3} s after the kill", killed.elapsed().as_secs_f64());
     let shared = run.clone();
-    let serve = move |stream| serve_endpoint(shared.clone(), REFUSES, stream);
+    let serve = move |stream| serve_endpoint(shared.clone(), REFUSING, stream);
     environment.refusing.open(serve).await.map_err(failed)?;
     while summarize(&run, killed).without_outcome > 0 && killed.elapsed() < FINISH_TIMEOUT {
         sleep(Duration::from_millis(50)).await;
     }
-    println!("all finished {:.3} s after the kill", killed.elapsed().as_secs_f64());
+    println!("waiting for outcomes ended {:.3} s after the kill", killed.elapsed().as_secs_f64());
     spawn_local(sleep(SETTLE_TIME)).await.map_err(|error| error.to_string())?;
     report(&run, killed)
 }
@@ -298,7 +299,7 @@
 fn report(run: &Run, killed: Instant) -> Result<(), String> {
     let summary = summarize(run, killed);
     println!("{summary:#?}");
-    println!("rejected submissions: {}", run.rejected_submissions.get());
+    println!("submissions not accepted: {}", run.not_accepted.get());
     println!("outcomes notified before the kill, not confirmed: {}", run.unconfirmed_outcomes.get());
     let broken = summary.without_outcome + summary.with_several_outcomes + summary.executed_twice;
     if broken > 0 {
