--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -305,7 +305,7 @@
         for request in &self.requests.requests {
             let class = self.scenario.service_classes[request.message.service_class].service_class();
             value += class.value;
-            request.first_reply.iter().for_each(|time| record(&mut first_reply, time));
+            request.first_submission_time.iter().for_each(|time| record(&mut first_reply, time));
             if let Some((after, FinalOutcome::Delivered)) = request.outcome {
                 delivered += 1;
                 within_soft_deadline += u64::from(after <= class.soft_deadline);
@@ -317,7 +317,7 @@
         let count = self.count.max(1) as f64;
         let quantile_s =
             |histogram: &Histogram<u64>, quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e6;
-        let cpu = (self.last.cpu.saturating_sub(self.usage[0].cpu)).as_secs_f64();
+        let cpu = (self.last.processor_time.saturating_sub(self.usage[0].processor_time)).as_secs_f64();
         let memory = self.usage.iter().chain([&self.last]).map(|used| used.memory_kb).max().unwrap_or(0);
         let figures = [
             ("notices", count),
@@ -339,7 +339,10 @@
             ("cpu us each", cpu * 1e6 / count),
             ("memory MB", memory as f64 / 1024.0),
         ];
-        let cpu = self.usage.windows(2).map(|w| round((w[1].cpu.saturating_sub(w[0].cpu)).as_secs_f64()));
+        let cpu = self
+            .usage
+            .windows(2)
+            .map(|w| round((w[1].processor_time.saturating_sub(w[0].processor_time)).as_secs_f64()));
         Step {
             experiment: experiment.into(),
             rate,
--- a/crates/quillhub-fakes/src/clients.rs
+++ b/crates/quillhub-fakes/src/clients.rs
@@ -1,5 +1,6 @@
 //! Open-loop clients of one instance: each message has a scheduled time, from which its durations are measured even if
-//! no connection is free then. Rejected messages are submitted again as the clients of the scenario do.
+//! no connection is free then. Rejected messages are submitted again according to the scenario's `clients`
+//! settings.
 
 use quillhub_simulator::{Arrival, FinalOutcome, Scenario};
 use rand::{RngExt, SeedableRng};
@@ -17,13 +18,15 @@
 
 /// Time after which a client stops waiting for a reply of the instance and closes the connection.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
+/// Range of shares of its maximum retry delay from which a client draws its delay uniformly.
+const RETRY_WAIT_SHARES: std::ops::Range<f64> = 0.5..1.0;
 /// Maximum size of a reply of an instance, in bytes.
 const MAX_REPLY_BYTES: usize = 4 * 1024;
 
 /// Message to be submitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledMessage {
-    /// Time of the first submission, counted from the start of the run.
+    /// Time of the first submission, measured from the start of the run.
     pub submit_at: Duration,
     /// Service class, as an index into the scenario's list.
     pub service_class: usize,
@@ -37,7 +40,7 @@
     }
 }
 
-/// State of a message at its client; all times count from its scheduled time.
+/// State of a message at its client; all times are measured from its scheduled time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
     /// Message that the client submits.
@@ -45,7 +48,7 @@
     /// Number of times the message was not accepted: rejected, or submitted without a valid reply.
     pub rejections: u32,
     /// Time until the first submission ended, with a reply or without; `None` before.
-    pub first_reply: Option<Duration>,
+    pub first_submission_time: Option<Duration>,
     /// Time until the final outcome, and that outcome; `None` before.
     pub outcome: Option<(Duration, FinalOutcome)>,
 }
@@ -115,24 +118,29 @@
 
 /// Starts the submission of each of `messages` at its scheduled time, over at most `connections` connections.
 ///
-/// Messages have bodies of `body` bytes. Returns once the last submission has started.
+/// Messages have bodies of `body_bytes` bytes. Returns once the last submission has started.
 pub async fn submit_scheduled(
     log: SharedLog,
     instance: SocketAddr,
     messages: Vec<ScheduledMessage>,
     connections: usize,
-    body: usize,
+    body_bytes: usize,
 ) {
     let pool = Rc::new(Pool {
         idle: RefCell::new(Vec::new()),
         permits: Semaphore::new(connections.max(1)),
         instance,
     });
-    let body: Rc<[u8]> = vec![b'.'; body].into();
+    let body: Rc<[u8]> = vec![b'.'; body_bytes].into();
     for message in messages {
         let (started, request) = {
             let mut log = log.borrow_mut();
-            log.requests.push(ClientRequest { message, rejections: 0, first_reply: None, outcome: None });
+            log.requests.push(ClientRequest {
+                message,
+                rejections: 0,
+                first_submission_time: None,
+                outcome: None,
+            });
             (log.started, log.requests.len() - 1)
         };
         sleep_until(started + message.submit_at).await;
@@ -140,7 +148,8 @@
     }
 }
 
-/// Retries a message whose rejection the platform was notified of, as after a rejection in a reply.
+/// Retries a message whose rejection was reported to the platform, with the same delay and limit as after a rejected
+/// submission.
 ///
 /// `request` is the message's index in the log, and `wait` the requested delay.
 pub fn retry_rejected(
@@ -148,12 +157,12 @@
     instance: SocketAddr,
     request: usize,
     wait: Option<Duration>,
-    body: usize,
+    body_bytes: usize,
 ) {
     let pool = Rc::new(Pool { idle: RefCell::new(Vec::new()), permits: Semaphore::new(1), instance });
     spawn_local(async move {
         if wait_for_retry(&log, request, wait).await {
-            submit(log, pool, request, vec![b'.'; body].into()).await;
+            submit(log, pool, request, vec![b'.'; body_bytes].into()).await;
         }
     });
 }
@@ -182,7 +191,7 @@
         log.scenario
             .clients
             .backoff
-            .mul_f64(log.rng.random_range(0.5..1.0))
+            .mul_f64(log.rng.random_range(RETRY_WAIT_SHARES))
             .max(retry_after.unwrap_or_default())
     };
     sleep(wait).await;
@@ -230,7 +239,7 @@
     Submission { id, metadata }
 }
 
-/// Reply of an instance, as the client acts on it.
+/// Result of a submission: accepted, or to be retried.
 enum Reply {
     Accepted,
     /// Any other reply than an acceptance, or none.
@@ -249,7 +258,7 @@
         duration: Duration,
     ) -> Reply {
         let age = self.started.elapsed().saturating_sub(self.requests[request].message.submit_at);
-        self.requests[request].first_reply.get_or_insert(age);
+        self.requests[request].first_submission_time.get_or_insert(age);
         match reply {
             Ok(reply) if reply.starts_with('+') || reply.starts_with('$') => {
                 self.accepted += 1;
@@ -319,9 +328,9 @@
     Ok(String::from_utf8_lossy(&read).trim_end().into())
 }
 
-/// Sends `PING` until the instance replies; returns `false` if it does not within `limit`.
-pub async fn wait_until_ready(instance: SocketAddr, limit: Duration) -> bool {
-    let deadline = Instant::now() + limit;
+/// Sends `PING` until the instance replies; returns `false` if it does not within `max_wait`.
+pub async fn wait_until_ready(instance: SocketAddr, max_wait: Duration) -> bool {
+    let deadline = Instant::now() + max_wait;
     while Instant::now() < deadline {
         let reply_to_ping = async { send_command(&mut open(instance).await?, b"*1\r\n$4\r\nPING\r\n").await };
         if let Ok(Ok(reply)) = timeout(REPLY_TIMEOUT, reply_to_ping).await
--- a/crates/quillhub-fakes/src/configuration.rs
+++ b/crates/quillhub-fakes/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration of an instance for a scenario, with the settings that the simulator gives its decision modules.
+//! Configuration of an instance for a scenario, with the settings that the simulator gives its deciders.
 
 use quillhub::RetrySafety;
 use quillhub_simulator::{DiscoveryForm, Scenario};
@@ -27,14 +27,14 @@
 /// Returns the configuration of one instance of `scenario`.
 ///
 /// The instance listens at `listen`, uses service discovery and platform at `discovery`, starts with the endpoint list
-/// `known` and opens at most `sockets` file descriptors; `seed` determines its random draws.
+/// `known_endpoints` and opens at most `max_descriptors` file descriptors; `seed` determines its random draws.
 pub fn instance(
     scenario: &Scenario,
     seed: u64,
     listen: SocketAddr,
     discovery: SocketAddr,
-    known: Value,
-    sockets: u64,
+    known_endpoints: Value,
+    max_descriptors: u64,
 ) -> Value {
     let (instances, network, rules) = (&scenario.instances, &scenario.network, &scenario.rules);
     let watch = scenario.discovery.form == DiscoveryForm::Watch;
@@ -48,8 +48,8 @@
         "listen": listen.to_string(),
         "discovery": discovery.to_string(),
         "seed": format!("{seed:x}"),
-        "limits": {"sockets": sockets, "disk_mb": 256},
-        "known": known,
+        "limits": {"sockets": max_descriptors, "disk_mb": 256},
+        "known": known_endpoints,
         "settings": {
             "nInstances": instances.count,
             "zone": instances.zones[0],
--- a/crates/quillhub-fakes/src/endpoints.rs
+++ b/crates/quillhub-fakes/src/endpoints.rs
@@ -64,8 +64,8 @@
     site: Site<'a>,
     rng: Pcg64Mcg,
     started: Instant,
-    /// Calls that wait for a worker, by call number. A call gets the worker through its sender, and is cut off if the
-    /// sender is dropped.
+    /// Calls that wait for a worker, by call number. A call gets the worker through its sender, and its connection is
+    /// reset if the sender is dropped.
     queued: BTreeMap<u64, oneshot::Sender<()>>,
     /// Number of open connections, by server.
     open_connections: Vec<usize>,
@@ -74,7 +74,7 @@
     events: UnboundedSender<EndpointEvent>,
 }
 
-type Shared = Rc<RefCell<State<'static>>>;
+type SharedState = Rc<RefCell<State<'static>>>;
 
 /// Checks that all faults of a scenario can be reproduced with sockets; the error names the first that cannot.
 pub fn check_supported(scenario: &Scenario) -> Result<(), String> {
@@ -92,7 +92,7 @@
 
 /// Starts the endpoints of `scenario` as local tasks of the current thread and returns them as they are listed.
 ///
-/// Times of the scenario count from `started`, and `seed` determines the random draws. Each event at an endpoint is sent
+/// Times of the scenario are measured from `started`, and `seed` determines the random draws. Each event at an endpoint is sent
 /// to `events`. The endpoints run until the thread's tasks end.
 pub async fn start(
     scenario: &'static Scenario,
@@ -140,7 +140,7 @@
     fn begin_fault(&mut self, number: usize) {
         let now = self.started.elapsed();
         self.site.begin_fault(number, now);
-        // Calls that were queued at a server that now refuses calls are cut off by dropping their senders.
+        // Dropping the senders of calls that were queued at a server that now refuses calls resets their connections.
         let before: Vec<_> = self.queued.keys().copied().collect();
         let still_queued = self.site.queued_calls();
         before.iter().filter(|call| !still_queued.contains(call)).for_each(|call| {
@@ -150,7 +150,7 @@
 }
 
 /// Serves one connection until it ends.
-async fn serve_connection(state: Shared, server: usize, connection: ServerConnection) {
+async fn serve_connection(state: SharedState, server: usize, connection: ServerConnection) {
     let ConnectionFaults { refuses, silent } = state.borrow().site.connection_faults(server);
     let is_over_limit = {
         let mut state = state.borrow_mut();
@@ -167,7 +167,7 @@
     state.borrow_mut().open_connections[server] -= 1;
 }
 
-fn report(state: &Shared, request: &Request, kind: EndpointEventKind) {
+fn report(state: &SharedState, request: &Request, kind: EndpointEventKind) {
     let id = request.id.clone().unwrap_or_default();
     let idempotency_key = request.idempotency_key.clone();
     let event = EndpointEvent { id, idempotency_key, time: Instant::now(), kind };
@@ -175,7 +175,11 @@
 }
 
 /// Serves the calls of one connection one after the other, until it is idle for too long, breaks or is closed.
-async fn serve_calls(state: &Shared, server: usize, mut connection: ServerConnection) -> std::io::Result<()> {
+async fn serve_calls(
+    state: &SharedState,
+    server: usize,
+    mut connection: ServerConnection,
+) -> std::io::Result<()> {
     let idle_timeout = state.borrow().site.idle_timeout();
     loop {
         let next = tokio::time::timeout(idle_timeout, connection.next()).await;
@@ -203,7 +207,7 @@
 
 /// Call at a server. Its methods return `true` if the connection stays open.
 struct Call<'s> {
-    state: &'s Shared,
+    state: &'s SharedState,
     server: usize,
     request: Request,
     number: u64,
@@ -214,7 +218,7 @@
 
 impl<'s> Call<'s> {
     /// Creates the call for a request that was read, and decides its outcome.
-    fn admit(shared: &'s Shared, server: usize, request: Request) -> Self {
+    fn admit(shared: &'s SharedState, server: usize, request: Request) -> Self {
         let state = &mut *shared.borrow_mut();
         let now = state.started.elapsed();
         let admission = state.site.admit(server, now, &mut state.rng).admission;
@@ -257,14 +261,14 @@
         if self.admission == Admission::Queued && !self.wait_for_worker().await {
             return Ok(false);
         }
-        let (time, starts) = {
+        let (service_time, reset_count) = {
             let state = &mut *self.state.borrow_mut();
             let now = state.started.elapsed();
-            let time = state.site.begin_call(self.server, now, &mut state.rng);
-            (time, state.site.reset_count(self.server))
+            let service_time = state.site.begin_call(self.server, now, &mut state.rng);
+            (service_time, state.site.reset_count(self.server))
         };
-        sleep(time).await;
-        if self.state.borrow().site.reset_count(self.server) != starts {
+        sleep(service_time).await;
+        if self.state.borrow().site.reset_count(self.server) != reset_count {
             return Ok(false);
         }
         let is_lost = self.free_worker();
@@ -278,7 +282,7 @@
         Ok(true)
     }
 
-    /// Waits for a worker; returns `false` if the call is cut off before.
+    /// Waits for a worker; returns `false` if the connection is to be reset instead.
     async fn wait_for_worker(&self) -> bool {
         let (worker_sender, worker_receiver) = oneshot::channel();
         {
--- a/crates/quillhub-fakes/src/http.rs
+++ b/crates/quillhub-fakes/src/http.rs
@@ -63,7 +63,7 @@
                 return Ok(Some(request));
             }
             if self.unparsed.len() > MAX_REQUEST_BYTES {
-                return Err(malformed("one without an end"));
+                return Err(malformed(&format!("more than {MAX_REQUEST_BYTES} bytes without an end")));
             }
             let length = self.stream.read_buf(&mut self.unparsed).await?;
             self.traffic.add_read(length);
@@ -112,7 +112,7 @@
     };
     let used = head + length;
     if used > MAX_REQUEST_BYTES {
-        return Err(malformed("one longer than the maximum"));
+        return Err(malformed(&format!("one of {used} bytes, more than {MAX_REQUEST_BYTES}")));
     }
     if read.len() < used {
         return Ok(None);
--- a/crates/quillhub-fakes/src/lib.rs
+++ b/crates/quillhub-fakes/src/lib.rs
@@ -1,4 +1,4 @@
-//! The servers and clients around an instance, on loopback, for tests and load experiments: endpoints that follow a
+//! Fake servers and clients of a gateway instance on loopback, for tests and load experiments: endpoints that follow a
 //! scenario of the simulator, service discovery and platform, and open-loop clients.
 //!
 //! The crate also starts an instance's process and measures its resource usage. Faults follow the same schedule as in
--- a/crates/quillhub-fakes/src/platform.rs
+++ b/crates/quillhub-fakes/src/platform.rs
@@ -19,7 +19,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Time after which a watch sends an empty line if the list has not changed.
+/// Interval at which a watch sends an empty line while the list does not change; the first line is sent at once.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Notification of a final outcome that the platform received.
@@ -38,7 +38,7 @@
 /// Endpoint list of service discovery; each change increments its revision.
 pub struct Discovery {
     /// Each endpoint with its phase: `up`, `draining` or `removed`.
-    members: Vec<(ListedEndpoint, &'static str)>,
+    entries: Vec<(ListedEndpoint, &'static str)>,
     /// Revision of the list, 1 at first.
     pub revision: u64,
     /// `true` while requests to discovery get no response and watches send nothing.
@@ -46,7 +46,7 @@
     changed: watch::Sender<u64>,
     /// Changed entry of each revision after the first, in order.
     changes: Vec<(u64, Value)>,
-    /// Index in `members` by id.
+    /// Index in `entries` by id.
     indices: BTreeMap<String, usize>,
     /// Text of the complete list, with the revision that it was written for; `None` before the first request.
     list_cache: Option<(u64, Rc<str>)>,
@@ -60,13 +60,13 @@
 impl Discovery {
     /// Creates a list of these endpoints, all of them up.
     pub fn new(endpoints: &[ListedEndpoint]) -> Rc<RefCell<Self>> {
-        let members = endpoints.iter().map(|listed| (listed.clone(), "up")).collect();
+        let entries = endpoints.iter().map(|listed| (listed.clone(), "up")).collect();
         let indices =
             endpoints.iter().enumerate().map(|(index, listed)| (listed.id.clone(), index)).collect();
         let (changed, _) = watch::channel(1);
         let (revision, is_unreachable, changes, list_cache) = (1, false, Vec::new(), None);
         Rc::new(RefCell::new(Self {
-            members,
+            entries,
             revision,
             is_unreachable,
             changed,
@@ -78,9 +78,9 @@
 
     /// Returns the complete list, without removed endpoints.
     pub fn list(&self) -> Value {
-        let live = self.members.iter().filter(|(_, phase)| *phase != "removed");
-        let members: Vec<_> = live.map(|(listed, phase)| entry(listed, phase)).collect();
-        json!({"revision": self.revision, "complete": true, "members": members})
+        let live = self.entries.iter().filter(|(_, phase)| *phase != "removed");
+        let entries: Vec<_> = live.map(|(listed, phase)| entry(listed, phase)).collect();
+        json!({"revision": self.revision, "complete": true, "members": entries})
     }
 
     /// Returns the complete list as JSON text. Entries are serialised one by one, so that a large list needs no more
@@ -90,7 +90,7 @@
             return text.clone();
         }
         let mut text = format!("{{\"revision\":{},\"complete\":true,\"members\":[", self.revision);
-        let live = self.members.iter().filter(|(_, phase)| *phase != "removed");
+        let live = self.entries.iter().filter(|(_, phase)| *phase != "removed");
         for (index, (listed, phase)) in live.enumerate() {
             text.push_str(if index == 0 { "" } else { "," });
             text.push_str(&entry(listed, phase).to_string());
@@ -102,9 +102,9 @@
     }
 
     /// Sets the phase of an endpoint to `up`, `draining` or `removed`; ignores an unknown id.
-    pub fn change(&mut self, id: &str, phase: &'static str) {
+    pub fn set_phase(&mut self, id: &str, phase: &'static str) {
         let Some(index) = self.indices.get(id) else { return };
-        let (listed, old_phase) = &mut self.members[*index];
+        let (listed, old_phase) = &mut self.entries[*index];
         *old_phase = phase;
         self.revision += 1;
         self.changes.push((self.revision, entry(listed, phase)));
@@ -114,23 +114,23 @@
     /// Adds an endpoint with a new id and the address of the endpoint `old_id`; ignores an unknown id.
     fn replace(&mut self, old_id: &str) {
         let Some(index) = self.indices.get(old_id) else { return };
-        let id = format!("e{}", self.members.len() + 1);
-        let new = ListedEndpoint { id: id.clone(), ..self.members[*index].0.clone() };
-        self.indices.insert(id.clone(), self.members.len());
-        self.members.push((new, "up"));
-        self.change(&id, "up");
+        let id = format!("e{}", self.entries.len() + 1);
+        let new = ListedEndpoint { id: id.clone(), ..self.entries[*index].0.clone() };
+        self.indices.insert(id.clone(), self.entries.len());
+        self.entries.push((new, "up"));
+        self.set_phase(&id, "up");
     }
 
     fn changes_after(&self, revision: u64) -> Value {
         let first = self.changes.partition_point(|(changed_in, _)| *changed_in <= revision);
-        let rows: Vec<_> = self.changes[first..].iter().map(|(_, row)| row).collect();
-        json!({"revision": self.revision, "complete": false, "members": rows})
+        let entries: Vec<_> = self.changes[first..].iter().map(|(_, entry)| entry).collect();
+        json!({"revision": self.revision, "complete": false, "members": entries})
     }
 }
 
 /// Schedules the faults of `scenario` that concern service discovery: its outages, and drains of endpoints.
 ///
-/// Times count from `started`; `seed` must be that of the endpoints, as it selects the endpoints that drain.
+/// Times are measured from `started`; `seed` must be that of the endpoints, as it selects the endpoints that drain.
 pub fn schedule_faults(
     scenario: &'static Scenario,
     seed: u64,
@@ -157,12 +157,12 @@
                     let (discovery, id) = (discovery.clone(), format!("e{}", server + 1));
                     spawn_local(async move {
                         sleep_until(begin + interval * index as u32).await;
-                        discovery.borrow_mut().change(&id, "draining");
+                        discovery.borrow_mut().set_phase(&id, "draining");
                         if drain.replaced {
                             discovery.borrow_mut().replace(&id);
                         }
                         sleep(drain.gone_after).await;
-                        discovery.borrow_mut().change(&id, "removed");
+                        discovery.borrow_mut().set_phase(&id, "removed");
                     });
                 }
             }
--- a/crates/quillhub-fakes/src/process.rs
+++ b/crates/quillhub-fakes/src/process.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Processor time used so far, in user and kernel mode, with the resolution of a clock tick.
-    pub cpu: Duration,
+    pub processor_time: Duration,
     /// Resident memory at present, in kilobytes.
     pub memory_kb: u64,
 }
@@ -74,7 +74,7 @@
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
         let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
         let memory_kb = memory.trim().trim_end_matches(" kB").trim().parse().ok()?;
-        Some(Usage { cpu: Duration::from_secs_f64(ticks / TICKS_PER_SECOND), memory_kb })
+        Some(Usage { processor_time: Duration::from_secs_f64(ticks / TICKS_PER_SECOND), memory_kb })
     }
 }
 
--- a/crates/quillhub-fakes/src/scratch.rs
+++ b/crates/quillhub-fakes/src/scratch.rs
@@ -1,10 +1,13 @@
-//! Temporary directories for tests, and a runtime like that of an instance.
+//! Temporary directories, and a single-threaded runtime like that of an instance.
 
 use std::future::Future;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 use tokio::task::LocalSet;
 
+/// Size of the blocks in which files are assumed to take up disk space, in bytes.
+const BLOCK_BYTES: u64 = 512;
+
 /// Temporary directory with a unique path, empty at first and removed with all its files when this is dropped.
 pub struct ScratchDirectory(pub PathBuf);
 
@@ -18,18 +21,19 @@
         Self(path)
     }
 
-    /// Returns the size on disk of the files directly in the directory, in bytes. Panics if the directory is missing.
+    /// Returns the [`size_on_disk`] of the directory. Panics if the directory is missing.
     pub fn size(&self) -> u64 {
         size_on_disk(&self.0)
     }
 }
 
-/// Returns the size on disk of the files directly in `directory`, in bytes: each file counts in whole blocks.
+/// Returns the total length of the files directly in `directory`, in bytes, each rounded up to whole blocks of
+/// `BLOCK_BYTES`.
 ///
 /// Panics if `directory` cannot be read.
 pub fn size_on_disk(directory: &Path) -> u64 {
     let files = std::fs::read_dir(directory).expect("the directory can be read");
-    files.map(|file| file.unwrap().metadata().unwrap().len().div_ceil(512) * 512).sum()
+    files.map(|file| file.unwrap().metadata().unwrap().len().div_ceil(BLOCK_BYTES) * BLOCK_BYTES).sum()
 }
 
 impl Default for ScratchDirectory {
@@ -44,8 +48,8 @@
     }
 }
 
-/// Runs `test` with its local tasks on the current thread, on a runtime like that of an instance.
-pub fn on_one_thread<T>(test: impl Future<Output = T>) -> T {
+/// Runs `future` with its local tasks on the current thread, on a runtime like that of an instance.
+pub fn on_one_thread<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("a runtime can be created").block_on(LocalSet::new().run_until(test))
+    runtime.expect("a runtime can be created").block_on(LocalSet::new().run_until(future))
 }
--- a/crates/quillhub-fakes/src/traffic.rs
+++ b/crates/quillhub-fakes/src/traffic.rs
@@ -17,7 +17,7 @@
     pub bytes_in: u64,
     /// Bytes written to the connections.
     pub bytes_out: u64,
-    /// Data segments on an Ethernet, if each read and each write starts a new segment.
+    /// Data segments over Ethernet, if each read and each write starts a new segment.
     pub segments: u64,
 }
 
@@ -27,7 +27,7 @@
         self.bytes_in + self.bytes_out
     }
 
-    /// Returns the number of packets, taking one acknowledgement for each data segment.
+    /// Returns the number of packets, counting one acknowledgement per data segment.
     pub fn packets(&self) -> u64 {
         self.segments * 2
     }
--- a/crates/quillhub-scale/src/control.rs
+++ b/crates/quillhub-scale/src/control.rs
@@ -41,7 +41,7 @@
 /// Changes the phase of an endpoint from `up` to `draining` or back.
 fn toggle(discovery: &mut Discovery, id: &str, is_draining: &mut bool) {
     *is_draining = !*is_draining;
-    discovery.change(id, if *is_draining { "draining" } else { "up" });
+    discovery.set_phase(id, if *is_draining { "draining" } else { "up" });
 }
 
 impl Control {
