--- a/crates/quillhub-simulator/src/faults/mod.rs
+++ b/crates/quillhub-simulator/src/faults/mod.rs
@@ -68,10 +68,11 @@
 }
 
 impl ScheduledFault {
-    /// Returns the factor by which the fault multiplies the rate of the stream with index `index`, if it affects it.
-    pub(crate) fn surge_factor(&self, index: usize) -> Option<f64> {
+    /// Returns the factor by which the fault multiplies the rate of a stream; `None` if the fault does not affect the
+    /// stream.
+    pub(crate) fn surge_factor(&self, stream_index: usize) -> Option<f64> {
         match self.fault.injection(self) {
-            Injection::TrafficSurge { stream, factor } if stream.is_none_or(|only| only == index) => {
+            Injection::TrafficSurge { stream, factor } if stream.is_none_or(|only| only == stream_index) => {
                 Some(factor)
             }
             _ => None,
@@ -143,7 +144,7 @@
 }
 
 fn check_positive(field: &'static str, value: f64) -> CheckResult {
-    if value > 0.0 && value.is_finite() { Ok(()) } else { invalid(field, "a number over 0", value) }
+    if value > 0.0 && value.is_finite() { Ok(()) } else { invalid(field, "a number greater than 0", value) }
 }
 
 /// Effect of a fault on the simulation, from its begin to its end.
--- a/crates/quillhub-simulator/src/scenario/arrivals.rs
+++ b/crates/quillhub-simulator/src/scenario/arrivals.rs
@@ -26,12 +26,13 @@
         /// Amplitude of the wave as a share of the rate, from 0 to 1.
         depth: f64,
     },
-    /// Constant intervals in the active part of each period, and none outside it; the mean rate stays `per_s`.
+    /// Arrivals at constant intervals in the active part of each period, and no arrivals outside it; the mean rate stays
+    /// `per_s`.
     Part {
         /// Length of a period.
         #[serde(rename = "every", with = "humantime_serde")]
         period: Duration,
-        /// Start of the active part within each period, which lasts until the period's end.
+        /// Start of the active part within each period; the active part ends with the period.
         #[serde(rename = "from", with = "humantime_serde")]
         active_from: Duration,
     },
--- a/crates/quillhub-simulator/src/scenario/instances.rs
+++ b/crates/quillhub-simulator/src/scenario/instances.rs
@@ -36,8 +36,8 @@
     /// Share of gossip messages that are lost, from 0 to 1; 0 by default.
     #[serde(rename = "notes_lost")]
     pub gossip_loss: f64,
-    /// `true`, the default, if an attempt is checked once more before its first byte is sent, as the server does on
-    /// sockets.
+    /// `true`, the default, if an attempt is checked once more before its first byte is sent, as the quillhub
+    /// process does on real connections.
     #[serde(rename = "last_look")]
     pub checks_before_first_byte: bool,
 }
--- a/crates/quillhub-simulator/src/scenario/rules.rs
+++ b/crates/quillhub-simulator/src/scenario/rules.rs
@@ -18,11 +18,11 @@
     /// Time from the end of an outage until full capacity, which grows linearly in between; 10 s by default.
     #[serde(with = "humantime_serde")]
     pub warm_up: Duration,
-    /// Multiple of its capacity above which a recovering destination is overloaded; 2 by default. If the overload lasts
-    /// for `overload_tolerance`, the destination fails and stays down.
+    /// Multiple of its capacity above which a recovering destination is overloaded; 2 by default. If the calls of one
+    /// window of `overload_tolerance` exceed this multiple, the destination fails and stays down.
     #[serde(rename = "factor")]
     pub overload_factor: f64,
-    /// Time for which a recovering destination withstands overload; 3 s by default.
+    /// Length of the window in which the calls to a recovering destination are counted; 3 s by default.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "push")]
     pub overload_tolerance: Duration,
--- a/crates/quillhub-simulator/src/scenario/validation.rs
+++ b/crates/quillhub-simulator/src/scenario/validation.rs
@@ -4,7 +4,7 @@
 use crate::faults::ScheduledFault;
 use std::fmt::Display;
 
-/// Max number of instances, destinations, messages and the like; a scenario with more is taken for a mistake.
+/// Max number of instances, destinations, messages and the like; larger numbers are rejected as likely mistakes.
 const MAX_COUNT: f64 = 1e7;
 const COUNT_EXPECTED: &str = "a number from 1 to 10000000";
 
@@ -27,17 +27,17 @@
 }
 
 /// Result of a check of one part of a scenario.
-type Checked = Result<(), InvalidScenario>;
+type CheckResult = Result<(), InvalidScenario>;
 
-fn require(holds: bool, place: impl Into<String>, expected: &str, found: impl Display) -> Checked {
+fn require(holds: bool, place: impl Into<String>, expected: &str, found: impl Display) -> CheckResult {
     if holds { Ok(()) } else { Err(InvalidScenario::new(place, expected, found)) }
 }
 
-fn require_share(place: impl Into<String>, value: f64) -> Checked {
+fn require_share(place: impl Into<String>, value: f64) -> CheckResult {
     require((0.0..=1.0).contains(&value), place, "a share from 0 to 1", value)
 }
 
-fn require_count(place: impl Into<String>, count: usize) -> Checked {
+fn require_count(place: impl Into<String>, count: usize) -> CheckResult {
     require(count != 0 && count as f64 <= MAX_COUNT, place, COUNT_EXPECTED, count)
 }
 
@@ -47,7 +47,7 @@
     is_known: impl Fn(&str) -> bool,
     place: String,
     expected: &str,
-) -> Checked {
+) -> CheckResult {
     match name {
         Some(name) => require(is_known(name), place, expected, name),
         None => Ok(()),
@@ -63,7 +63,7 @@
     pub fn check(&self) -> Result<(), InvalidScenario> {
         require(!self.length.is_zero(), "length", "a duration greater than 0", "0s")?;
         self.check_counts()?;
-        self.check_figures()?;
+        self.check_shares_and_factors()?;
         for index in 0..self.service_classes.len() {
             self.check_service_class(index)?;
         }
@@ -71,7 +71,7 @@
             self.check_destinations(index)?;
         }
         let is_weighted = self.destinations.iter().any(|kind| kind.weight != 0.0);
-        require(is_weighted, "destinations", "a kind with a weight over 0", "none")?;
+        require(is_weighted, "destinations", "a kind with a weight greater than 0", "none")?;
         for (index, stream) in self.arrivals.iter().enumerate() {
             self.check_stream(index, stream)?;
         }
@@ -81,7 +81,7 @@
         Ok(())
     }
 
-    fn check_counts(&self) -> Checked {
+    fn check_counts(&self) -> CheckResult {
         require_count("couriers.count", self.instances.count as usize)?;
         require_count("couriers.slots", self.instances.slots)?;
         require_count("couriers.room", self.instances.capacity)?;
@@ -92,7 +92,8 @@
         require_count("arrivals", self.arrivals.len())
     }
 
-    fn check_figures(&self) -> Checked {
+    /// Checks shares, the skew and the overload factor. An overload factor of NaN passes.
+    fn check_shares_and_factors(&self) -> CheckResult {
         require_share("couriers.notes_lost", self.instances.gossip_loss)?;
         let skew = self.instances.skew;
         require(skew.is_finite() && skew >= 0.0, "couriers.skew", "a number of at least 0", skew)?;
@@ -101,7 +102,7 @@
         require(factor.is_nan() || factor >= 1.0, "returns.factor", "1 or more", factor)
     }
 
-    fn check_service_class(&self, index: usize) -> Checked {
+    fn check_service_class(&self, index: usize) -> CheckResult {
         let place = |field: &str| format!("grades[{index}].{field}");
         let ServiceClassSpec { name, soft_deadline, deadline, .. } = &self.service_classes[index];
         let class = &self.service_classes[index];
@@ -117,7 +118,7 @@
         require_share(place("late_share"), class.late_value_share)
     }
 
-    fn check_destinations(&self, index: usize) -> Checked {
+    fn check_destinations(&self, index: usize) -> CheckResult {
         let place = |field: &str| format!("destinations[{index}].{field}");
         let kind = &self.destinations[index];
         let is_unique = self.destinations[..index].iter().all(|other| other.kind != kind.kind);
@@ -126,7 +127,7 @@
         require_count(place("endpoints"), kind.endpoints)?;
         require_count(place("workers"), kind.workers)?;
         for (field, value) in [("spread", kind.spread), ("service.cv", kind.service.cv)] {
-            require(value.is_finite() && value > 0.0, place(field), "a number over 0", value)?;
+            require(value.is_finite() && value > 0.0, place(field), "a number greater than 0", value)?;
         }
         let weight = kind.weight;
         require(weight.is_finite() && weight >= 0.0, place("weight"), "a number of at least 0", weight)?;
@@ -137,10 +138,10 @@
         self.destinations.iter().any(|kind| kind.kind == name)
     }
 
-    fn check_stream(&self, index: usize, stream: &Arrivals) -> Checked {
+    fn check_stream(&self, index: usize, stream: &Arrivals) -> CheckResult {
         let place = |field: &str| format!("arrivals[{index}].{field}");
         let per_s = stream.per_s;
-        require(per_s.is_finite() && per_s > 0.0, place("per_s"), "a rate over 0", per_s)?;
+        require(per_s.is_finite() && per_s > 0.0, place("per_s"), "a rate greater than 0", per_s)?;
         let until = stream.until.unwrap_or(self.length).min(self.length);
         let messages = per_s * until.saturating_sub(stream.from).as_secs_f64();
         require(
@@ -162,7 +163,7 @@
         check_pattern(&stream.pattern, place)
     }
 
-    fn check_fault(&self, index: usize, scheduled: &ScheduledFault) -> Checked {
+    fn check_fault(&self, index: usize, scheduled: &ScheduledFault) -> CheckResult {
         let place = |field: &str| format!("faults[{index}].{field}");
         let (target, zones) = (&scheduled.target, &self.instances.zones);
         let is_zone = |name: &str| zones.iter().any(|zone| zone == name);
@@ -184,15 +185,10 @@
             return Err(InvalidScenario::new(place(field), expected, found));
         }
         let start = scheduled.start;
-        require(
-            start <= self.length,
-            place("at"),
-            "a time within the length of the day",
-            format!("{start:?}"),
-        )
+        require(start <= self.length, place("at"), "a time from 0s to `length`", format!("{start:?}"))
     }
 
-    /// Returns the max number of an instance or destination that the target of a fault may name.
+    /// Returns the highest instance or destination number that a fault's target may contain.
     fn max_target_id(&self, scheduled: &ScheduledFault) -> usize {
         if scheduled.fault.targets_instances() {
             return self.instances.count as usize;
@@ -201,18 +197,18 @@
     }
 }
 
-fn check_rate_limit(kind: &Destinations, place: impl Fn(&str) -> String) -> Checked {
+fn check_rate_limit(kind: &Destinations, place: impl Fn(&str) -> String) -> CheckResult {
     let Some(limit) = kind.rate_limit else { return Ok(()) };
     require_share(place("limit.tells"), limit.retry_after_share)?;
     let per_s = limit.per_s;
-    require(per_s.is_finite() && per_s > 0.0, place("limit.per_s"), "a rate over 0", per_s)?;
+    require(per_s.is_finite() && per_s > 0.0, place("limit.per_s"), "a rate greater than 0", per_s)?;
     let Some(window) = limit.window else { return Ok(()) };
     let found = format!("{window:?} at {per_s} a second");
     let fits_one = window.as_secs_f64() * per_s >= 1.0;
-    require(fits_one, place("limit.span"), "a span of at least 1 / per_s", found)
+    require(fits_one, place("limit.span"), "a span of at least 1 / per_s seconds", found)
 }
 
-fn check_pattern(pattern: &Pattern, place: impl Fn(&str) -> String) -> Checked {
+fn check_pattern(pattern: &Pattern, place: impl Fn(&str) -> String) -> CheckResult {
     match pattern {
         Pattern::Bursts { mean_size } => {
             require(*mean_size >= 1.0 && mean_size.is_finite(), place("pattern.of"), "1 or more", mean_size)
@@ -221,7 +217,7 @@
         Pattern::Part { period, active_from } => require(
             active_from < period,
             place("pattern.from"),
-            "less than every",
+            "a duration less than `every`",
             format!("{active_from:?}"),
         ),
         Pattern::Poisson | Pattern::Even => Ok(()),
