--- a/crates/quillhub-simulator/src/conditions.rs
+++ b/crates/quillhub-simulator/src/conditions.rs
@@ -1,8 +1,8 @@
-//! Faults in effect at servers and on network paths.
+//! Active faults of servers and network paths.
 
 use std::time::Duration;
 
-/// Fault in effect at a server; several may be in effect at once.
+/// Active fault of a server; several may be active at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ServerFault {
     /// New connections are refused, and established ones are reset when the fault begins.
@@ -29,7 +29,8 @@
 }
 
 impl ServerFault {
-    /// Returns `true` if the fault is an outage of the server: no call succeeds, or more than half of them fail.
+    /// Returns `true` if the fault counts as an outage of the server: it refuses connections, hangs, is silent or shut,
+    /// or fails more than half of the calls.
     pub(crate) fn is_outage(self) -> bool {
         match self {
             Self::Refuses | Self::Hangs | Self::Silent | Self::Shut { .. } => true,
@@ -39,7 +40,7 @@
     }
 }
 
-/// Fault in effect on the network path from one zone to another, in that direction only.
+/// Active fault of the network path from one zone to another, in that direction only.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PathFault {
     /// All traffic is dropped, without any error at either end.
--- a/crates/quillhub-simulator/src/rate_limit.rs
+++ b/crates/quillhub-simulator/src/rate_limit.rs
@@ -4,13 +4,13 @@
 use quillhub::LoadReport;
 use std::time::Duration;
 
-/// Rate limit of one route: a fixed window if the scenario sets a span, and otherwise a token bucket with a burst of
+/// Rate limit of one route: a fixed window if the scenario sets one, and otherwise a token bucket with a burst of
 /// one second.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimit {
     spec: RateLimitSpec,
-    /// Calls still allowed: in the current span, or by the tokens in the bucket. Below zero while rejected calls that
-    /// count against the limit are to be made up for.
+    /// Calls still allowed: in the current window, or by the tokens in the bucket. Negative after rejected calls that
+    /// count against the limit.
     remaining: f64,
     updated_at: Duration,
     /// Time and remaining share of the last report, which is repeated until it exceeds the report age.
@@ -27,18 +27,18 @@
 
     fn max_remaining(&self) -> f64 {
         match self.spec.window {
-            Some(span) => (self.spec.per_s * span.as_secs_f64()).floor(),
+            Some(window) => (self.spec.per_s * window.as_secs_f64()).floor(),
             None => self.spec.per_s.max(1.0), // burst of one second, at least one call
         }
     }
 
     fn refill(&mut self, now: Duration) {
         match self.spec.window {
-            Some(span) => {
-                let span_start = span * (now.as_nanos() / span.as_nanos()) as u32;
-                if span_start > self.updated_at {
-                    let debt = self.remaining.min(0.0); // rejected calls that count reduce the next span
-                    (self.remaining, self.updated_at) = (self.max_remaining() + debt, span_start);
+            Some(window) => {
+                let window_start = window * (now.as_nanos() / window.as_nanos()) as u32;
+                if window_start > self.updated_at {
+                    let debt = self.remaining.min(0.0); // rejected calls that count reduce the next window
+                    (self.remaining, self.updated_at) = (self.max_remaining() + debt, window_start);
                 }
             }
             None => {
@@ -61,7 +61,7 @@
             self.remaining = (self.remaining - 1.0).max(-self.max_remaining());
         }
         Err(match self.spec.window {
-            Some(span) => self.updated_at + span - now,
+            Some(window) => self.updated_at + window - now,
             None => Duration::from_secs_f64((1.0 - self.remaining) / self.spec.per_s),
         })
     }
--- a/crates/quillhub-simulator/src/rate_limit_tests.rs
+++ b/crates/quillhub-simulator/src/rate_limit_tests.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_token_bucket_holds_one_second_and_returns_the_time_until_the_next_token() {
+fn a_token_bucket_has_a_burst_of_one_second_and_returns_the_time_until_the_next_token() {
     // Guards against a burst of the wrong size, and against a retry-after that is too short for the next call.
     let mut limit = RateLimit::new(RateLimitSpec {
         per_s: 4.0,
--- a/crates/quillhub-simulator/src/server.rs
+++ b/crates/quillhub-simulator/src/server.rs
@@ -1,7 +1,7 @@
 //! True state of the destinations: routes with their rate limits, outages and recoveries, and the servers behind
 //! endpoints with their workers, queues, connections and active faults.
 //!
-//! The module knows neither events nor gateway instances.
+//! The module does not depend on the event loop.
 
 use crate::conditions::ServerFault;
 use crate::rate_limit::RateLimit;
@@ -14,19 +14,21 @@
     pub(crate) rate_limit: Option<RateLimit>,
     /// Numbers of the servers that belong to the route.
     pub(crate) servers: Vec<usize>,
-    /// `true` while all servers of the route are out.
+    /// `true` while all servers of the route have an outage.
     pub(crate) is_down: bool,
-    /// `true` once the route was overloaded during a recovery, from which it does not come back.
+    /// `true` once the route was overloaded during a recovery, after which it stays down for the rest of the
+    /// run.
     pub(crate) is_overloaded: bool,
     /// Time of the recovery, while the route is warming up; `None` if it is warm or has never been down.
     pub(crate) recovered_at: Option<Duration>,
-    /// Capacity in calls per second when the route is warm.
+    /// Full capacity in calls per second.
     pub(crate) per_s: f64,
-    /// Arrival times of calls while the route is warming up; those older than the overload span are removed.
+    /// Arrival times of calls while the route is warming up; those older than the overload window
+    /// of `overload_tolerance` are removed.
     pub(crate) calls: VecDeque<Duration>,
 }
 
-/// Returns the share of its warm capacity that a route has at `age` after its recovery.
+/// Returns the share of its full capacity that a route has at `age` after its recovery.
 pub(crate) fn warm_share(rules: &RuleSettings, age: Duration) -> f64 {
     let progress = (age.as_secs_f64() / rules.warm_up.as_secs_f64().max(1e-9)).min(1.0);
     rules.initial_share + (1.0 - rules.initial_share) * progress
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Returns the share of its warm capacity that the route has now, and ends the warm-up if it is over.
+    /// Returns the share of its full capacity that the route has now, and ends the warm-up if it is over.
     pub(crate) fn capacity_share(&mut self, now: Duration, rules: &RuleSettings) -> f64 {
         let Some(recovered_at) = self.recovered_at else { return 1.0 };
         if now >= recovered_at + rules.warm_up {
@@ -57,8 +59,8 @@
         warm_share(rules, now - recovered_at)
     }
 
-    /// Records the arrival of a call. Returns `true` if the calls of the last overload span exceed what the recovering
-    /// route withstands.
+    /// Records the arrival of a call. Returns `true` if the calls of the last overload window exceed `overload_factor`
+    /// times the capacity of the recovering route in that window.
     pub(crate) fn record_call(&mut self, now: Duration, rules: &RuleSettings) -> bool {
         let Some(recovered_at) = self.recovered_at else { return false };
         self.calls.push_back(now);
@@ -66,9 +68,9 @@
             self.calls.pop_front();
         }
         if now < recovered_at + rules.overload_tolerance {
-            return false; // the route recovered less than one overload span ago
+            return false; // the route recovered less than one overload window ago
         }
-        // The capacity grows linearly, so its mean over the span is its value at the middle of the span.
+        // The capacity grows linearly, so its mean over the window is its value at the middle of the window.
         let capacity = self.per_s
             * rules.overload_tolerance.as_secs_f64()
             * warm_share(rules, now - rules.overload_tolerance / 2 - recovered_at);
--- a/crates/quillhub-simulator/src/server_tests.rs
+++ b/crates/quillhub-simulator/src/server_tests.rs
@@ -8,7 +8,7 @@
 }
 
 /// Returns `true` if `per_s` calls per second overload a recovering route at some time in the 10 s after its recovery.
-/// The route serves 10 calls per second when warm.
+/// The full capacity of the route is 10 calls per second.
 fn is_overloaded_by(per_s: u64) -> bool {
     let rules = RuleSettings::default();
     let mut route = route(&rules, 10.0);
@@ -18,9 +18,9 @@
 }
 
 #[test]
-fn a_recovering_route_is_overloaded_by_more_than_its_overload_factor_allows_in_the_span() {
+fn a_recovering_route_is_overloaded_by_more_than_its_overload_factor_allows_in_the_window() {
     // Guards against a threshold that ignores the warm-up. In the first 3 s the capacity grows from 20% to 44% of 10
-    // calls per second: 9.6 calls in the overload span, of which twice as many may arrive.
+    // calls per second: 9.6 calls in the overload window, of which twice as many may arrive.
     assert!(!is_overloaded_by(6) && is_overloaded_by(7));
 }
 
--- a/crates/quillhub-simulator/src/site.rs
+++ b/crates/quillhub-simulator/src/site.rs
@@ -1,7 +1,7 @@
 //! State of all destinations of a scenario: their servers and routes, the active faults, and the treatment of calls.
 //!
-//! The module knows neither events nor gateway instances, so that it serves two hosts: the simulation drives it in
-//! virtual time, and the fakes drive it on sockets.
+//! The module does not depend on the event loop, so it has two users: the simulation in virtual time, and the fakes on
+//! sockets.
 
 use crate::conditions::ServerFault;
 use crate::faults::{Drain, Injection, Target, target_rng};
@@ -34,7 +34,7 @@
     pub overloads_route: bool,
 }
 
-/// Destination that a server belongs to, with the server's zone.
+/// Destination and zone of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Owner<'s> {
     /// Number of the destination, counted from 0.
@@ -159,7 +159,7 @@
         Owner { destination: server.destination, kind: &kind.kind, zone }
     }
 
-    /// Returns the rate limit of a route in calls per second, or without one the rate that its servers serve when warm.
+    /// Returns the rate limit of a route in calls per second, or, if it has none, the full capacity of its servers.
     pub(crate) fn route_rate(&self, route: usize) -> f64 {
         self.routes[route].rate_limit.as_ref().map_or(self.routes[route].per_s, RateLimit::per_s)
     }
@@ -275,7 +275,7 @@
         self.scenario.network.idle_timeout
     }
 
-    /// Returns the number of times that a server began to refuse connections, which drops all calls that it holds.
+    /// Returns the number of times that a server began to refuse connections, which drops all its calls.
     pub fn reset_count(&self, server_id: usize) -> u32 {
         self.servers[server_id].reset_count
     }
@@ -316,8 +316,8 @@
 
     /// Chooses the servers that a fault affects, among those for which `is_eligible` returns `true`.
     ///
-    /// The random choice depends only on the seed and the fault's number, so deciders with different histories face
-    /// the same faults.
+    /// The random choice depends only on the seed and the fault's number, so runs of one seed with different
+    /// deciders have the same faults.
     pub fn affected_servers(
         &self,
         number: usize,
@@ -402,8 +402,8 @@
         affected
     }
 
-    /// Updates the availability of a route, and returns the change, if any. A route is down while all its servers are
-    /// out.
+    /// Updates the availability of a route, and returns the change, if any. A route is down while all its servers
+    /// have an outage.
     pub(crate) fn update_route(&mut self, route: usize, now: Duration) -> Option<RouteChange> {
         let is_down = self.routes[route].servers.iter().all(|server| self.servers[*server].is_out());
         let route = &mut self.routes[route];
