--- a/crates/quillhub-simulator/src/simulation/calls.rs
+++ b/crates/quillhub-simulator/src/simulation/calls.rs
@@ -1,4 +1,4 @@
-//! Instance's end of a call: its connection, the sending of its request, and its outcome.
+//! Instance side of a call: its connection, the sending of its request, and its outcome.
 
 use super::Simulation;
 use super::event::{CallEnd, Event};
@@ -19,7 +19,7 @@
     pub(super) attempt: u32,
     pub(super) server: usize,
     pub(super) started: Duration,
-    /// `true` until the instance learns the outcome.
+    /// `true` until the instance receives the outcome.
     pub(super) awaited: bool,
     /// `true` while the call occupies a connection to its server.
     pub(super) has_connection: bool,
@@ -169,7 +169,7 @@
         if may_send_request {
             self.send_request(number);
         } else {
-            self.end_call(number, CallEnd::answered(AttemptOutcome::NotSent));
+            self.end_call(number, CallEnd::with_reusable_connection(AttemptOutcome::NotSent));
         }
     }
 
@@ -199,7 +199,7 @@
         call.awaited = false;
         let Call { instance, incarnation, message_id, attempt, started, .. } = *call;
         self.release_connection(number, end.reusable);
-        self.forget_if_done(number);
+        self.remove_if_done(number);
         if !self.is_current(instance, incarnation) {
             return;
         }
@@ -249,7 +249,7 @@
     }
 
     /// Removes a call that is over for both its instance and its endpoint.
-    pub(super) fn forget_if_done(&mut self, number: u64) {
+    pub(super) fn remove_if_done(&mut self, number: u64) {
         if self.calls.get(&number).is_some_and(|call| !call.awaited && !call.at_endpoint) {
             self.calls.remove(&number);
         }
@@ -262,7 +262,7 @@
         for number in calls {
             self.call_mut(number).awaited = false;
             self.release_connection(number, false);
-            self.forget_if_done(number);
+            self.remove_if_done(number);
         }
         for server in &mut self.site.servers {
             server.idle.remove(&instance);
--- a/crates/quillhub-simulator/src/simulation/clients.rs
+++ b/crates/quillhub-simulator/src/simulation/clients.rs
@@ -60,7 +60,7 @@
         }
         let instance = self.instance_for(&request);
         if !self.instances[instance].alive {
-            // The load balancer has not noticed the crash yet, or the stream is bound to this instance: the client
+            // The load balancer has not detected the crash yet, or the stream is bound to this instance: the client
             // retries after a wait.
             let wait = MAX_FAILOVER_WAIT.mul_f64(self.balancer_rng.random_range(CLIENT_WAIT_SHARES));
             return self.schedule_after(wait, Event::Submission { request: number });
--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns `true` while a fault makes service discovery unreachable.
-    fn is_out_of_reach(&self) -> bool {
+    fn is_unreachable(&self) -> bool {
         self.faults.iter().any(|fault| fault.delay.is_none())
     }
 }
@@ -158,7 +158,7 @@
         self.report_endpoints(instance, ListChange::Snapshot(entries), from_discovery);
         if from_discovery && !knows_no_endpoints {
             let wait = self.notification_delay();
-            if !self.discovery.is_out_of_reach() {
+            if !self.discovery.is_unreachable() {
                 let update = ListChange::Snapshot(self.discovery.snapshot());
                 self.send_update(instance, wait, update);
             }
@@ -174,7 +174,7 @@
     /// Starts an instance's watch for changes, and sends it the full list first. The request fails if service discovery
     /// is unreachable.
     pub(super) fn watch(&mut self, instance: usize) {
-        if self.discovery.is_out_of_reach() {
+        if self.discovery.is_unreachable() {
             let incarnation = self.instances[instance].incarnation;
             return self.schedule_after(UNREACHABLE_TIMEOUT, Event::DiscoveryFails { instance, incarnation });
         }
@@ -264,7 +264,7 @@
     /// Changes the state of an entry, and sends the change to the instances.
     fn change_listing(&mut self, entry: usize, state: EndpointState) {
         self.discovery.entries[entry].state = state;
-        if !self.discovery.is_out_of_reach() {
+        if !self.discovery.is_unreachable() {
             self.send_to_all(|| ListChange::Changes(vec![(entry, state)]));
         }
     }
--- a/crates/quillhub-simulator/src/simulation/event.rs
+++ b/crates/quillhub-simulator/src/simulation/event.rs
@@ -4,7 +4,7 @@
 use quillhub::{AttemptOutcome, EndpointState, LoadReport};
 use std::time::Duration;
 
-/// Event at a time of a run.
+/// Event of a run.
 pub(super) enum Event {
     /// A number of messages of a stream arrive at the same time, for one destination.
     Arrival { stream: usize, count: u64 },
@@ -18,7 +18,7 @@
     CallExecutes { call: u64 },
     /// A worker of a server completes a call.
     CallCompletes { call: u64, server: usize },
-    /// An instance learns the outcome of its call.
+    /// An instance receives the outcome of its call.
     CallEnds { call: u64, end: CallEnd },
     /// A timer set by an instance expires.
     TimerFires { instance: usize, incarnation: u32 },
@@ -40,7 +40,7 @@
     Restart { instance: usize },
 }
 
-/// Result of a call, as its instance learns it.
+/// Result of a call, as its instance receives it.
 pub(super) struct CallEnd {
     pub(super) outcome: AttemptOutcome,
     /// `true` if the connection can be reused.
@@ -56,7 +56,7 @@
     }
 
     /// Creates the result of a call whose connection stays open, without a load report.
-    pub(super) fn answered(outcome: AttemptOutcome) -> Self {
+    pub(super) fn with_reusable_connection(outcome: AttemptOutcome) -> Self {
         Self { outcome, reusable: true, load_report: None }
     }
 }
--- a/crates/quillhub-simulator/src/simulation/instances.rs
+++ b/crates/quillhub-simulator/src/simulation/instances.rs
@@ -33,7 +33,7 @@
     pub(super) alive: bool,
     /// Time until which the process is stalled.
     pub(super) stalled_until: Duration,
-    /// Time until which the load balancer has not noticed the crash of the process.
+    /// Time until which the load balancer has not detected the crash of the process.
     pub(super) assumed_alive_until: Duration,
     /// Time of the run at which the instance's own clock is zero.
     pub(super) epoch: Duration,
@@ -153,9 +153,9 @@
     fn broadcast_gossip(&mut self, instance: usize, bytes: &[u8]) {
         let unaffected_share: f64 = self.gossip_faults.iter().map(|fault| 1.0 - fault.lost).product();
         let extra: Duration = self.gossip_faults.iter().map(|fault| fault.delay).sum();
-        let arrives = (1.0 - self.scenario.instances.gossip_loss) * unaffected_share;
+        let delivery_probability = (1.0 - self.scenario.instances.gossip_loss) * unaffected_share;
         for other in (0..self.instances.len()).filter(|other| *other != instance) {
-            let lost = self.rng.random::<f64>() >= arrives;
+            let lost = self.rng.random::<f64>() >= delivery_probability;
             let (from, to) = (self.instances[instance].zone, self.instances[other].zone);
             let delay = self.paths.transit_time(&mut self.rng, from, to).filter(|_| !lost);
             if let Some(delay) = delay {
--- a/crates/quillhub-simulator/src/simulation/mod.rs
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -1,6 +1,6 @@
 //! Event loop of the simulation in virtual time, and the state that its parts share.
 //!
-//! Each submodule implements one part of [`Simulation`]: the hosts of the gateway instances, the clients, the two ends
+//! Each submodule implements one part of [`Simulation`]: the hosts of the gateway instances, the clients, the two sides
 //! of a call, service discovery, or faults. This module dispatches each event to the part that handles it.
 
 mod actions;
@@ -36,8 +36,8 @@
 
 pub use recorder::Report;
 
-/// Time that a run may continue after the end of the scenario and the longest deadline, until the calls that nobody
-/// waits for any more are done.
+/// Time that a run may continue after the end of the scenario and the longest deadline, so that calls whose
+/// instance no longer waits for them can finish.
 const MAX_OVERRUN: Duration = Duration::from_secs(30);
 
 /// Function that creates the decider of a starting instance.
--- a/crates/quillhub-simulator/src/simulation/servers.rs
+++ b/crates/quillhub-simulator/src/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! Endpoint's end of a call: its admission, its execution, and its response.
+//! Endpoint side of a call: its admission, its execution, and its response.
 
 use super::Simulation;
 use super::calls::Call;
@@ -58,7 +58,7 @@
         let delay = self.response_delay(number);
         self.finish_at_endpoint(number);
         if let Some(delay) = delay {
-            let end = CallEnd::answered(AttemptOutcome::Failed);
+            let end = CallEnd::with_reusable_connection(AttemptOutcome::Failed);
             self.schedule_after(time + delay, Event::CallEnds { call: number, end });
         }
     }
@@ -112,7 +112,7 @@
         if let Some(call) = self.calls.get_mut(&number) {
             call.at_endpoint = false;
         }
-        self.forget_if_done(number);
+        self.remove_if_done(number);
     }
 
     /// Sends the response of a call to its instance; the response may be lost.
