--- a/crates/quillhub-simulator/src/audit/breach.rs
+++ b/crates/quillhub-simulator/src/audit/breach.rs
@@ -21,7 +21,7 @@
     Waits,
 }
 
-/// Violation of a rule; times count from the start of the run.
+/// Violation of a rule; times are measured from the start of the run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
     /// Rule that was violated.
--- a/crates/quillhub-simulator/src/audit/mod.rs
+++ b/crates/quillhub-simulator/src/audit/mod.rs
@@ -39,7 +39,7 @@
     /// `true` if drains and retry-afters are checked when the first byte of a call is sent; otherwise they are checked
     /// when the attempt starts.
     checks_before_first_byte: bool,
-    /// Announced endpoints, by name.
+    /// Added endpoints, by name.
     endpoints: BTreeMap<String, Endpoint>,
     /// Zone numbers in the order of first use, by name.
     zones: BTreeMap<String, usize>,
@@ -79,7 +79,7 @@
 
     /// Checks and records the next fact; `now` must not decrease from one call to the next.
     pub fn record(&mut self, now: Duration, fact: &Fact) {
-        self.forget_finished(now);
+        self.remove_expired_messages(now);
         match *fact {
             Fact::EndpointPlaced { endpoint, zone, route } => self.endpoint_placed(endpoint, zone, route),
             Fact::EndpointLearned { instance, endpoint, state } => {
@@ -148,7 +148,7 @@
         self.breaches
     }
 
-    fn forget_finished(&mut self, now: Duration) {
+    fn remove_expired_messages(&mut self, now: Duration) {
         while let Some((_, id)) = self
             .finished_messages
             .front()
--- a/crates/quillhub-simulator/src/audit/overload.rs
+++ b/crates/quillhub-simulator/src/audit/overload.rs
@@ -17,8 +17,9 @@
     let steps = f64::from(CAPACITY_STEPS);
     let capacity_of_step = |step: u32| {
         let age = now - window - recovery.recovered_at + window.mul_f64((f64::from(step) + 0.5) / steps);
-        let warmth = (age.as_secs_f64() / warm_up.as_secs_f64()).min(1.0);
-        (initial_share + (1.0 - initial_share) * warmth) * recovery.warm_per_s * window.as_secs_f64() / steps
+        let progress = (age.as_secs_f64() / warm_up.as_secs_f64()).min(1.0);
+        (initial_share + (1.0 - initial_share) * progress) * recovery.warm_per_s * window.as_secs_f64()
+            / steps
     };
     (0..CAPACITY_STEPS).map(capacity_of_step).sum()
 }
--- a/crates/quillhub-simulator/src/audit/records.rs
+++ b/crates/quillhub-simulator/src/audit/records.rs
@@ -5,12 +5,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Endpoint announced by [`Fact::EndpointPlaced`](crate::Fact::EndpointPlaced).
+/// Endpoint added by [`Fact::EndpointPlaced`](crate::Fact::EndpointPlaced).
 #[derive(Clone, Copy)]
 pub(super) struct Endpoint {
-    /// Position in the order of announcement, counted from 0.
+    /// Position in the order in which endpoints were added, counted from 0.
     pub(super) number: usize,
-    /// Number of the zone that the endpoint is in, in the order in which the auditor first met the zones.
+    /// Number of the zone that the endpoint is in, in the order of their first use.
     pub(super) zone: usize,
     /// Number of the route that the endpoint belongs to, as facts name it.
     pub(super) route: usize,
@@ -18,7 +18,7 @@
 
 /// Attempt at a message.
 pub(super) struct Attempt {
-    /// Endpoint that the attempt goes to; absent if no endpoint of that name was announced.
+    /// Endpoint that the attempt goes to; absent if no endpoint of that name was added.
     pub(super) endpoint: Option<Endpoint>,
     /// Time at which the instance started the attempt.
     pub(super) started_at: Duration,
