--- a/crates/quillhub-simulator/src/clients.rs
+++ b/crates/quillhub-simulator/src/clients.rs
@@ -89,7 +89,8 @@
 
 /// Returns all arrivals of a scenario in order, the same as in the simulation.
 ///
-/// Traffic surges among the faults are included; faults that make destinations hot are not.
+/// Traffic surges among the faults are included; [`HotDestinations`](crate::faults::HotDestinations) faults
+/// are not.
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let shares = Shares::new(scenario, |_| 1.0);
     let mut all = Vec::new();
--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -1,5 +1,5 @@
-//! Interface between the simulation and whatever decides for a gateway instance: the dispatcher, or an implementation
-//! to compare it with.
+//! Interface between the simulation and the implementation that decides for a gateway instance: the dispatcher, or one
+//! that it is compared with.
 
 use crate::scenario::{DiscoveryForm, Scenario};
 use quillhub::{AttemptResult, Dispatcher, Driver, EndpointUpdate, MessageId, NewMessage, RecoveredAttempts};
@@ -33,7 +33,7 @@
     AttemptEnded(AttemptResult),
     /// A gossip message arrived from another instance ([`Dispatcher::gossip_received`]).
     Gossip(&'a [u8]),
-    /// The timer that was set last expired ([`Dispatcher::timer_fired`]).
+    /// A timer that the decider set expired ([`Dispatcher::timer_fired`]).
     TimerFired,
 }
 
--- a/crates/quillhub-simulator/src/fact.rs
+++ b/crates/quillhub-simulator/src/fact.rs
@@ -17,8 +17,8 @@
     Abandoned,
 }
 
-/// Event of a run as the simulator knows it. Instances count from 0; a message identifier stands for one submission and
-/// stays the same when the message is recovered after a restart.
+/// Event of a run, as recorded by the simulation. Instances are numbered from 0. A message identifier identifies one
+/// submission and stays the same when the message is recovered after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fact<'a> {
     /// An instance accepted a submitted message.
@@ -116,7 +116,7 @@
     InstanceDied {
         /// Instance that died.
         instance: usize,
-        /// `true` if its state directory remains; otherwise all its pending messages are lost.
+        /// `true` if its state directory is kept; otherwise all its pending messages are lost.
         state_kept: bool,
     },
     /// An instance stalled: it handles no events for a while.
--- a/crates/quillhub-simulator/src/lib.rs
+++ b/crates/quillhub-simulator/src/lib.rs
@@ -1,7 +1,8 @@
 //! Discrete-event simulation, in virtual time, of the environment of gateway instances: destinations, the network,
 //! service discovery, clients, and faults in each of them.
 //!
-//! The simulation does no I/O and uses no threads, and the seed determines a run to the last bit.
+//! The simulation does no I/O and uses no threads, and a run is fully determined by its scenario,
+//! seed and deciders.
 //!
 //! A [`Scenario`] describes the environment and its faults. [`Simulation::run`] runs it: for each instance it creates
 //! one [`Decider`], which is the real [`dispatcher`] or an implementation to compare with it, reports events to it, and
--- a/crates/quillhub-simulator/src/network.rs
+++ b/crates/quillhub-simulator/src/network.rs
@@ -37,7 +37,8 @@
         Self { network, impaired: Vec::new() }
     }
 
-    /// Returns `true` if nothing, or too little for the oracle, gets from one zone to the other.
+    /// Returns `true` if an active fault cuts the path from one zone to the other, or loses more than
+    /// [`MAX_USABLE_LOSS_SHARE`] of its transmissions.
     pub(crate) fn is_unusable(&self, from: usize, to: usize) -> bool {
         let makes_unusable = |kind: PathFault| {
             matches!(kind, PathFault::Cut)
--- a/crates/quillhub-simulator/src/tally.rs
+++ b/crates/quillhub-simulator/src/tally.rs
@@ -39,7 +39,7 @@
 
 /// Totals of a run; a message that its client submits again counts once, unless stated otherwise.
 pub struct Tally {
-    /// Value of an in-time delivery, by service class.
+    /// Value of a delivery within the soft deadline, by service class.
     value: Vec<f64>,
     service_classes: Vec<quillhub::ServiceClass>,
     /// Course of the run, in rows from its start.
@@ -86,7 +86,7 @@
     /// Max number of messages pending at once, at all instances together.
     pub max_pending: i64,
     pending: i64,
-    /// Attempts started, by destination in the order of numbers.
+    /// Attempts started, by destination index, from 0.
     pub attempts_by_destination: Vec<u64>,
 }
 
@@ -95,7 +95,7 @@
 const TARGET_ROWS: u64 = 100_000;
 
 /// Creates a histogram of durations in microseconds, from 1 µs to 24 h, with 3 significant digits.
-fn histogram() -> Histogram<u64> {
+fn microsecond_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 24 * 3_600 * 1_000_000, 3).expect("the bounds are in order")
 }
 
@@ -127,8 +127,8 @@
             executed: 0,
             deduplicated: 0,
             duplicate_effects: 0,
-            latency: histogram(),
-            queueing_time: histogram(),
+            latency: microsecond_histogram(),
+            queueing_time: microsecond_histogram(),
             max_pending: 0,
             pending: 0,
             attempts_by_destination: vec![0; destinations],
