--- a/crates/quillhub-simulator/tests/auditor.rs
+++ b/crates/quillhub-simulator/tests/auditor.rs
@@ -15,7 +15,7 @@
 enum Flaw {
     LosesMessages,
     FinishesTwice,
-    AttemptsAfterTheEnd,
+    AttemptsAfterFinalOutcome,
     FinishesLate,
     RetriesAtMostOnce,
     StartsTwoAttempts,
@@ -108,7 +108,7 @@
                 if self.flaw == Flaw::FinishesTwice {
                     driver.reject(id, retry_after);
                 }
-                if self.flaw == Flaw::AttemptsAfterTheEnd {
+                if self.flaw == Flaw::AttemptsAfterFinalOutcome {
                     driver.start_attempt(id, "e1", Duration::from_secs(1));
                 }
             }
@@ -149,7 +149,7 @@
     }
 
     /// Returns the outcome that the wrapped dispatcher receives instead of `outcome`.
-    fn falsified(&mut self, id: MessageId, outcome: AttemptOutcome) -> AttemptOutcome {
+    fn falsified_outcome(&mut self, id: MessageId, outcome: AttemptOutcome) -> AttemptOutcome {
         match (self.flaw, outcome) {
             (Flaw::RetriesAtMostOnce, AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset)
                 if self.at_most_once.contains(&id) =>
@@ -210,7 +210,7 @@
             Input::AttemptEnded(result) => {
                 // The wrapped dispatcher receives no outcome of an attempt that it did not request.
                 if let Some(attempt) = self.inner_number(result.message, result.attempt, result.finished) {
-                    let outcome = self.falsified(result.message, result.outcome);
+                    let outcome = self.falsified_outcome(result.message, result.outcome);
                     self.inner.handle(Input::AttemptEnded(AttemptResult { attempt, outcome, ..result }));
                 }
             }
@@ -369,7 +369,7 @@
 
 /// Asserts that the unmodified dispatcher breaks no rule, and that with the flaw there are breaches of `rule` and of no
 /// other.
-fn assert_caught(scenario: &Scenario, configured: &Scenario, flaw: Flaw, rule: Rule) {
+fn assert_detected(scenario: &Scenario, configured: &Scenario, flaw: Flaw, rule: Rule) {
     let unmodified = Simulation::run(scenario, 7, &dispatcher, |_, _| {}).breaches;
     assert!(unmodified.is_empty(), "breach by the unmodified dispatcher: {}", unmodified[0]);
     let found = breaches(scenario, configured, flaw);
@@ -378,66 +378,71 @@
     assert!(other.is_none(), "breach of another rule for {flaw:?}: {}", other.unwrap());
 }
 
-/// Asserts that a flaw is caught under `rule` in a scenario with these service classes and faults.
-fn assert_flaw_caught(service_classes: &[&str], faults: &str, flaw: Flaw, rule: Rule) {
+/// Asserts that a flaw is detected under `rule` in a scenario with these service classes and faults.
+fn assert_flaw_detected(service_classes: &[&str], faults: &str, flaw: Flaw, rule: Rule) {
     let scenario = scenario(service_classes, faults, "");
-    assert_caught(&scenario, &scenario, flaw, rule);
+    assert_detected(&scenario, &scenario, flaw, rule);
 }
 
 #[test]
-fn a_message_without_a_final_outcome_is_caught() {
+fn a_message_without_a_final_outcome_is_detected() {
     // Guards against an auditor that misses lost messages: the decider drops every rejection and abandonment.
-    assert_flaw_caught(&["order", "status"], HANG, Flaw::LosesMessages, Rule::OneAnswer);
+    assert_flaw_detected(&["order", "status"], HANG, Flaw::LosesMessages, Rule::OneAnswer);
 }
 
 #[test]
-fn two_final_outcomes_of_a_message_are_caught() {
+fn two_final_outcomes_of_a_message_are_detected() {
     // Guards against an auditor that accepts a second final outcome: the decider rejects each message twice.
-    assert_flaw_caught(&["order", "status"], HANG, Flaw::FinishesTwice, Rule::OneAnswer);
+    assert_flaw_detected(&["order", "status"], HANG, Flaw::FinishesTwice, Rule::OneAnswer);
 }
 
 #[test]
-fn an_attempt_after_the_final_outcome_is_caught() {
+fn an_attempt_after_the_final_outcome_is_detected() {
     // Guards against an auditor that ignores finished messages: the decider starts an attempt after each rejection.
-    assert_flaw_caught(&["order", "status"], HANG, Flaw::AttemptsAfterTheEnd, Rule::OneAnswer);
+    assert_flaw_detected(&["order", "status"], HANG, Flaw::AttemptsAfterFinalOutcome, Rule::OneAnswer);
 }
 
 #[test]
-fn a_final_outcome_after_the_deadline_is_caught() {
+fn a_final_outcome_after_the_deadline_is_detected() {
     // Guards against an auditor that ignores deadlines: the decider delays final outcomes by 20 s.
-    assert_flaw_caught(&["order", "status"], HANG, Flaw::FinishesLate, Rule::OneAnswer);
+    assert_flaw_detected(&["order", "status"], HANG, Flaw::FinishesLate, Rule::OneAnswer);
 }
 
 #[test]
-fn messages_forgotten_at_a_restart_are_caught() {
+fn messages_forgotten_at_a_restart_are_detected() {
     // Guards against an auditor that excuses messages lost by a restart although the state directory is kept: the
     // decider ignores recovered messages.
-    assert_flaw_caught(&["order"], &format!("{CRASH}{HANG}"), Flaw::ForgetsAtRestart, Rule::OneAnswer);
+    assert_flaw_detected(&["order"], &format!("{CRASH}{HANG}"), Flaw::ForgetsAtRestart, Rule::OneAnswer);
 }
 
 #[test]
-fn an_at_most_once_message_retried_after_a_timeout_is_caught() {
-    // Guards against an auditor that accepts unsafe retries: the decider takes a timeout for a failure to connect, so
+fn an_at_most_once_message_retried_after_a_timeout_is_detected() {
+    // Guards against an auditor that accepts unsafe retries: the decider treats a timeout as a failure to connect, so
     // it retries a message that may have been executed.
-    assert_flaw_caught(&["pay"], HANG, Flaw::RetriesAtMostOnce, Rule::OneEffect);
+    assert_flaw_detected(&["pay"], HANG, Flaw::RetriesAtMostOnce, Rule::OneEffect);
 }
 
 #[test]
-fn an_at_most_once_message_rejected_though_it_may_have_run_is_caught() {
+fn an_at_most_once_message_rejected_though_it_may_have_been_executed_is_detected() {
     // Guards against an auditor that accepts the rejection of a message that may have been executed, although its
     // client may submit it again: the decider rejects the messages that it should abandon.
-    assert_flaw_caught(&["pay"], HANG, Flaw::RejectsAtMostOnce, Rule::OneEffect);
+    assert_flaw_detected(&["pay"], HANG, Flaw::RejectsAtMostOnce, Rule::OneEffect);
 }
 
 #[test]
-fn an_at_most_once_message_retried_after_a_restart_is_caught() {
+fn an_at_most_once_message_retried_after_a_restart_is_detected() {
     // Guards against an auditor that forgets attempts made before a restart: the decider recovers messages without
     // their attempts.
-    assert_flaw_caught(&["pay"], &format!("{CRASH}{HANG}"), Flaw::ForgetsAttemptsAtRestart, Rule::OneEffect);
+    assert_flaw_detected(
+        &["pay"],
+        &format!("{CRASH}{HANG}"),
+        Flaw::ForgetsAttemptsAtRestart,
+        Rule::OneEffect,
+    );
 }
 
 #[test]
-fn two_attempts_in_flight_at_once_are_caught() {
+fn two_attempts_in_flight_at_once_are_detected() {
     // Guards against an auditor that accepts concurrent attempts at a message: the decider starts each attempt twice.
     let mut scenario = scenario(&["order", "status"], "", "");
     // Long deadlines, so that no message finishes with a copy in flight.
@@ -447,36 +452,36 @@
         .for_each(|service_class| service_class.deadline = Duration::from_secs(60));
     // Only the kind without a rate limit, so that no copy violates a retry-after.
     scenario.destinations.truncate(1);
-    assert_caught(&scenario, &scenario, Flaw::StartsTwoAttempts, Rule::OneEffect);
+    assert_detected(&scenario, &scenario, Flaw::StartsTwoAttempts, Rule::OneEffect);
 }
 
 #[test]
-fn a_deduplicated_message_retried_after_its_window_is_caught() {
+fn a_deduplicated_message_retried_after_its_window_is_detected() {
     // Guards against an auditor that ignores the deduplication window: the decider assumes 60 s instead of 2 s.
     let scenario = scenario(&["order"], &format!("{HANG}{LOST_RESPONSES}"), "");
     let mut configured = scenario.clone();
     configured.service_classes[0].deduplication_window = Duration::from_secs(60);
-    assert_caught(&scenario, &configured, Flaw::OtherScenario, Rule::OneEffect);
+    assert_detected(&scenario, &configured, Flaw::OtherScenario, Rule::OneEffect);
 }
 
 #[test]
-fn a_deduplicated_message_retried_in_another_zone_is_caught() {
-    // Guards against an auditor that ignores zones: the decider takes an idempotency key that only one zone knows for
+fn a_deduplicated_message_retried_in_another_zone_is_detected() {
+    // Guards against an auditor that ignores zones: the decider treats an idempotency key that only one zone knows as
     // one that all zones know.
     let scenario = scenario(&["zoned"], LOST_RESPONSES, "");
     let mut configured = scenario.clone();
     configured.service_classes[1].per_zone = false;
-    assert_caught(&scenario, &configured, Flaw::OtherScenario, Rule::OneEffect);
+    assert_detected(&scenario, &configured, Flaw::OtherScenario, Rule::OneEffect);
 }
 
 #[test]
-fn an_attempt_at_a_draining_endpoint_after_the_grace_is_caught() {
-    // Guards against an auditor that ignores drains: the decider takes draining and removed endpoints for available.
-    assert_flaw_caught(&["status"], DRAIN, Flaw::AttemptsAtDraining, Rule::Drains);
+fn an_attempt_at_a_draining_endpoint_after_the_grace_is_detected() {
+    // Guards against an auditor that ignores drains: the decider treats draining and removed endpoints as available.
+    assert_flaw_detected(&["status"], DRAIN, Flaw::AttemptsAtDraining, Rule::Drains);
 }
 
 #[test]
-fn an_attempt_a_millisecond_before_the_end_of_a_retry_after_is_caught() {
+fn an_attempt_a_millisecond_before_the_end_of_a_retry_after_is_detected() {
     // Guards against an auditor that is inexact about the end of a retry-after: the decider starts attempts 1 ms early.
     let mut scenario = scenario(&["status"], "", "");
     // A high rate keeps messages waiting for the end of each retry-after, and the limit of 40 per second lets some
@@ -484,12 +489,12 @@
     scenario.destinations.remove(0);
     scenario.destinations[0].rate_limit.as_mut().unwrap().per_s = 40.0;
     scenario.arrivals[0].per_s = 100.0;
-    assert_caught(&scenario, &scenario, Flaw::ShortensRetryAfter, Rule::Waits);
+    assert_detected(&scenario, &scenario, Flaw::ShortensRetryAfter, Rule::Waits);
 }
 
 #[test]
-fn the_overload_of_a_recovering_destination_is_caught() {
-    // Guards against an auditor that misses overloads after an outage: the decider takes failures for attempts that
+fn the_overload_of_a_recovering_destination_is_detected() {
+    // Guards against an auditor that misses overloads after an outage: the decider treats failures as attempts that
     // were never sent, and continues at the full rate when the destination recovers.
     let faults = HANG.replace("[1, 2]", "[1]");
     let mut scenario = scenario(&["status"], &faults, "[returns]\nstart = 0.1\npush = '1500 ms'");
@@ -497,25 +502,25 @@
     let kind = &mut scenario.destinations[0];
     (kind.count, kind.endpoints, kind.workers) = (1, 1, 1); // 12 calls per second at full capacity
     scenario.arrivals[0].per_s = 10.0;
-    assert_caught(&scenario, &scenario, Flaw::SeesNoOutage, Rule::Returns);
+    assert_detected(&scenario, &scenario, Flaw::SeesNoOutage, Rule::Returns);
 }
 
 #[test]
-fn messages_of_one_ordering_key_out_of_order_are_caught() {
-    // Guards against an auditor that ignores ordering: the decider takes an ordered service class for an unordered one.
+fn messages_of_one_ordering_key_out_of_order_are_detected() {
+    // Guards against an auditor that ignores ordering: the decider treats an ordered service class as an unordered one.
     let scenario = scenario(&["turns"], LOST_RESPONSES, "");
     let mut configured = scenario.clone();
     configured.service_classes[4].ordered = false;
-    assert_caught(&scenario, &configured, Flaw::OtherScenario, Rule::Order);
+    assert_detected(&scenario, &configured, Flaw::OtherScenario, Rule::Order);
 }
 
 #[test]
-fn an_ordering_key_that_does_not_pause_is_caught() {
+fn an_ordering_key_that_does_not_pause_is_detected() {
     // Guards against an auditor that ignores the ordering pause: the decider assumes a pause of zero.
     let scenario = scenario(&["turns"], LOST_RESPONSES, "");
     let mut configured = scenario.clone();
     configured.rules.ordering_pause = Duration::ZERO;
-    assert_caught(&scenario, &configured, Flaw::OtherScenario, Rule::Order);
+    assert_detected(&scenario, &configured, Flaw::OtherScenario, Rule::Order);
 }
 
 #[test]
--- a/crates/quillhub-simulator/tests/cold_recovery.rs
+++ b/crates/quillhub-simulator/tests/cold_recovery.rs
@@ -1,7 +1,7 @@
 //! Load that many instances together put on recovering destinations.
 //!
-//! A recovering route counts as overloaded if more than N + 2 root N + 2 calls arrive in any window as long as the
-//! overload span, where N is the number that the settings allow in that window. The instances cause an overload if two
+//! A recovering route counts as overloaded if more than N + 2√N + 2 calls arrive in any window as long as the
+//! overload window, where N is the number that the settings allow in that window. The instances cause an overload if two
 //! thirds of the calls in the window came from instances that had a failed or rejected call there during the outage.
 
 use quillhub::{AttemptOutcome, MessageId};
@@ -11,8 +11,8 @@
 
 const SEEDS: u64 = 20;
 const INSTANCE_COUNTS: [u32; 3] = [20, 30, 100];
-/// Minimum share of the calls in a window, sent by instances that knew of the outage, for the instances to be its
-/// cause.
+/// Minimum share of the calls in a window, sent by instances that knew of the outage, for an overload to count as
+/// caused by the instances.
 const INFORMED_SHARE: f64 = 2.0 / 3.0;
 /// Overload factor that no number of instances reaches, so that simulated destinations do not fail and every window can
 /// be checked.
@@ -121,8 +121,8 @@
     }
 }
 
-/// Creates a scenario with twelve destinations of two endpoints each, loaded to four fifths of their capacity, and with
-/// `faults`, which take half of them down for 10 s.
+/// Creates a scenario with twelve destinations of two endpoints each, with 80 messages per second, two thirds of the capacity
+/// of their workers, and with `faults`, which take half of them down for 10 s.
 fn scenario(instances: u32, kind: &str, rates: &str, factor: f64, faults: &str) -> Scenario {
     let text = format!(
         r#"
