--- a/crates/quillhub-experiments/src/baselines.rs
+++ b/crates/quillhub-experiments/src/baselines.rs
@@ -114,7 +114,7 @@
         rng: Pcg64Mcg::seed_from_u64(start.seed),
         now: Duration::ZERO,
         slots: scenario.instances.slots,
-        queue_capacity: scenario.instances.capacity,
+        queue_capacity: scenario.instances.queue_capacity,
         max_attempts: if kind == DeciderKind::Single { 1 } else { scenario.instances.max_attempts },
         service_classes: scenario
             .service_classes
--- a/crates/quillhub-experiments/src/experiment.rs
+++ b/crates/quillhub-experiments/src/experiment.rs
@@ -201,7 +201,7 @@
     }
     let ScenarioOnly { scenario } = toml::from_str(text).map_err(toml_error)?;
     scenario.check().map_err(|invalid| {
-        let place = locate(text, &format!("day.{}", invalid.place));
+        let place = locate(text, &format!("day.{}", invalid.key));
         (place, format!("day.{invalid}"))
     })
 }
--- a/crates/quillhub-fakes/src/clients.rs
+++ b/crates/quillhub-fakes/src/clients.rs
@@ -175,7 +175,8 @@
 
 /// Counts a rejection and waits before the retry; `false` if the client gives up instead.
 ///
-/// The delay is a random share of the scenario's backoff, from half to all of it, or `retry_after` if that is longer.
+/// The delay is a random share of the scenario's `max_backoff`, from half to all of it, or `retry_after` if that is
+/// longer.
 async fn wait_for_retry(log: &SharedLog, request: usize, retry_after: Option<Duration>) -> bool {
     let wait = {
         let mut log = log.borrow_mut();
@@ -184,13 +185,13 @@
         state.rejections += 1;
         let deadline = log.scenario.service_classes[state.message.service_class].deadline;
         let after = log.started.elapsed().saturating_sub(state.message.submit_at);
-        if state.rejections > log.scenario.clients.retries || after >= deadline {
+        if state.rejections > log.scenario.clients.max_retries || after >= deadline {
             state.outcome.get_or_insert((after, FinalOutcome::Rejected { retry_after: None }));
             return false;
         }
         log.scenario
             .clients
-            .backoff
+            .max_backoff
             .mul_f64(log.rng.random_range(RETRY_WAIT_SHARES))
             .max(retry_after.unwrap_or_default())
     };
--- a/crates/quillhub-fakes/src/configuration.rs
+++ b/crates/quillhub-fakes/src/configuration.rs
@@ -55,7 +55,7 @@
             "zone": instances.zones[0],
             "familyInfo": {"maxCalls": instances.slots, "losesWorth": if halving { "halving" } else { "evenly" },
                 "separateRoutes": separate_routes},
-            "limits": {"mostTries": instances.max_attempts, "maxOpen": instances.capacity, "retryAfter": true,
+            "limits": {"mostTries": instances.max_attempts, "maxOpen": instances.queue_capacity, "retryAfter": true,
                 "maxRetryAfterUs": us(instances.max_retry_after), "idleCloseUs": us(network.idle_timeout),
                 "connectTimeoutUs": us(network.connect_timeout)},
             "rules": {"overloadFactor": rules.overload_factor, "startCapacity": rules.initial_share,
--- a/crates/quillhub-simulator/src/clients.rs
+++ b/crates/quillhub-simulator/src/clients.rs
@@ -2,7 +2,7 @@
 //!
 //! The load is open loop: a message arrives at its scheduled time whether or not earlier ones are finished.
 
-use crate::scenario::{Arrivals, Pattern, Scenario};
+use crate::scenario::{Pattern, Scenario, StreamSpec};
 use crate::site::seeded_rng;
 use quillhub::DestinationId;
 use rand::RngExt;
@@ -52,9 +52,9 @@
 
 /// Distribution of messages over destinations: of each kind, and of all destinations under `None`. Destinations are
 /// numbered from 0.
-pub(crate) struct Shares(BTreeMap<Option<String>, (Vec<usize>, Weights)>);
+pub(crate) struct DestinationShares(BTreeMap<Option<String>, (Vec<usize>, Weights)>);
 
-impl Shares {
+impl DestinationShares {
     /// Computes the distribution from the scenario's weights, each multiplied by the `factor` of its destination.
     pub(crate) fn new(scenario: &Scenario, factor: impl Fn(usize) -> f64) -> Self {
         let mut all = Vec::new();
@@ -92,10 +92,10 @@
 /// Traffic surges among the faults are included; [`HotDestinations`](crate::faults::HotDestinations) faults
 /// are not.
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
-    let shares = Shares::new(scenario, |_| 1.0);
+    let shares = DestinationShares::new(scenario, |_| 1.0);
     let mut all = Vec::new();
     for (nth, arrivals) in scenario.arrivals.iter().enumerate() {
-        let mut stream = Stream::new(stream_rng(seed, nth));
+        let mut stream = ArrivalGenerator::new(stream_rng(seed, nth));
         let mut now = Duration::ZERO;
         loop {
             let active = scenario
@@ -124,7 +124,7 @@
 }
 
 /// Generator of the arrivals of one stream.
-pub(crate) struct Stream {
+pub(crate) struct ArrivalGenerator {
     rng: Pcg64Mcg,
     /// Factors on the rate, with the faults that cause them.
     pub(crate) factors: Vec<(usize, f64)>,
@@ -132,13 +132,17 @@
     generated: u64,
 }
 
-impl Stream {
+impl ArrivalGenerator {
     pub(crate) fn new(rng: Pcg64Mcg) -> Self {
         Self { rng, factors: Vec::new(), generated: 0 }
     }
 
     /// Draws the destination that all messages of one arrival share.
-    pub(crate) fn draw_destination(&mut self, arrivals: &Arrivals, shares: &Shares) -> DestinationId {
+    pub(crate) fn draw_destination(
+        &mut self,
+        arrivals: &StreamSpec,
+        shares: &DestinationShares,
+    ) -> DestinationId {
         let (ids, weights) = &shares.0[&arrivals.destination_kind];
         ids[weights.pick(&mut self.rng)] as u64 + 1
     }
@@ -147,7 +151,7 @@
     pub(crate) fn draw_message(
         &mut self,
         nth: usize,
-        arrivals: &Arrivals,
+        arrivals: &StreamSpec,
         scenario: &Scenario,
     ) -> (usize, Option<u64>) {
         let service_class = match &arrivals.service_class {
@@ -166,7 +170,7 @@
     /// Returns the time of the next arrival after `now` and its number of messages; `None` after the end of the stream.
     pub(crate) fn next_arrival(
         &mut self,
-        arrivals: &Arrivals,
+        arrivals: &StreamSpec,
         now: Duration,
         scenario: &Scenario,
     ) -> Option<(Duration, u64)> {
--- a/crates/quillhub-simulator/src/clients_tests.rs
+++ b/crates/quillhub-simulator/src/clients_tests.rs
@@ -10,7 +10,7 @@
          [[arrivals]]\nper_s = 20.0\npattern = {pattern}"
     );
     let scenario: Scenario = toml::from_str(&text).unwrap();
-    let mut stream = Stream::new(Pcg64Mcg::seed_from_u64(7));
+    let mut stream = ArrivalGenerator::new(Pcg64Mcg::seed_from_u64(7));
     let (mut now, mut counted) = (Duration::ZERO, 0);
     while let Some((at, messages)) = stream.next_arrival(&scenario.arrivals[0], now, &scenario) {
         assert!(at >= now);
--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -107,7 +107,11 @@
     let scenario = start.scenario;
     let (instances, rules) = (&scenario.instances, &scenario.rules);
     let mut dispatcher = Dispatcher::new(start.seed, instances.count, start.zone);
-    dispatcher.set_limits(Some(instances.slots), Some(instances.capacity), Some(instances.max_attempts));
+    dispatcher.set_limits(
+        Some(instances.slots),
+        Some(instances.queue_capacity),
+        Some(instances.max_attempts),
+    );
     dispatcher.set_max_retry_after(Some(instances.max_retry_after));
     dispatcher.set_slow_start(rules.overload_factor, rules.initial_share, rules.warm_up);
     dispatcher.set_overload_tolerance(rules.overload_tolerance);
--- a/crates/quillhub-simulator/src/lib.rs
+++ b/crates/quillhub-simulator/src/lib.rs
@@ -63,9 +63,9 @@
 pub use fact::{Fact, FinalOutcome, line};
 pub use faults::Target;
 pub use scenario::{
-    Arrivals, Clients, Destinations, DiscoveryForm, DiscoverySpec, Instances, InvalidScenario, Law, Network,
-    Pattern, RateLimitSpec, Rates, RetrySafetyKind, RuleSettings, Scenario, Service, ServiceClassSpec,
-    Tenant,
+    Clients, DestinationKind, DiscoveryForm, DiscoverySpec, Instances, InvalidScenario, ListedRates, Network,
+    Pattern, RateLimitSpec, RetrySafetyKind, RuleSettings, Scenario, ServiceClassSpec, ServiceTime,
+    ServiceTimeDistribution, StreamSpec, Tenant,
 };
 pub use simulation::{Report, Simulation};
 pub use site::{Admission, AdmissionResult, ConnectionFaults, Owner, ResponseFaults, Site, SocketFault};
--- a/crates/quillhub-simulator/src/scenario/arrivals.rs
+++ b/crates/quillhub-simulator/src/scenario/arrivals.rs
@@ -40,8 +40,8 @@
 
 /// Open-loop stream of messages: arrivals do not depend on the outcomes of earlier messages.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Arrivals {
+#[serde(expecting = "struct Arrivals", deny_unknown_fields)]
+pub struct StreamSpec {
     /// Mean rate, in messages per second.
     pub per_s: f64,
     /// Arrival pattern; Poisson by default.
--- a/crates/quillhub-simulator/src/scenario/clients.rs
+++ b/crates/quillhub-simulator/src/scenario/clients.rs
@@ -9,12 +9,12 @@
 pub struct Clients {
     /// Max number of times that a client submits a rejected message again; 3 by default.
     #[serde(rename = "tries")]
-    pub retries: u32,
+    pub max_retries: u32,
     /// Max delay before a message is submitted again, 1 s by default. The delay is drawn between half of it and all of
     /// it, and is at least the retry-after of the rejection.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "wait")]
-    pub backoff: Duration,
+    pub max_backoff: Duration,
     /// Time for which the load balancer keeps sending messages to an instance that died; 2 s by default.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "notices_dead")]
@@ -23,6 +23,10 @@
 
 impl Default for Clients {
     fn default() -> Self {
-        Self { retries: 3, backoff: Duration::from_secs(1), failure_detection_delay: Duration::from_secs(2) }
+        Self {
+            max_retries: 3,
+            max_backoff: Duration::from_secs(1),
+            failure_detection_delay: Duration::from_secs(2),
+        }
     }
 }
--- a/crates/quillhub-simulator/src/scenario/destinations.rs
+++ b/crates/quillhub-simulator/src/scenario/destinations.rs
@@ -8,8 +8,8 @@
 
 /// Kind of destinations, and the settings that all its destinations share.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Destinations {
+#[serde(expecting = "struct Destinations", deny_unknown_fields)]
+pub struct DestinationKind {
     /// Name of the kind, unique in the scenario.
     pub kind: String,
     /// Number of destinations of this kind; 1 by default.
@@ -22,10 +22,10 @@
     #[serde(default = "default_workers")]
     pub workers: usize,
     /// Max number of calls that wait at an endpoint for a worker, 64 by default; further ones are rejected.
-    #[serde(default = "default_queue")]
-    pub queue: usize,
+    #[serde(rename = "queue", default = "default_max_queued")]
+    pub max_queued: usize,
     /// Distribution of the time that a call takes.
-    pub service: Service,
+    pub service: ServiceTime,
     /// Max factor by which a destination is slower or faster than usual, drawn log-uniformly for each; 1, the default,
     /// for equal destinations.
     #[serde(default = "default_one")]
@@ -57,8 +57,8 @@
 
 /// Probability distribution of the time that a call takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Law {
+#[serde(expecting = "enum Law", rename_all = "lowercase")]
+pub enum ServiceTimeDistribution {
     /// Always the mean time.
     Constant,
     /// Exponential distribution; `cv` has no effect.
@@ -73,31 +73,35 @@
 
 /// Time that a call takes at an endpoint of usual speed.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Service {
+#[serde(expecting = "struct Service", deny_unknown_fields)]
+pub struct ServiceTime {
     /// Mean time.
     #[serde(with = "humantime_serde")]
     pub mean: Duration,
     /// Distribution of the time; log-normal by default.
     #[serde(default = "default_law")]
-    pub law: Law,
+    pub law: ServiceTimeDistribution,
     /// Coefficient of variation (standard deviation divided by mean) for log-normal, gamma and Pareto; greater than 0,
     /// and 0.5 by default.
     #[serde(default = "default_cv")]
     pub cv: f64,
 }
 
-impl Service {
+impl ServiceTime {
     /// Draws a service time, which is between 1 µs and 1 h unless the distribution is constant.
     pub fn draw(&self, rng: &mut impl Rng) -> Duration {
         let mean = self.mean.as_secs_f64().max(1e-6);
         let (cv, checked) = (self.cv, "the parameters of the distribution were checked");
         let secs = match self.law {
-            Law::Constant => return self.mean,
-            Law::Exponential => Exp::new(1.0 / mean).expect(checked).sample(rng),
-            Law::LogNormal => LogNormal::from_mean_cv(mean, cv).expect(checked).sample(rng),
-            Law::Gamma => Gamma::new(1.0 / (cv * cv), mean * cv * cv).expect(checked).sample(rng),
-            Law::Pareto => {
+            ServiceTimeDistribution::Constant => return self.mean,
+            ServiceTimeDistribution::Exponential => Exp::new(1.0 / mean).expect(checked).sample(rng),
+            ServiceTimeDistribution::LogNormal => {
+                LogNormal::from_mean_cv(mean, cv).expect(checked).sample(rng)
+            }
+            ServiceTimeDistribution::Gamma => {
+                Gamma::new(1.0 / (cv * cv), mean * cv * cv).expect(checked).sample(rng)
+            }
+            ServiceTimeDistribution::Pareto => {
                 // The shape follows from the coefficient of variation, and the scale from the mean.
                 let shape = 1.0 + (1.0 + 1.0 / (cv * cv)).sqrt();
                 Pareto::new(mean * (shape - 1.0) / shape, shape).expect(checked).sample(rng)
@@ -139,10 +143,10 @@
     8
 }
 
-fn default_queue() -> usize {
+fn default_max_queued() -> usize {
     64
 }
 
-fn default_law() -> Law {
-    Law::LogNormal
+fn default_law() -> ServiceTimeDistribution {
+    ServiceTimeDistribution::LogNormal
 }
--- a/crates/quillhub-simulator/src/scenario/discovery.rs
+++ b/crates/quillhub-simulator/src/scenario/discovery.rs
@@ -26,34 +26,35 @@
     #[serde(rename = "late")]
     pub delay: Duration,
     /// Rates in the endpoint list; none by default.
-    pub rates: Rates,
+    pub rates: ListedRates,
 }
 
 impl Default for DiscoverySpec {
     fn default() -> Self {
-        Self { form: DiscoveryForm::Push, delay: Duration::from_millis(500), rates: Rates::Absent }
+        Self { form: DiscoveryForm::Push, delay: Duration::from_millis(500), rates: ListedRates::Absent }
     }
 }
 
 /// Rate that is listed for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Rates {
+#[serde(expecting = "enum Rates", rename_all = "lowercase")]
+pub enum ListedRates {
     /// No rate.
     Absent,
     /// The true rate.
     Exact,
     /// A rate up to 50% too high or too low.
-    Rough,
+    #[serde(rename = "rough")]
+    Approximate,
 }
 
-impl Rates {
+impl ListedRates {
     /// Returns the accuracy of the listed rates, in the dispatcher's terms.
     pub(crate) fn accuracy(self) -> ListedRateAccuracy {
         match self {
             Self::Absent => ListedRateAccuracy::Absent,
             Self::Exact => ListedRateAccuracy::Exact,
-            Self::Rough => ListedRateAccuracy::Approximate,
+            Self::Approximate => ListedRateAccuracy::Approximate,
         }
     }
 }
--- a/crates/quillhub-simulator/src/scenario/instances.rs
+++ b/crates/quillhub-simulator/src/scenario/instances.rs
@@ -13,7 +13,7 @@
     pub slots: usize,
     /// Max number of pending messages per instance; 1000 by default.
     #[serde(rename = "room")]
-    pub capacity: usize,
+    pub queue_capacity: usize,
     /// Max number of attempts per message; 12 by default.
     #[serde(rename = "most_sends")]
     pub max_attempts: u32,
@@ -35,7 +35,7 @@
     pub gossip: bool,
     /// Share of gossip messages that are lost, from 0 to 1; 0 by default.
     #[serde(rename = "notes_lost")]
-    pub gossip_loss: f64,
+    pub lost_gossip_share: f64,
     /// `true`, the default, if an attempt is checked once more before its first byte is sent, as the quillhub
     /// process does on real connections.
     #[serde(rename = "last_look")]
@@ -47,14 +47,14 @@
         Self {
             count: 1,
             slots: 64,
-            capacity: 1_000,
+            queue_capacity: 1_000,
             max_attempts: 12,
             max_retry_after: Duration::from_secs(4),
             zones: vec!["east".into()],
             skew: 0.0,
             state_directory: true,
             gossip: false,
-            gossip_loss: 0.0,
+            lost_gossip_share: 0.0,
             checks_before_first_byte: true,
         }
     }
--- a/crates/quillhub-simulator/src/scenario/mod.rs
+++ b/crates/quillhub-simulator/src/scenario/mod.rs
@@ -12,10 +12,10 @@
 mod service_class;
 mod validation;
 
-pub use arrivals::{Arrivals, Pattern};
+pub use arrivals::{Pattern, StreamSpec};
 pub use clients::Clients;
-pub use destinations::{Destinations, Law, RateLimitSpec, Service};
-pub use discovery::{DiscoveryForm, DiscoverySpec, Rates};
+pub use destinations::{DestinationKind, RateLimitSpec, ServiceTime, ServiceTimeDistribution};
+pub use discovery::{DiscoveryForm, DiscoverySpec, ListedRates};
 pub use instances::Instances;
 pub use network::Network;
 pub use rules::RuleSettings;
@@ -51,9 +51,9 @@
     #[serde(rename = "grades")]
     pub service_classes: Vec<ServiceClassSpec>,
     /// Destinations, by kind; at least one kind.
-    pub destinations: Vec<Destinations>,
+    pub destinations: Vec<DestinationKind>,
     /// Streams of messages; at least one.
-    pub arrivals: Vec<Arrivals>,
+    pub arrivals: Vec<StreamSpec>,
     /// Tenants and their quotas; none by default.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
--- a/crates/quillhub-simulator/src/server.rs
+++ b/crates/quillhub-simulator/src/server.rs
@@ -5,7 +5,7 @@
 
 use crate::conditions::ServerFault;
 use crate::rate_limit::RateLimit;
-use crate::scenario::{Destinations, RuleSettings};
+use crate::scenario::{DestinationKind, RuleSettings};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -189,7 +189,7 @@
     }
 
     /// Returns `true` if one more connection is within the connection limit.
-    pub(crate) fn accepts_connection(&self, kind: &Destinations) -> bool {
+    pub(crate) fn accepts_connection(&self, kind: &DestinationKind) -> bool {
         let idle: usize = self.idle.values().map(Vec::len).sum();
         kind.max_connections.is_none_or(|max| self.open + idle < max)
     }
--- a/crates/quillhub-simulator/src/simulation/clients.rs
+++ b/crates/quillhub-simulator/src/simulation/clients.rs
@@ -3,7 +3,7 @@
 use super::Simulation;
 use super::event::Event;
 use super::instances::{InstanceHost, PendingMessage};
-use crate::clients::{ClientRequest, Shares, Weights};
+use crate::clients::{ClientRequest, DestinationShares, Weights};
 use crate::decider::Input;
 use crate::fact::{Fact, FinalOutcome};
 use quillhub::{MessageId, NewMessage};
@@ -174,7 +174,7 @@
     fn retry_rejected(&mut self, number: u64, retry_after: Option<Duration>) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         request.rejections += 1;
-        if request.rejections > self.scenario.clients.retries {
+        if request.rejections > self.scenario.clients.max_retries {
             return self.give_up(number);
         }
         let wait = self.draw_client_wait().max(retry_after.unwrap_or_default());
@@ -183,12 +183,12 @@
 
     /// Draws the time until a client submits a message again.
     pub(super) fn draw_client_wait(&mut self) -> Duration {
-        self.scenario.clients.backoff.mul_f64(self.rng.random_range(CLIENT_WAIT_SHARES))
+        self.scenario.clients.max_backoff.mul_f64(self.rng.random_range(CLIENT_WAIT_SHARES))
     }
 
     /// Recomputes the destinations' shares of the messages after a change of the hot spots.
     pub(super) fn update_shares(&mut self) {
-        self.shares = Shares::new(self.scenario, |destination| {
+        self.shares = DestinationShares::new(self.scenario, |destination| {
             let hot_spots = self.hot_spots.iter().filter(|spot| spot.destinations.contains(&destination));
             hot_spots.map(|spot| spot.factor).product()
         });
--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -5,7 +5,7 @@
 use crate::decider::Input;
 use crate::fact::Fact;
 use crate::faults::{Drain, ScheduledFault, target_rng};
-use crate::scenario::{DiscoveryForm, Rates};
+use crate::scenario::{DiscoveryForm, ListedRates};
 use quillhub::{DestinationId, EndpointState, EndpointUpdate};
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
@@ -89,9 +89,9 @@
         let server_state = &self.site.servers[server];
         let per_s = self.site.route_rate(server_state.route);
         match self.scenario.discovery.rates {
-            Rates::Absent => None,
-            Rates::Exact => Some(per_s),
-            Rates::Rough => Some(per_s * self.site.rough_rate_factors[server_state.destination]),
+            ListedRates::Absent => None,
+            ListedRates::Exact => Some(per_s),
+            ListedRates::Approximate => Some(per_s * self.site.listed_rate_factors[server_state.destination]),
         }
     }
 
--- a/crates/quillhub-simulator/src/simulation/instances.rs
+++ b/crates/quillhub-simulator/src/simulation/instances.rs
@@ -153,7 +153,7 @@
     fn broadcast_gossip(&mut self, instance: usize, bytes: &[u8]) {
         let unaffected_share: f64 = self.gossip_faults.iter().map(|fault| 1.0 - fault.lost).product();
         let extra: Duration = self.gossip_faults.iter().map(|fault| fault.delay).sum();
-        let delivery_probability = (1.0 - self.scenario.instances.gossip_loss) * unaffected_share;
+        let delivery_probability = (1.0 - self.scenario.instances.lost_gossip_share) * unaffected_share;
         for other in (0..self.instances.len()).filter(|other| *other != instance) {
             let lost = self.rng.random::<f64>() >= delivery_probability;
             let (from, to) = (self.instances[instance].zone, self.instances[other].zone);
--- a/crates/quillhub-simulator/src/simulation/mod.rs
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -16,7 +16,7 @@
 mod restarts;
 mod servers;
 
-use crate::clients::{ClientRequest, Shares, Stream, stream_rng};
+use crate::clients::{ArrivalGenerator, ClientRequest, DestinationShares, stream_rng};
 use crate::decider::{Decider, Start};
 use crate::fact::Fact;
 use crate::network::Paths;
@@ -57,8 +57,8 @@
     paths: Paths,
     site: Site<'a>,
     discovery: Discovery,
-    streams: Vec<Stream>,
-    shares: Shares,
+    streams: Vec<ArrivalGenerator>,
+    shares: DestinationShares,
     hot_spots: Vec<HotSpot>,
     /// Messages without a final outcome, from their clients' point of view.
     requests: BTreeMap<u64, ClientRequest>,
@@ -105,8 +105,10 @@
             paths: Paths::new(scenario.network.clone()),
             site: Site::new(scenario, seed),
             discovery: Discovery::default(),
-            streams: (0..scenario.arrivals.len()).map(|nth| Stream::new(stream_rng(seed, nth))).collect(),
-            shares: Shares::new(scenario, |_| 1.0),
+            streams: (0..scenario.arrivals.len())
+                .map(|nth| ArrivalGenerator::new(stream_rng(seed, nth)))
+                .collect(),
+            shares: DestinationShares::new(scenario, |_| 1.0),
             hot_spots: Vec::new(),
             requests: BTreeMap::new(),
             instances: Vec::new(),
--- a/crates/quillhub-simulator/src/site.rs
+++ b/crates/quillhub-simulator/src/site.rs
@@ -110,23 +110,23 @@
     pub(crate) routes: Vec<Route>,
     /// Servers of each destination, in order of their creation.
     pub(crate) servers_by_destination: Vec<Vec<usize>>,
-    /// For each destination, the factor by which a roughly listed rate differs from the true one.
-    pub(crate) rough_rate_factors: Vec<f64>,
+    /// For each destination, the factor by which an approximate listed rate differs from the true one.
+    pub(crate) listed_rate_factors: Vec<f64>,
 }
 
 impl<'a> Site<'a> {
     /// Creates the destinations of the scenario's kinds, in their order. Servers and destinations are numbered from 0.
     pub fn new(scenario: &'a Scenario, seed: u64) -> Self {
-        let (servers, routes, servers_by_destination, rough_rate_factors) =
+        let (servers, routes, servers_by_destination, listed_rate_factors) =
             (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        let mut site = Self { scenario, seed, servers, routes, servers_by_destination, rough_rate_factors };
+        let mut site = Self { scenario, seed, servers, routes, servers_by_destination, listed_rate_factors };
         let mut rng = seeded_rng(seed, 2);
         for (kind, spec) in scenario.destinations.iter().enumerate() {
             for _ in 0..spec.count {
                 let destination = site.servers_by_destination.len();
                 site.servers_by_destination.push(Vec::new());
                 let time_factor = spec.spread.powf(rng.random_range(-1.0..=1.0));
-                site.rough_rate_factors.push(rng.random_range(0.5..1.5));
+                site.listed_rate_factors.push(rng.random_range(0.5..1.5));
                 for nth in 0..spec.endpoints {
                     if nth == 0 || spec.separate_routes {
                         let rate_limit = spec.rate_limit.map(RateLimit::new);
@@ -219,7 +219,7 @@
         } else if server.busy < kind.workers {
             server.busy += 1;
             Admission::Started
-        } else if server.queue.len() < kind.queue {
+        } else if server.queue.len() < kind.max_queued {
             Admission::Queued
         } else {
             Admission::Rejected(None)
