--- a/crates/quillhub-fakes/src/endpoints.rs
+++ b/crates/quillhub-fakes/src/endpoints.rs
@@ -3,7 +3,7 @@
 
 use crate::accept::accept_each;
 use crate::http::{Request, ServerConnection};
-use quillhub_simulator::{Admission, ConnectionFaults, FaultHandler, Scenario, Site};
+use quillhub_simulator::{Admission, ConnectionFaults, DestinationsState, FaultHandler, Scenario};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
@@ -61,7 +61,7 @@
 }
 
 struct State<'a> {
-    site: Site<'a>,
+    destinations_state: DestinationsState<'a>,
     rng: Pcg64Mcg,
     started: Instant,
     /// Calls that wait for a worker, by call number. A call gets the worker through its sender, and its connection is
@@ -78,9 +78,9 @@
 
 /// Checks that all faults of a scenario can be reproduced with sockets; the error names the first that cannot.
 pub fn check_supported(scenario: &Scenario) -> Result<(), String> {
-    let site = Site::new(scenario, 0);
+    let destinations_state = DestinationsState::new(scenario, 0);
     for (index, scheduled) in scenario.faults.iter().enumerate() {
-        if matches!(site.fault_handler(index), FaultHandler::Unsupported) {
+        if matches!(destinations_state.fault_handler(index), FaultHandler::Unsupported) {
             let found = &scheduled.fault;
             return Err(format!(
                 "faults[{index}].what: expected a fault that sockets can reproduce, found {found:?}"
@@ -100,19 +100,27 @@
     started: Instant,
     events: UnboundedSender<EndpointEvent>,
 ) -> std::io::Result<Vec<ListedEndpoint>> {
-    let site = Site::new(scenario, seed);
+    let destinations_state = DestinationsState::new(scenario, seed);
     let rng = Pcg64Mcg::seed_from_u64(seed);
-    let open_connections = vec![0; site.server_count()];
-    let state = State { site, rng, started, queued: BTreeMap::new(), open_connections, calls: 0, events };
+    let open_connections = vec![0; destinations_state.server_count()];
+    let state = State {
+        destinations_state,
+        rng,
+        started,
+        queued: BTreeMap::new(),
+        open_connections,
+        calls: 0,
+        events,
+    };
     let state = Rc::new(RefCell::new(state));
     let mut listed = Vec::new();
-    let servers = state.borrow().site.server_count();
+    let servers = state.borrow().destinations_state.server_count();
     for server in 0..servers {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (destination, kind, zone) = {
             let state = state.borrow();
-            let placement = state.site.placement(server);
+            let placement = state.destinations_state.placement(server);
             (placement.destination as u64 + 1, placement.kind.to_owned(), placement.zone.to_owned())
         };
         listed.push(ListedEndpoint { id: format!("e{}", server + 1), address, zone, kind, destination });
@@ -130,7 +138,7 @@
             sleep_until(end).await;
             let mut state = state.borrow_mut();
             let now = state.started.elapsed();
-            state.site.end_fault(number, now);
+            state.destinations_state.end_fault(number, now);
         });
     }
     Ok(listed)
@@ -139,10 +147,10 @@
 impl State<'_> {
     fn begin_fault(&mut self, number: usize) {
         let now = self.started.elapsed();
-        self.site.begin_fault(number, now);
+        self.destinations_state.begin_fault(number, now);
         // Dropping the senders of calls that were queued at a server that now refuses calls resets their connections.
         let before: Vec<_> = self.queued.keys().copied().collect();
-        let still_queued = self.site.queued_calls();
+        let still_queued = self.destinations_state.queued_calls();
         before.iter().filter(|call| !still_queued.contains(call)).for_each(|call| {
             self.queued.remove(call);
         });
@@ -151,11 +159,14 @@
 
 /// Serves one connection until it ends.
 async fn serve_connection(state: SharedState, server: usize, connection: ServerConnection) {
-    let ConnectionFaults { refuses, silent } = state.borrow().site.connection_faults(server);
+    let ConnectionFaults { refuses, silent } = state.borrow().destinations_state.connection_faults(server);
     let is_over_limit = {
         let mut state = state.borrow_mut();
         state.open_connections[server] += 1;
-        state.site.connection_limit(server).is_some_and(|max| state.open_connections[server] > max)
+        state
+            .destinations_state
+            .connection_limit(server)
+            .is_some_and(|max| state.open_connections[server] > max)
     };
     if refuses || is_over_limit {
         connection.reset();
@@ -180,7 +191,7 @@
     server: usize,
     mut connection: ServerConnection,
 ) -> std::io::Result<()> {
-    let idle_timeout = state.borrow().site.idle_timeout();
+    let idle_timeout = state.borrow().destinations_state.idle_timeout();
     loop {
         let next = tokio::time::timeout(idle_timeout, connection.next()).await;
         let Ok(Some(request)) = next.unwrap_or(Ok(None)) else { return Ok(()) };
@@ -221,9 +232,9 @@
     fn admit(shared: &'s SharedState, server: usize, request: Request) -> Self {
         let state = &mut *shared.borrow_mut();
         let now = state.started.elapsed();
-        let admission = state.site.admit(server, now, &mut state.rng).admission;
+        let admission = state.destinations_state.admit(server, now, &mut state.rng).admission;
         state.calls += 1;
-        let load_header = state.site.load_report(server, now).map_or(String::new(), |report| {
+        let load_header = state.destinations_state.load_report(server, now).map_or(String::new(), |report| {
             format!("X-Load: x0={:.3},x1={:.3}\r\n", report.remaining_share, report.rate_limit)
         });
         Self { state: shared, server, request, number: state.calls, admission, load_header }
@@ -264,15 +275,15 @@
         let (service_time, reset_count) = {
             let state = &mut *self.state.borrow_mut();
             let now = state.started.elapsed();
-            let service_time = state.site.begin_call(self.server, now, &mut state.rng);
-            (service_time, state.site.reset_count(self.server))
+            let service_time = state.destinations_state.begin_call(self.server, now, &mut state.rng);
+            (service_time, state.destinations_state.reset_count(self.server))
         };
         sleep(service_time).await;
-        if self.state.borrow().site.reset_count(self.server) != reset_count {
+        if self.state.borrow().destinations_state.reset_count(self.server) != reset_count {
             return Ok(false);
         }
         let is_lost = self.free_worker();
-        let is_silent = self.state.borrow().site.connection_faults(self.server).silent;
+        let is_silent = self.state.borrow().destinations_state.connection_faults(self.server).silent;
         if is_lost || is_silent {
             self.report(EndpointEventKind::ExecutedResponseLost);
             std::future::pending::<()>().await;
@@ -287,7 +298,7 @@
         let (worker_sender, worker_receiver) = oneshot::channel();
         {
             let mut state = self.state.borrow_mut();
-            state.site.enqueue(self.server, self.number);
+            state.destinations_state.enqueue(self.server, self.number);
             state.queued.insert(self.number, worker_sender);
         }
         worker_receiver.await.is_ok()
@@ -296,12 +307,12 @@
     /// Passes this call's worker to the next queued call; returns `true` if this call's response is lost.
     fn free_worker(&self) -> bool {
         let state = &mut *self.state.borrow_mut();
-        if let Some(next) = state.site.end_call(self.server)
+        if let Some(next) = state.destinations_state.end_call(self.server)
             && let Some(worker_sender) = state.queued.remove(&next)
         {
             let _ = worker_sender.send(());
         }
-        let lost_share = state.site.response_faults(self.server).lost_response_share;
+        let lost_share = state.destinations_state.response_faults(self.server).lost_response_share;
         state.rng.random::<f64>() < lost_share
     }
 }
--- a/crates/quillhub-fakes/src/platform.rs
+++ b/crates/quillhub-fakes/src/platform.rs
@@ -5,7 +5,7 @@
 use crate::endpoints::ListedEndpoint;
 use crate::http::ServerConnection;
 use crate::traffic::Traffic;
-use quillhub_simulator::{FaultHandler, Scenario, Site};
+use quillhub_simulator::{DestinationsState, FaultHandler, Scenario};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -137,11 +137,11 @@
     started: Instant,
     discovery: &Rc<RefCell<Discovery>>,
 ) {
-    let site = Site::new(scenario, seed);
+    let destinations_state = DestinationsState::new(scenario, seed);
     for (number, scheduled) in scenario.faults.iter().enumerate() {
         let discovery = discovery.clone();
         let (begin, end) = (started + scheduled.start, started + scheduled.start + scheduled.duration);
-        match site.fault_handler(number) {
+        match destinations_state.fault_handler(number) {
             FaultHandler::Discovery => {
                 spawn_local(async move {
                     sleep_until(begin).await;
@@ -151,7 +151,7 @@
                 });
             }
             FaultHandler::Drain(drain) => {
-                let targets = site.affected_servers(number, &scheduled.target, |_| true);
+                let targets = destinations_state.affected_servers(number, &scheduled.target, |_| true);
                 let interval = scheduled.duration / targets.len().max(1) as u32;
                 for (index, server) in targets.into_iter().enumerate() {
                     let (discovery, id) = (discovery.clone(), format!("e{}", server + 1));
--- a/crates/quillhub-simulator/src/clients.rs
+++ b/crates/quillhub-simulator/src/clients.rs
@@ -2,8 +2,8 @@
 //!
 //! The load is open loop: a message arrives at its scheduled time whether or not earlier ones are finished.
 
+use crate::destinations_state::seeded_rng;
 use crate::scenario::{Pattern, Scenario, StreamSpec};
-use crate::site::seeded_rng;
 use quillhub::DestinationId;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, Poisson};
--- a/crates/quillhub-simulator/src/site.rs
+++ b/crates/quillhub-simulator/src/destinations_state.rs
@@ -29,7 +29,7 @@
     Pcg64Mcg::seed_from_u64(seed ^ purpose.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// Result of [`Site::admit`]: the treatment of a call, and its effect on the route.
+/// Result of [`DestinationsState::admit`]: the treatment of a call, and its effect on the route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionResult {
     /// Treatment of the call by the server.
@@ -78,16 +78,16 @@
     Rejected(Option<Duration>),
     /// The call returns an error after this time.
     Failed(Duration),
-    /// A worker starts the call at once; [`Site::begin_call`] returns its service time.
+    /// A worker starts the call at once; [`DestinationsState::begin_call`] returns its service time.
     Started,
-    /// All workers are busy; the host is to add the call to the queue with [`Site::enqueue`].
+    /// All workers are busy; the caller must add the call to the queue with [`DestinationsState::enqueue`].
     Queued,
 }
 
 /// Component of the fakes on sockets that applies a fault of the scenario.
 #[derive(Clone, Copy, Debug)]
 pub enum FaultHandler<'a> {
-    /// The fake endpoints, by calling [`Site::begin_fault`].
+    /// The fake endpoints, by calling [`DestinationsState::begin_fault`].
     Endpoints,
     /// The fake discovery, which becomes unreachable.
     Discovery,
@@ -107,7 +107,7 @@
 }
 
 /// Destinations of a scenario with their servers, routes and active faults.
-pub struct Site<'a> {
+pub struct DestinationsState<'a> {
     pub(crate) scenario: &'a Scenario,
     seed: u64,
     pub(crate) servers: Vec<Server>,
@@ -118,36 +118,37 @@
     pub(crate) listed_rate_factors: Vec<f64>,
 }
 
-impl<'a> Site<'a> {
+impl<'a> DestinationsState<'a> {
     /// Creates the destinations of the scenario's kinds, in their order. Servers and destinations are numbered from 0.
     pub fn new(scenario: &'a Scenario, seed: u64) -> Self {
         let (servers, routes, servers_by_destination, listed_rate_factors) =
             (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        let mut site = Self { scenario, seed, servers, routes, servers_by_destination, listed_rate_factors };
+        let mut destinations_state =
+            Self { scenario, seed, servers, routes, servers_by_destination, listed_rate_factors };
         let mut rng = seeded_rng(seed, 2);
         for (kind, spec) in scenario.destinations.iter().enumerate() {
             for _ in 0..spec.count {
-                let destination = site.servers_by_destination.len();
-                site.servers_by_destination.push(Vec::new());
+                let destination = destinations_state.servers_by_destination.len();
+                destinations_state.servers_by_destination.push(Vec::new());
                 let time_factor = spec.spread.powf(rng.random_range(-1.0..=1.0));
-                site.listed_rate_factors.push(rng.random_range(0.5..1.5));
+                destinations_state.listed_rate_factors.push(rng.random_range(0.5..1.5));
                 for nth in 0..spec.endpoints {
                     if nth == 0 || spec.separate_routes {
                         let rate_limit = spec.rate_limit.map(RateLimit::new);
-                        site.routes.push(Route::new(rate_limit));
+                        destinations_state.routes.push(Route::new(rate_limit));
                     }
-                    let route = site.routes.len() - 1;
-                    let server = site.servers.len();
+                    let route = destinations_state.routes.len() - 1;
+                    let server = destinations_state.servers.len();
                     let zone = server % scenario.instances.zones.len();
-                    site.servers.push(Server::new(destination, kind, zone, route, time_factor));
-                    site.servers_by_destination[destination].push(server);
-                    site.routes[route].servers.push(server);
-                    site.routes[route].full_capacity_per_s +=
+                    destinations_state.servers.push(Server::new(destination, kind, zone, route, time_factor));
+                    destinations_state.servers_by_destination[destination].push(server);
+                    destinations_state.routes[route].servers.push(server);
+                    destinations_state.routes[route].full_capacity_per_s +=
                         spec.workers as f64 / (spec.service.mean.as_secs_f64() * time_factor);
                 }
             }
         }
-        site
+        destinations_state
     }
 
     /// Returns the number of servers, including those that were replaced.
--- a/crates/quillhub-simulator/src/faults/target.rs
+++ b/crates/quillhub-simulator/src/faults/target.rs
@@ -1,6 +1,6 @@
 //! Targets of faults: destinations, endpoints or instances, selected by the same criteria.
 
-use crate::site::seeded_rng;
+use crate::destinations_state::seeded_rng;
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
--- a/crates/quillhub-simulator/src/lib.rs
+++ b/crates/quillhub-simulator/src/lib.rs
@@ -47,6 +47,7 @@
 mod audit;
 mod clients;
 mod decider;
+mod destinations_state;
 mod fact;
 pub mod faults;
 mod network;
@@ -54,12 +55,15 @@
 mod scenario;
 mod server;
 mod simulation;
-mod site;
 mod tally;
 
 pub use audit::{Auditor, Breach, Rule};
 pub use clients::{Arrival, arrivals};
 pub use decider::{Decider, DeciderParameters, Input, dispatcher};
+pub use destinations_state::{
+    Admission, AdmissionResult, ConnectionFaults, DestinationsState, FaultHandler, ResponseFaults,
+    ServerPlacement,
+};
 pub use fact::{Fact, FinalOutcome, line};
 pub use faults::Target;
 pub use scenario::{
@@ -68,7 +72,4 @@
     ServiceTimeDistribution, StreamSpec, Tenant,
 };
 pub use simulation::{Report, Simulation};
-pub use site::{
-    Admission, AdmissionResult, ConnectionFaults, FaultHandler, ResponseFaults, ServerPlacement, Site,
-};
 pub use tally::{CourseRow, Tally};
--- a/crates/quillhub-simulator/src/simulation/calls.rs
+++ b/crates/quillhub-simulator/src/simulation/calls.rs
@@ -44,12 +44,12 @@
         let Some(entry) = self.discovery.find(endpoint) else { return };
         let Some(number) = self.new_call(instance, message_id, attempt, entry) else { return };
         let server = self.calls[&number].server;
-        let destination = self.site.servers[server].destination;
+        let destination = self.destinations_state.servers[server].destination;
         self.recorder.tally.attempt_started(self.clock.now(), destination, attempt > 0);
-        self.site.servers[server]
+        self.destinations_state.servers[server]
             .close_expired_connections(self.clock.now(), self.scenario.network.idle_timeout);
         let is_gone = self.discovery.entries[entry].address_closed;
-        if !is_gone && self.site.servers[server].take_idle_connection(instance) {
+        if !is_gone && self.destinations_state.servers[server].take_idle_connection(instance) {
             self.call_on_idle_connection(number, timeout);
         } else {
             self.call_on_new_connection(number, timeout, is_gone);
@@ -95,14 +95,14 @@
     /// Returns the zones of a call's instance and of its server.
     fn zones_of_call(&self, number: u64) -> (usize, usize) {
         let call = &self.calls[&number];
-        (self.instances[call.instance].zone, self.site.servers[call.server].zone)
+        (self.instances[call.instance].zone, self.destinations_state.servers[call.server].zone)
     }
 
     fn take_connection(&mut self, number: u64) {
         let call = self.call_mut(number);
         call.has_connection = true;
         let server = call.server;
-        self.site.servers[server].open_connections += 1;
+        self.destinations_state.servers[server].open_connections += 1;
     }
 
     /// Sends a call on an idle connection of its instance, which may turn out to be broken.
@@ -110,7 +110,7 @@
         self.take_connection(number);
         self.end_after(timeout, number, AttemptOutcome::TimedOut);
         let Call { instance, message_id, attempt, server, .. } = self.calls[&number];
-        if self.rng.random::<f64>() >= self.site.servers[server].stale_share() {
+        if self.rng.random::<f64>() >= self.destinations_state.servers[server].stale_share() {
             return self.send_request(number);
         }
         self.record_fact(&Fact::FirstByteSent { instance, message_id, attempt });
@@ -128,7 +128,7 @@
         let network = &self.scenario.network;
         // If the connection is not established in time, nothing is sent, so nothing is executed.
         self.end_after(timeout.min(network.connect_timeout), number, AttemptOutcome::ConnectFailed);
-        let server = &self.site.servers[self.calls[&number].server];
+        let server = &self.destinations_state.servers[self.calls[&number].server];
         let Some(round_trip) = round_trip.filter(|_| !server.is_silent()) else { return };
         let kind = &self.scenario.destinations[server.kind];
         let accepts_connection = server.accepts_connection(kind);
@@ -224,10 +224,10 @@
         if !std::mem::take(&mut call.has_connection) {
             return;
         }
-        self.site.servers[server].open_connections -= 1;
+        self.destinations_state.servers[server].open_connections -= 1;
         if reusable && self.is_current(instance, incarnation) {
             let now = self.clock.now();
-            self.site.servers[server].idle_since.entry(instance).or_default().push(now);
+            self.destinations_state.servers[server].idle_since.entry(instance).or_default().push(now);
         }
     }
 
@@ -264,7 +264,7 @@
             self.release_connection(number, false);
             self.remove_if_done(number);
         }
-        for server in &mut self.site.servers {
+        for server in &mut self.destinations_state.servers {
             server.idle_since.remove(&instance);
         }
     }
@@ -275,12 +275,12 @@
         let Some(entry) = self.discovery.find(endpoint) else { return 0 };
         let entry = &self.discovery.entries[entry];
         let (instance_zone, server_zone) =
-            (self.instances[instance].zone, self.site.servers[entry.server].zone);
+            (self.instances[instance].zone, self.destinations_state.servers[entry.server].zone);
         let is_unreachable = self.paths.is_unusable(instance_zone, server_zone)
             || self.paths.is_unusable(server_zone, instance_zone);
         if is_unreachable || entry.address_closed || entry.state != EndpointState::Available {
             return 0;
         }
-        self.site.free_capacity(entry.server, self.clock.now())
+        self.destinations_state.free_capacity(entry.server, self.clock.now())
     }
 }
--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -68,7 +68,7 @@
     /// Adds an entry for a server to the endpoint list, and returns its number.
     pub(super) fn list_server(&mut self, server: usize) -> usize {
         let name = format!("e{}", self.discovery.entries.len() + 1);
-        let server_state = &self.site.servers[server];
+        let server_state = &self.destinations_state.servers[server];
         let (route, destination) = (server_state.route, server_state.destination as u64 + 1);
         let zone = &self.scenario.instances.zones[server_state.zone];
         let rate = self.listed_rate(server);
@@ -86,12 +86,14 @@
 
     /// Returns the rate that is listed for a server, in calls per second, if the scenario lists rates.
     fn listed_rate(&self, server: usize) -> Option<f64> {
-        let server_state = &self.site.servers[server];
-        let per_s = self.site.route_rate(server_state.route);
+        let server_state = &self.destinations_state.servers[server];
+        let per_s = self.destinations_state.route_rate(server_state.route);
         match self.scenario.discovery.rates {
             ListedRates::Absent => None,
             ListedRates::Exact => Some(per_s),
-            ListedRates::Approximate => Some(per_s * self.site.listed_rate_factors[server_state.destination]),
+            ListedRates::Approximate => {
+                Some(per_s * self.destinations_state.listed_rate_factors[server_state.destination])
+            }
         }
     }
 
@@ -250,7 +252,7 @@
         'a: 's,
     {
         let entry = &self.discovery.entries[entry];
-        let server = &self.site.servers[entry.server];
+        let server = &self.destinations_state.servers[entry.server];
         Input::EndpointUpdated(EndpointUpdate {
             name: endpoint,
             zone: &self.scenario.instances.zones[server.zone],
@@ -329,7 +331,8 @@
     fn list_replacement(&mut self, entry: usize, same_address: bool) {
         let old = &self.discovery.entries[entry];
         let (old_server, rate) = (old.server, old.rate);
-        let server = if same_address { old_server } else { self.site.replace_server(old_server) };
+        let server =
+            if same_address { old_server } else { self.destinations_state.replace_server(old_server) };
         let new = self.list_server(server);
         self.discovery.entries[new].rate = rate;
         self.change_listing(new, EndpointState::Available);
--- a/crates/quillhub-simulator/src/simulation/faults.rs
+++ b/crates/quillhub-simulator/src/simulation/faults.rs
@@ -70,7 +70,7 @@
     pub(super) fn affected_servers(&self, fault: usize, target: &Target) -> Vec<usize> {
         let listening = self.discovery.available().filter(|(_, entry)| !entry.address_closed);
         let available: BTreeSet<_> = listening.map(|(_, entry)| entry.server).collect();
-        self.site.affected_servers(fault, target, |server| available.contains(&server))
+        self.destinations_state.affected_servers(fault, target, |server| available.contains(&server))
     }
 
     fn affected_instances(&self, fault: usize, target: &Target) -> Vec<usize> {
@@ -82,8 +82,8 @@
     }
 
     fn end_server_faults(&mut self, fault: usize) {
-        for server in self.site.remove_fault(fault) {
-            self.update_route(self.site.servers[server].route);
+        for server in self.destinations_state.remove_fault(fault) {
+            self.update_route(self.destinations_state.servers[server].route);
         }
     }
 
@@ -96,7 +96,8 @@
     /// Multiplies the share of messages of the destinations that a fault affects by `factor`.
     fn add_hot_spot(&mut self, fault: usize, target: &Target, factor: f64) {
         let servers = self.affected_servers(fault, target);
-        let destinations = servers.into_iter().map(|server| self.site.servers[server].destination).collect();
+        let destinations =
+            servers.into_iter().map(|server| self.destinations_state.servers[server].destination).collect();
         self.hot_destinations.push(ActiveHotDestinations { fault, destinations, factor });
         self.update_shares();
     }
--- a/crates/quillhub-simulator/src/simulation/instances.rs
+++ b/crates/quillhub-simulator/src/simulation/instances.rs
@@ -4,8 +4,8 @@
 use super::actions::{Action, Actions};
 use super::event::Event;
 use crate::decider::{Decider, DeciderParameters, Input};
+use crate::destinations_state::seeded_rng;
 use crate::fact::Fact;
-use crate::site::seeded_rng;
 use quillhub::{DestinationId, Driver, EndpointState, MessageId};
 use rand::RngExt;
 use std::collections::BTreeMap;
@@ -145,7 +145,7 @@
     fn close_idle(&mut self, instance: usize, endpoint: &str) {
         if let Some(entry) = self.discovery.find(endpoint) {
             let server = self.discovery.entries[entry].server;
-            self.site.servers[server].idle_since.remove(&instance);
+            self.destinations_state.servers[server].idle_since.remove(&instance);
         }
     }
 
--- a/crates/quillhub-simulator/src/simulation/mod.rs
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -18,10 +18,10 @@
 
 use crate::clients::{ArrivalGenerator, ClientRequest, DestinationShares, stream_rng};
 use crate::decider::{Decider, DeciderParameters};
+use crate::destinations_state::{DestinationsState, seeded_rng};
 use crate::fact::Fact;
 use crate::network::Paths;
 use crate::scenario::Scenario;
-use crate::site::{Site, seeded_rng};
 use calls::Call;
 use clients::ActiveHotDestinations;
 use clock::Clock;
@@ -55,7 +55,7 @@
     /// Random number generator for the load balancer that distributes messages over the instances.
     balancer_rng: Pcg64Mcg,
     paths: Paths,
-    site: Site<'a>,
+    destinations_state: DestinationsState<'a>,
     discovery: Discovery,
     streams: Vec<ArrivalGenerator>,
     shares: DestinationShares,
@@ -103,7 +103,7 @@
             rng: seeded_rng(seed, 1),
             balancer_rng: seeded_rng(seed, 3),
             paths: Paths::new(scenario.network.clone()),
-            site: Site::new(scenario, seed),
+            destinations_state: DestinationsState::new(scenario, seed),
             discovery: Discovery::default(),
             streams: (0..scenario.arrivals.len())
                 .map(|nth| ArrivalGenerator::new(stream_rng(seed, nth)))
@@ -121,7 +121,7 @@
 
     /// Lists the servers, starts the instances, and schedules the first arrivals and all faults.
     fn set_up(&mut self) {
-        for server in 0..self.site.server_count() {
+        for server in 0..self.destinations_state.server_count() {
             self.list_server(server);
         }
         for instance in 0..self.scenario.instances.count as usize {
--- a/crates/quillhub-simulator/src/simulation/servers.rs
+++ b/crates/quillhub-simulator/src/simulation/servers.rs
@@ -5,8 +5,8 @@
 use super::effects::IdempotencyKey;
 use super::event::{CallEnd, Event};
 use crate::active_faults::ServerFault;
+use crate::destinations_state::{Admission, DestinationsState, RouteChange};
 use crate::fact::Fact;
-use crate::site::{Admission, RouteChange, Site};
 use quillhub::AttemptOutcome;
 use rand::RngExt;
 use std::time::Duration;
@@ -20,7 +20,7 @@
         let Some(call) = self.calls.get(&number) else { return };
         let Call { instance, message_id, attempt, server, .. } = *call;
         self.record_fact(&Fact::AttemptArrived { instance, message_id, attempt });
-        let arrived = self.site.admit(server, self.clock.now(), &mut self.rng);
+        let arrived = self.destinations_state.admit(server, self.clock.now(), &mut self.rng);
         if arrived.overloads_route {
             self.fail_overloaded_route(server);
         }
@@ -33,15 +33,15 @@
             }
             Admission::Failed(time) => self.fail_call(number, time),
             Admission::Started => self.begin_call(number, server),
-            Admission::Queued => self.site.enqueue(server, number),
+            Admission::Queued => self.destinations_state.enqueue(server, number),
         }
     }
 
     /// Takes a route down that was overloaded during its recovery. It stays down for the rest of the run.
     fn fail_overloaded_route(&mut self, server: usize) {
-        self.record_fact(&Fact::RouteOverloaded { route: self.site.servers[server].route });
-        for server in self.site.route_servers(server) {
-            self.begin_server_fault(server, Site::OVERLOAD_FAULT, ServerFault::Refuses);
+        self.record_fact(&Fact::RouteOverloaded { route: self.destinations_state.servers[server].route });
+        for server in self.destinations_state.route_servers(server) {
+            self.begin_server_fault(server, DestinationsState::OVERLOAD_FAULT, ServerFault::Refuses);
         }
     }
 
@@ -65,7 +65,7 @@
 
     /// Starts a call on a worker of `server`, and schedules its execution and its completion.
     fn begin_call(&mut self, number: u64, server: usize) {
-        let service_time = self.site.begin_call(server, self.clock.now(), &mut self.rng);
+        let service_time = self.destinations_state.begin_call(server, self.clock.now(), &mut self.rng);
         if let Some(call) = self.calls.get(&number) {
             self.recorder.tally.work_started(self.clock.now() - call.started);
         }
@@ -78,7 +78,7 @@
     pub(super) fn execute(&mut self, number: u64) {
         let Some(call) = self.calls.get(&number).filter(|call| call.at_endpoint) else { return };
         let Call { message_id, request, attempt, .. } = *call;
-        let server = &self.site.servers[call.server];
+        let server = &self.destinations_state.servers[call.server];
         let service_class = &self.scenario.service_classes[call.service_class];
         let zone = service_class.per_zone.then_some(server.zone);
         let key = IdempotencyKey { destination: server.destination, zone, request };
@@ -97,10 +97,10 @@
         if !self.calls.get(&number).is_some_and(|call| call.at_endpoint) {
             return; // the connection was reset during the call, which also freed its worker
         }
-        if let Some(next) = self.site.end_call(server) {
+        if let Some(next) = self.destinations_state.end_call(server) {
             self.begin_call(next, server);
         }
-        let lost_share = self.site.response_faults(server).lost_response_share;
+        let lost_share = self.destinations_state.response_faults(server).lost_response_share;
         if self.rng.random::<f64>() < lost_share {
             return self.finish_at_endpoint(number);
         }
@@ -119,7 +119,7 @@
     fn answer_call(&mut self, number: u64, outcome: AttemptOutcome, reusable: bool) {
         let Some(call) = self.calls.get(&number) else { return };
         let awaited = call.awaited;
-        let load_report = self.site.load_report(call.server, self.clock.now());
+        let load_report = self.destinations_state.load_report(call.server, self.clock.now());
         let delay = self.response_delay(number);
         self.finish_at_endpoint(number);
         if let Some(delay) = delay.filter(|_| awaited) {
@@ -131,17 +131,17 @@
     /// Draws the time from a call's endpoint back to its instance; `None` if the response is lost.
     fn response_delay(&mut self, number: u64) -> Option<Duration> {
         let Call { instance, server, .. } = self.calls[&number];
-        let (from, to) = (self.site.servers[server].zone, self.instances[instance].zone);
+        let (from, to) = (self.destinations_state.servers[server].zone, self.instances[instance].zone);
         self.paths.transit_time(&mut self.rng, from, to)
     }
 
     /// Applies a fault to a server; one that refuses connections also resets the calls there.
     pub(super) fn begin_server_fault(&mut self, server: usize, number: usize, fault: ServerFault) {
-        self.site.apply_fault(server, number, fault);
+        self.destinations_state.apply_fault(server, number, fault);
         if fault == ServerFault::Refuses {
             self.reset_calls(server);
         }
-        self.update_route(self.site.servers[server].route);
+        self.update_route(self.destinations_state.servers[server].route);
     }
 
     /// Resets the connections of a server, and drops the calls there.
@@ -167,10 +167,11 @@
 
     /// Records that a route went down or recovered, if its availability changed.
     pub(super) fn update_route(&mut self, route: usize) {
-        match self.site.update_route(route, self.clock.now()) {
+        match self.destinations_state.update_route(route, self.clock.now()) {
             Some(RouteChange::Down) => self.record_fact(&Fact::RouteDown { route }),
             Some(RouteChange::Recovered) => {
-                let milli_per_s = (self.site.routes[route].full_capacity_per_s * 1_000.0) as u64;
+                let milli_per_s =
+                    (self.destinations_state.routes[route].full_capacity_per_s * 1_000.0) as u64;
                 self.record_fact(&Fact::RouteRecovered { route, milli_per_s });
             }
             None => {}
