--- a/crates/quillhub-fakes/src/endpoints.rs
+++ b/crates/quillhub-fakes/src/endpoints.rs
@@ -3,7 +3,7 @@
 
 use crate::accept::accept_each;
 use crate::http::{Request, ServerConnection};
-use quillhub_simulator::{Admission, ConnectionFaults, Scenario, Site, SocketFault};
+use quillhub_simulator::{Admission, ConnectionFaults, DestinationsState, FaultHandler, Scenario};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
@@ -61,11 +61,11 @@
 }
 
 struct State<'a> {
-    site: Site<'a>,
+    destinations_state: DestinationsState<'a>,
     rng: Pcg64Mcg,
     started: Instant,
-    /// Calls that wait for a worker, by call number. A call gets the worker through its sender, and is cut off if the
-    /// sender is dropped.
+    /// Calls that wait for a worker, by call number. A call gets the worker through its sender, and its connection is
+    /// reset if the sender is dropped.
     queued: BTreeMap<u64, oneshot::Sender<()>>,
     /// Number of open connections, by server.
     open_connections: Vec<usize>,
@@ -74,13 +74,13 @@
     events: UnboundedSender<EndpointEvent>,
 }
 
-type Shared = Rc<RefCell<State<'static>>>;
+type SharedState = Rc<RefCell<State<'static>>>;
 
 /// Checks that all faults of a scenario can be reproduced with sockets; the error names the first that cannot.
 pub fn check_supported(scenario: &Scenario) -> Result<(), String> {
-    let site = Site::new(scenario, 0);
+    let destinations_state = DestinationsState::new(scenario, 0);
     for (index, scheduled) in scenario.faults.iter().enumerate() {
-        if matches!(site.socket_fault(index), SocketFault::Unsupported) {
+        if matches!(destinations_state.fault_handler(index), FaultHandler::Unsupported) {
             let found = &scheduled.fault;
             return Err(format!(
                 "faults[{index}].what: expected a fault that sockets can reproduce, found {found:?}"
@@ -92,7 +92,7 @@
 
 /// Starts the endpoints of `scenario` as local tasks of the current thread and returns them as they are listed.
 ///
-/// Times of the scenario count from `started`, and `seed` determines the random draws. Each event at an endpoint is sent
+/// Times of the scenario are measured from `started`, and `seed` determines the random draws. Each event at an endpoint is sent
 /// to `events`. The endpoints run until the thread's tasks end.
 pub async fn start(
     scenario: &'static Scenario,
@@ -100,20 +100,28 @@
     started: Instant,
     events: UnboundedSender<EndpointEvent>,
 ) -> std::io::Result<Vec<ListedEndpoint>> {
-    let site = Site::new(scenario, seed);
+    let destinations_state = DestinationsState::new(scenario, seed);
     let rng = Pcg64Mcg::seed_from_u64(seed);
-    let open_connections = vec![0; site.server_count()];
-    let state = State { site, rng, started, queued: BTreeMap::new(), open_connections, calls: 0, events };
+    let open_connections = vec![0; destinations_state.server_count()];
+    let state = State {
+        destinations_state,
+        rng,
+        started,
+        queued: BTreeMap::new(),
+        open_connections,
+        calls: 0,
+        events,
+    };
     let state = Rc::new(RefCell::new(state));
     let mut listed = Vec::new();
-    let servers = state.borrow().site.server_count();
+    let servers = state.borrow().destinations_state.server_count();
     for server in 0..servers {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (destination, kind, zone) = {
             let state = state.borrow();
-            let owner = state.site.owner(server);
-            (owner.destination as u64 + 1, owner.kind.to_owned(), owner.zone.to_owned())
+            let placement = state.destinations_state.placement(server);
+            (placement.destination as u64 + 1, placement.kind.to_owned(), placement.zone.to_owned())
         };
         listed.push(ListedEndpoint { id: format!("e{}", server + 1), address, zone, kind, destination });
         let state = state.clone();
@@ -130,7 +138,7 @@
             sleep_until(end).await;
             let mut state = state.borrow_mut();
             let now = state.started.elapsed();
-            state.site.end_fault(number, now);
+            state.destinations_state.end_fault(number, now);
         });
     }
     Ok(listed)
@@ -139,10 +147,10 @@
 impl State<'_> {
     fn begin_fault(&mut self, number: usize) {
         let now = self.started.elapsed();
-        self.site.begin_fault(number, now);
-        // Calls that were queued at a server that now refuses calls are cut off by dropping their senders.
+        self.destinations_state.begin_fault(number, now);
+        // Dropping the senders of calls that were queued at a server that now refuses calls resets their connections.
         let before: Vec<_> = self.queued.keys().copied().collect();
-        let still_queued = self.site.queued_calls();
+        let still_queued = self.destinations_state.queued_calls();
         before.iter().filter(|call| !still_queued.contains(call)).for_each(|call| {
             self.queued.remove(call);
         });
@@ -150,12 +158,15 @@
 }
 
 /// Serves one connection until it ends.
-async fn serve_connection(state: Shared, server: usize, connection: ServerConnection) {
-    let ConnectionFaults { refuses, silent } = state.borrow().site.connection_faults(server);
+async fn serve_connection(state: SharedState, server: usize, connection: ServerConnection) {
+    let ConnectionFaults { refuses, silent } = state.borrow().destinations_state.connection_faults(server);
     let is_over_limit = {
         let mut state = state.borrow_mut();
         state.open_connections[server] += 1;
-        state.site.connection_limit(server).is_some_and(|max| state.open_connections[server] > max)
+        state
+            .destinations_state
+            .connection_limit(server)
+            .is_some_and(|max| state.open_connections[server] > max)
     };
     if refuses || is_over_limit {
         connection.reset();
@@ -167,7 +178,7 @@
     state.borrow_mut().open_connections[server] -= 1;
 }
 
-fn report(state: &Shared, request: &Request, kind: EndpointEventKind) {
+fn report(state: &SharedState, request: &Request, kind: EndpointEventKind) {
     let id = request.id.clone().unwrap_or_default();
     let idempotency_key = request.idempotency_key.clone();
     let event = EndpointEvent { id, idempotency_key, time: Instant::now(), kind };
@@ -175,8 +186,12 @@
 }
 
 /// Serves the calls of one connection one after the other, until it is idle for too long, breaks or is closed.
-async fn serve_calls(state: &Shared, server: usize, mut connection: ServerConnection) -> std::io::Result<()> {
-    let idle_timeout = state.borrow().site.idle_timeout();
+async fn serve_calls(
+    state: &SharedState,
+    server: usize,
+    mut connection: ServerConnection,
+) -> std::io::Result<()> {
+    let idle_timeout = state.borrow().destinations_state.idle_timeout();
     loop {
         let next = tokio::time::timeout(idle_timeout, connection.next()).await;
         let Ok(Some(request)) = next.unwrap_or(Ok(None)) else { return Ok(()) };
@@ -203,7 +218,7 @@
 
 /// Call at a server. Its methods return `true` if the connection stays open.
 struct Call<'s> {
-    state: &'s Shared,
+    state: &'s SharedState,
     server: usize,
     request: Request,
     number: u64,
@@ -214,12 +229,12 @@
 
 impl<'s> Call<'s> {
     /// Creates the call for a request that was read, and decides its outcome.
-    fn admit(shared: &'s Shared, server: usize, request: Request) -> Self {
+    fn admit(shared: &'s SharedState, server: usize, request: Request) -> Self {
         let state = &mut *shared.borrow_mut();
         let now = state.started.elapsed();
-        let admission = state.site.admit(server, now, &mut state.rng).admission;
+        let admission = state.destinations_state.admit(server, now, &mut state.rng).admission;
         state.calls += 1;
-        let load_header = state.site.load_report(server, now).map_or(String::new(), |report| {
+        let load_header = state.destinations_state.load_report(server, now).map_or(String::new(), |report| {
             format!("X-Load: x0={:.3},x1={:.3}\r\n", report.remaining_share, report.rate_limit)
         });
         Self { state: shared, server, request, number: state.calls, admission, load_header }
@@ -257,18 +272,18 @@
         if self.admission == Admission::Queued && !self.wait_for_worker().await {
             return Ok(false);
         }
-        let (time, starts) = {
+        let (service_time, reset_count) = {
             let state = &mut *self.state.borrow_mut();
             let now = state.started.elapsed();
-            let time = state.site.begin_call(self.server, now, &mut state.rng);
-            (time, state.site.reset_count(self.server))
+            let service_time = state.destinations_state.begin_call(self.server, now, &mut state.rng);
+            (service_time, state.destinations_state.reset_count(self.server))
         };
-        sleep(time).await;
-        if self.state.borrow().site.reset_count(self.server) != starts {
+        sleep(service_time).await;
+        if self.state.borrow().destinations_state.reset_count(self.server) != reset_count {
             return Ok(false);
         }
         let is_lost = self.free_worker();
-        let is_silent = self.state.borrow().site.connection_faults(self.server).silent;
+        let is_silent = self.state.borrow().destinations_state.connection_faults(self.server).silent;
         if is_lost || is_silent {
             self.report(EndpointEventKind::ExecutedResponseLost);
             std::future::pending::<()>().await;
@@ -278,12 +293,12 @@
         Ok(true)
     }
 
-    /// Waits for a worker; returns `false` if the call is cut off before.
+    /// Waits for a worker; returns `false` if the connection is to be reset instead.
     async fn wait_for_worker(&self) -> bool {
         let (worker_sender, worker_receiver) = oneshot::channel();
         {
             let mut state = self.state.borrow_mut();
-            state.site.enqueue(self.server, self.number);
+            state.destinations_state.enqueue(self.server, self.number);
             state.queued.insert(self.number, worker_sender);
         }
         worker_receiver.await.is_ok()
@@ -292,12 +307,12 @@
     /// Passes this call's worker to the next queued call; returns `true` if this call's response is lost.
     fn free_worker(&self) -> bool {
         let state = &mut *self.state.borrow_mut();
-        if let Some(next) = state.site.end_call(self.server)
+        if let Some(next) = state.destinations_state.end_call(self.server)
             && let Some(worker_sender) = state.queued.remove(&next)
         {
             let _ = worker_sender.send(());
         }
-        let lost = state.site.response_faults(self.server).lost;
-        state.rng.random::<f64>() < lost
+        let lost_share = state.destinations_state.response_faults(self.server).lost_response_share;
+        state.rng.random::<f64>() < lost_share
     }
 }
--- a/crates/quillhub-simulator/src/audit/mod.rs
+++ b/crates/quillhub-simulator/src/audit/mod.rs
@@ -39,7 +39,7 @@
     /// `true` if drains and retry-afters are checked when the first byte of a call is sent; otherwise they are checked
     /// when the attempt starts.
     checks_before_first_byte: bool,
-    /// Announced endpoints, by name.
+    /// Added endpoints, by name.
     endpoints: BTreeMap<String, Endpoint>,
     /// Zone numbers in the order of first use, by name.
     zones: BTreeMap<String, usize>,
@@ -79,7 +79,7 @@
 
     /// Checks and records the next fact; `now` must not decrease from one call to the next.
     pub fn record(&mut self, now: Duration, fact: &Fact) {
-        self.forget_finished(now);
+        self.remove_expired_messages(now);
         match *fact {
             Fact::EndpointPlaced { endpoint, zone, route } => self.endpoint_placed(endpoint, zone, route),
             Fact::EndpointLearned { instance, endpoint, state } => {
@@ -99,7 +99,7 @@
                     service_class,
                     ordering_key,
                     deadline,
-                    accepted: now,
+                    accepted_at: now,
                     attempts: BTreeMap::new(),
                     finished: None,
                     executed: None,
@@ -142,13 +142,13 @@
                 message_id: Some(id),
                 since: deadline,
                 at: now,
-                what: "no final answer",
+                description: "no final answer",
             });
         }
         self.breaches
     }
 
-    fn forget_finished(&mut self, now: Duration) {
+    fn remove_expired_messages(&mut self, now: Duration) {
         while let Some((_, id)) = self
             .finished_messages
             .front()
@@ -225,14 +225,15 @@
                 message_id: Some(id),
                 since,
                 at: now,
-                what: "took effect twice",
+                description: "took effect twice",
             });
         }
     }
 
     /// Checks and records the final outcome of a message.
     fn finished(&mut self, now: Duration, id: MessageId, outcome: FinalOutcome) {
-        let breach = |rule, since, what| Breach { rule, message_id: Some(id), since, at: now, what };
+        let breach =
+            |rule, since, description| Breach { rule, message_id: Some(id), since, at: now, description };
         let Some(message) = self.messages.get_mut(&id) else {
             return self.report(breach(Rule::OneAnswer, now, "answered, though long over or never taken"));
         };
@@ -242,7 +243,7 @@
         message.finished = Some((now, outcome));
         let deadline = message.deadline;
         let safety = self.service_classes[message.service_class].retry_safety;
-        let may_have_run = message.first_possible_execution().map(|attempt| attempt.started_at);
+        let may_have_executed = message.first_possible_execution().map(|attempt| attempt.started_at);
         let instance = self.instances.get(&message.instance);
         let excused_until =
             instance.map_or(Duration::ZERO, |instance| instance.unavailable_until + CATCH_UP_GRACE);
@@ -250,7 +251,9 @@
             self.report(breach(Rule::OneAnswer, deadline, "answered after its time"));
         }
         let is_rejected = matches!(outcome, FinalOutcome::Rejected { .. });
-        if let Some(since) = may_have_run.filter(|_| is_rejected && safety == RetrySafetyKind::AtMostOnce) {
+        if let Some(since) =
+            may_have_executed.filter(|_| is_rejected && safety == RetrySafetyKind::AtMostOnce)
+        {
             self.report(breach(Rule::OneEffect, since, "binding, denied though it may have run"));
         }
         self.finished_messages.push_back((now, id));
--- a/crates/quillhub-simulator/src/audit/records.rs
+++ b/crates/quillhub-simulator/src/audit/records.rs
@@ -5,12 +5,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Endpoint announced by [`Fact::EndpointPlaced`](crate::Fact::EndpointPlaced).
+/// Endpoint added by [`Fact::EndpointPlaced`](crate::Fact::EndpointPlaced).
 #[derive(Clone, Copy)]
 pub(super) struct Endpoint {
-    /// Position in the order of announcement, counted from 0.
+    /// Position in the order in which endpoints were added, counted from 0.
     pub(super) number: usize,
-    /// Number of the zone that the endpoint is in, in the order in which the auditor first met the zones.
+    /// Number of the zone that the endpoint is in, in the order of their first use.
     pub(super) zone: usize,
     /// Number of the route that the endpoint belongs to, as facts name it.
     pub(super) route: usize,
@@ -18,7 +18,7 @@
 
 /// Attempt at a message.
 pub(super) struct Attempt {
-    /// Endpoint that the attempt goes to; absent if no endpoint of that name was announced.
+    /// Endpoint that the attempt goes to; absent if no endpoint of that name was added.
     pub(super) endpoint: Option<Endpoint>,
     /// Time at which the instance started the attempt.
     pub(super) started_at: Duration,
@@ -35,7 +35,7 @@
     }
 
     /// Returns `true` unless the outcome proves that the message was not executed by the attempt.
-    pub(super) fn may_have_run(&self) -> bool {
+    pub(super) fn may_have_executed(&self) -> bool {
         self.outcome.is_none_or(|outcome| {
             !matches!(
                 outcome,
@@ -59,7 +59,7 @@
     /// Time by which the message must have its final outcome.
     pub(super) deadline: Duration,
     /// Time of acceptance.
-    pub(super) accepted: Duration,
+    pub(super) accepted_at: Duration,
     /// Attempts so far, by number.
     pub(super) attempts: BTreeMap<u32, Attempt>,
     /// Time and kind of the final outcome; absent while the message is pending.
@@ -76,7 +76,7 @@
 
     /// Returns the first attempt that may have been executed.
     pub(super) fn first_possible_execution(&self) -> Option<&Attempt> {
-        self.attempts.values().find(|attempt| attempt.may_have_run())
+        self.attempts.values().find(|attempt| attempt.may_have_executed())
     }
 }
 
@@ -104,7 +104,7 @@
     /// End of the outage.
     pub(super) recovered_at: Duration,
     /// Full capacity of the route, in calls per second.
-    pub(super) warm_per_s: f64,
+    pub(super) full_capacity_per_s: f64,
 }
 
 /// Outage, recovery and load of a route.
--- a/crates/quillhub-simulator/src/clients.rs
+++ b/crates/quillhub-simulator/src/clients.rs
@@ -2,8 +2,8 @@
 //!
 //! The load is open loop: a message arrives at its scheduled time whether or not earlier ones are finished.
 
-use crate::scenario::{Arrivals, Pattern, Scenario};
-use crate::site::seeded_rng;
+use crate::destinations_state::seeded_rng;
+use crate::scenario::{Pattern, Scenario, StreamSpec};
 use quillhub::DestinationId;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, Poisson};
@@ -20,9 +20,9 @@
     pub(crate) service_class: usize,
     pub(crate) destination: DestinationId,
     /// Ordering key, if the stream has keys.
-    pub(crate) key: Option<u64>,
+    pub(crate) ordering_key: Option<u64>,
     /// Time of the first submission, since the start of the run.
-    pub(crate) created_at: Duration,
+    pub(crate) submitted_at: Duration,
     /// Number of submissions that were rejected.
     pub(crate) rejections: u32,
 }
@@ -52,9 +52,9 @@
 
 /// Distribution of messages over destinations: of each kind, and of all destinations under `None`. Destinations are
 /// numbered from 0.
-pub(crate) struct Shares(BTreeMap<Option<String>, (Vec<usize>, Weights)>);
+pub(crate) struct DestinationShares(BTreeMap<Option<String>, (Vec<usize>, Weights)>);
 
-impl Shares {
+impl DestinationShares {
     /// Computes the distribution from the scenario's weights, each multiplied by the `factor` of its destination.
     pub(crate) fn new(scenario: &Scenario, factor: impl Fn(usize) -> f64) -> Self {
         let mut all = Vec::new();
@@ -89,12 +89,13 @@
 
 /// Returns all arrivals of a scenario in order, the same as in the simulation.
 ///
-/// Traffic surges among the faults are included; faults that make destinations hot are not.
+/// Traffic surges among the faults are included; [`HotDestinations`](crate::faults::HotDestinations) faults
+/// are not.
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
-    let shares = Shares::new(scenario, |_| 1.0);
+    let shares = DestinationShares::new(scenario, |_| 1.0);
     let mut all = Vec::new();
-    for (nth, arrivals) in scenario.arrivals.iter().enumerate() {
-        let mut stream = Stream::new(stream_rng(seed, nth));
+    for (stream_index, arrivals) in scenario.arrivals.iter().enumerate() {
+        let mut stream = ArrivalGenerator::new(stream_rng(seed, stream_index));
         let mut now = Duration::ZERO;
         loop {
             let active = scenario
@@ -102,12 +103,13 @@
                 .iter()
                 .enumerate()
                 .filter(|(_, f)| (f.start..f.start + f.duration).contains(&now));
-            stream.factors = active.filter_map(|(fault, f)| Some((fault, f.surge_factor(nth)?))).collect();
+            stream.factors =
+                active.filter_map(|(fault, f)| Some((fault, f.surge_factor(stream_index)?))).collect();
             let Some((at, messages)) = stream.next_arrival(arrivals, now, scenario) else { break };
             now = at;
             let destination = stream.draw_destination(arrivals, &shares);
             for _ in 0..messages {
-                let (service_class, _) = stream.draw_message(nth, arrivals, scenario);
+                let (service_class, _) = stream.draw_message(stream_index, arrivals, scenario);
                 all.push(Arrival { at, service_class, destination });
             }
         }
@@ -118,12 +120,12 @@
 
 /// Creates the random number generator of a stream. Each stream has its own, so that its arrivals do not depend on
 /// anything else in the run.
-pub(crate) fn stream_rng(seed: u64, nth: usize) -> Pcg64Mcg {
-    seeded_rng(seed, 1_000 + nth as u64)
+pub(crate) fn stream_rng(seed: u64, stream_index: usize) -> Pcg64Mcg {
+    seeded_rng(seed, 1_000 + stream_index as u64)
 }
 
 /// Generator of the arrivals of one stream.
-pub(crate) struct Stream {
+pub(crate) struct ArrivalGenerator {
     rng: Pcg64Mcg,
     /// Factors on the rate, with the faults that cause them.
     pub(crate) factors: Vec<(usize, f64)>,
@@ -131,13 +133,17 @@
     generated: u64,
 }
 
-impl Stream {
+impl ArrivalGenerator {
     pub(crate) fn new(rng: Pcg64Mcg) -> Self {
         Self { rng, factors: Vec::new(), generated: 0 }
     }
 
     /// Draws the destination that all messages of one arrival share.
-    pub(crate) fn draw_destination(&mut self, arrivals: &Arrivals, shares: &Shares) -> DestinationId {
+    pub(crate) fn draw_destination(
+        &mut self,
+        arrivals: &StreamSpec,
+        shares: &DestinationShares,
+    ) -> DestinationId {
         let (ids, weights) = &shares.0[&arrivals.destination_kind];
         ids[weights.pick(&mut self.rng)] as u64 + 1
     }
@@ -145,8 +151,8 @@
     /// Draws the service class and the ordering key of one message.
     pub(crate) fn draw_message(
         &mut self,
-        nth: usize,
-        arrivals: &Arrivals,
+        stream_index: usize,
+        arrivals: &StreamSpec,
         scenario: &Scenario,
     ) -> (usize, Option<u64>) {
         let service_class = match &arrivals.service_class {
@@ -157,15 +163,15 @@
                 .expect("the service class is validated to exist"),
             None => self.rng.random_range(0..scenario.service_classes.len()),
         };
-        let key = (arrivals.ordering_keys > 0)
-            .then(|| (nth as u64) << 32 | self.rng.random_range(0..arrivals.ordering_keys));
-        (service_class, key)
+        let ordering_key = (arrivals.ordering_keys > 0)
+            .then(|| (stream_index as u64) << 32 | self.rng.random_range(0..arrivals.ordering_keys));
+        (service_class, ordering_key)
     }
 
     /// Returns the time of the next arrival after `now` and its number of messages; `None` after the end of the stream.
     pub(crate) fn next_arrival(
         &mut self,
-        arrivals: &Arrivals,
+        arrivals: &StreamSpec,
         now: Duration,
         scenario: &Scenario,
     ) -> Option<(Duration, u64)> {
--- a/crates/quillhub-simulator/src/decider.rs
+++ b/crates/quillhub-simulator/src/decider.rs
@@ -1,5 +1,5 @@
-//! Interface between the simulation and whatever decides for a gateway instance: the dispatcher, or an implementation
-//! to compare it with.
+//! Interface between the simulation and the implementation that decides for a gateway instance: the dispatcher, or one
+//! that it is compared with.
 
 use crate::scenario::{DiscoveryForm, Scenario};
 use quillhub::{AttemptResult, Dispatcher, Driver, EndpointUpdate, MessageId, NewMessage, RecoveredAttempts};
@@ -33,7 +33,7 @@
     AttemptEnded(AttemptResult),
     /// A gossip message arrived from another instance ([`Dispatcher::gossip_received`]).
     Gossip(&'a [u8]),
-    /// The timer that was set last expired ([`Dispatcher::timer_fired`]).
+    /// A timer that the decider set expired ([`Dispatcher::timer_fired`]).
     TimerFired,
 }
 
@@ -93,7 +93,7 @@
 }
 
 /// Parameters that a decider is created with.
-pub struct Start<'a> {
+pub struct DeciderParameters<'a> {
     /// Seed of the decider's random draws.
     pub seed: u64,
     /// Zone that the instance runs in.
@@ -103,11 +103,15 @@
 }
 
 /// Creates a [`Dispatcher`] with the settings of the scenario.
-pub fn dispatcher(start: &Start) -> Box<dyn Decider> {
-    let scenario = start.scenario;
+pub fn dispatcher(parameters: &DeciderParameters) -> Box<dyn Decider> {
+    let scenario = parameters.scenario;
     let (instances, rules) = (&scenario.instances, &scenario.rules);
-    let mut dispatcher = Dispatcher::new(start.seed, instances.count, start.zone);
-    dispatcher.set_limits(Some(instances.slots), Some(instances.capacity), Some(instances.max_attempts));
+    let mut dispatcher = Dispatcher::new(parameters.seed, instances.count, parameters.zone);
+    dispatcher.set_limits(
+        Some(instances.slots),
+        Some(instances.queue_capacity),
+        Some(instances.max_attempts),
+    );
     dispatcher.set_max_retry_after(Some(instances.max_retry_after));
     dispatcher.set_slow_start(rules.overload_factor, rules.initial_share, rules.warm_up);
     dispatcher.set_overload_tolerance(rules.overload_tolerance);
--- a/crates/quillhub-simulator/src/site.rs
+++ b/crates/quillhub-simulator/src/destinations_state.rs
@@ -1,9 +1,9 @@
 //! State of all destinations of a scenario: their servers and routes, the active faults, and the treatment of calls.
 //!
-//! The module knows neither events nor gateway instances, so that it serves two hosts: the simulation drives it in
-//! virtual time, and the fakes drive it on sockets.
+//! The module does not depend on the event loop, so it has two users: the simulation in virtual time, and the fakes on
+//! sockets.
 
-use crate::conditions::ServerFault;
+use crate::active_faults::ServerFault;
 use crate::faults::{Drain, Injection, Target, target_rng};
 use crate::rate_limit::RateLimit;
 use crate::scenario::Scenario;
@@ -16,6 +16,10 @@
 
 /// Share of its service time after which a failing call returns its error.
 const FAILED_CALL_TIME_SHARE: f64 = 0.1;
+/// Minimum share of its full capacity that a route is assumed to have, which bounds the service times of calls.
+const MIN_CAPACITY_SHARE: f64 = 0.01;
+/// Share of the calls that would overload a recovering route up to which the oracle sees free capacity.
+const ORACLE_OVERLOAD_SHARE: f64 = 0.9;
 /// Fault number of the failure of an overloaded route, which is not among the faults of the scenario.
 const OVERLOAD_FAULT: usize = usize::MAX;
 
@@ -25,7 +29,7 @@
     Pcg64Mcg::seed_from_u64(seed ^ purpose.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// Result of [`Site::admit`]: the treatment of a call, and its effect on the route.
+/// Result of [`DestinationsState::admit`]: the treatment of a call, and its effect on the route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionResult {
     /// Treatment of the call by the server.
@@ -34,9 +38,9 @@
     pub overloads_route: bool,
 }
 
-/// Destination that a server belongs to, with the server's zone.
+/// Destination and zone of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Owner<'s> {
+pub struct ServerPlacement<'s> {
     /// Number of the destination, counted from 0.
     pub destination: usize,
     /// Kind of the destination, as named in the scenario.
@@ -58,9 +62,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResponseFaults {
     /// Share of the responses that are lost after their calls were executed.
-    pub lost: f64,
+    pub lost_response_share: f64,
     /// Share of the idle connections that turn out to be broken when reused.
-    pub stale: f64,
+    pub stale_connection_share: f64,
 }
 
 /// Treatment of a call by the server that it arrived at.
@@ -74,16 +78,16 @@
     Rejected(Option<Duration>),
     /// The call returns an error after this time.
     Failed(Duration),
-    /// A worker starts the call at once; [`Site::begin_call`] returns its service time.
+    /// A worker starts the call at once; [`DestinationsState::begin_call`] returns its service time.
     Started,
-    /// All workers are busy; the host is to add the call to the queue with [`Site::enqueue`].
+    /// All workers are busy; the caller must add the call to the queue with [`DestinationsState::enqueue`].
     Queued,
 }
 
 /// Component of the fakes on sockets that applies a fault of the scenario.
 #[derive(Clone, Copy, Debug)]
-pub enum SocketFault<'a> {
-    /// The fake endpoints, by calling [`Site::begin_fault`].
+pub enum FaultHandler<'a> {
+    /// The fake endpoints, by calling [`DestinationsState::begin_fault`].
     Endpoints,
     /// The fake discovery, which becomes unreachable.
     Discovery,
@@ -103,47 +107,48 @@
 }
 
 /// Destinations of a scenario with their servers, routes and active faults.
-pub struct Site<'a> {
+pub struct DestinationsState<'a> {
     pub(crate) scenario: &'a Scenario,
     seed: u64,
     pub(crate) servers: Vec<Server>,
     pub(crate) routes: Vec<Route>,
     /// Servers of each destination, in order of their creation.
     pub(crate) servers_by_destination: Vec<Vec<usize>>,
-    /// For each destination, the factor by which a roughly listed rate differs from the true one.
-    pub(crate) rough_rate_factors: Vec<f64>,
+    /// For each destination, the factor by which an approximate listed rate differs from the true one.
+    pub(crate) listed_rate_factors: Vec<f64>,
 }
 
-impl<'a> Site<'a> {
+impl<'a> DestinationsState<'a> {
     /// Creates the destinations of the scenario's kinds, in their order. Servers and destinations are numbered from 0.
     pub fn new(scenario: &'a Scenario, seed: u64) -> Self {
-        let (servers, routes, servers_by_destination, rough_rate_factors) =
+        let (servers, routes, servers_by_destination, listed_rate_factors) =
             (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        let mut site = Self { scenario, seed, servers, routes, servers_by_destination, rough_rate_factors };
+        let mut destinations_state =
+            Self { scenario, seed, servers, routes, servers_by_destination, listed_rate_factors };
         let mut rng = seeded_rng(seed, 2);
         for (kind, spec) in scenario.destinations.iter().enumerate() {
             for _ in 0..spec.count {
-                let destination = site.servers_by_destination.len();
-                site.servers_by_destination.push(Vec::new());
+                let destination = destinations_state.servers_by_destination.len();
+                destinations_state.servers_by_destination.push(Vec::new());
                 let time_factor = spec.spread.powf(rng.random_range(-1.0..=1.0));
-                site.rough_rate_factors.push(rng.random_range(0.5..1.5));
+                destinations_state.listed_rate_factors.push(rng.random_range(0.5..1.5));
                 for nth in 0..spec.endpoints {
                     if nth == 0 || spec.separate_routes {
                         let rate_limit = spec.rate_limit.map(RateLimit::new);
-                        site.routes.push(Route::new(rate_limit));
+                        destinations_state.routes.push(Route::new(rate_limit));
                     }
-                    let route = site.routes.len() - 1;
-                    let server = site.servers.len();
+                    let route = destinations_state.routes.len() - 1;
+                    let server = destinations_state.servers.len();
                     let zone = server % scenario.instances.zones.len();
-                    site.servers.push(Server::new(destination, kind, zone, route, time_factor));
-                    site.servers_by_destination[destination].push(server);
-                    site.routes[route].servers.push(server);
-                    site.routes[route].per_s +=
+                    destinations_state.servers.push(Server::new(destination, kind, zone, route, time_factor));
+                    destinations_state.servers_by_destination[destination].push(server);
+                    destinations_state.routes[route].servers.push(server);
+                    destinations_state.routes[route].full_capacity_per_s +=
                         spec.workers as f64 / (spec.service.mean.as_secs_f64() * time_factor);
                 }
             }
         }
-        site
+        destinations_state
     }
 
     /// Returns the number of servers, including those that were replaced.
@@ -151,17 +156,20 @@
         self.servers.len()
     }
 
-    /// Returns the destination that a server belongs to.
-    pub fn owner(&self, server_id: usize) -> Owner<'_> {
+    /// Returns the destination and zone of a server.
+    pub fn placement(&self, server_id: usize) -> ServerPlacement<'_> {
         let server = &self.servers[server_id];
         let kind = &self.scenario.destinations[server.kind];
         let zone = &self.scenario.instances.zones[server.zone];
-        Owner { destination: server.destination, kind: &kind.kind, zone }
+        ServerPlacement { destination: server.destination, kind: &kind.kind, zone }
     }
 
-    /// Returns the rate limit of a route in calls per second, or without one the rate that its servers serve when warm.
+    /// Returns the rate limit of a route in calls per second, or, if it has none, the full capacity of its servers.
     pub(crate) fn route_rate(&self, route: usize) -> f64 {
-        self.routes[route].rate_limit.as_ref().map_or(self.routes[route].per_s, RateLimit::per_s)
+        self.routes[route]
+            .rate_limit
+            .as_ref()
+            .map_or(self.routes[route].full_capacity_per_s, RateLimit::per_s)
     }
 
     /// Adds a server that replaces `old`, and returns its number. Calls already at the old server finish there.
@@ -216,10 +224,10 @@
             Admission::Rejected(wait)
         } else if rng.random::<f64>() < server.error_share() {
             Admission::Failed(kind.service.draw(rng).mul_f64(server.time_factor * FAILED_CALL_TIME_SHARE))
-        } else if server.busy < kind.workers {
-            server.busy += 1;
+        } else if server.busy_workers < kind.workers {
+            server.busy_workers += 1;
             Admission::Started
-        } else if server.queue.len() < kind.queue {
+        } else if server.queue.len() < kind.max_queued {
             Admission::Queued
         } else {
             Admission::Rejected(None)
@@ -230,7 +238,8 @@
     /// Draws the service time of a call that a worker starts now.
     pub fn begin_call(&mut self, server_id: usize, now: Duration, rng: &mut Pcg64Mcg) -> Duration {
         let server = &self.servers[server_id];
-        let capacity_share = self.routes[server.route].capacity_share(now, &self.scenario.rules).max(0.01);
+        let capacity_share =
+            self.routes[server.route].capacity_share(now, &self.scenario.rules).max(MIN_CAPACITY_SHARE);
         let kind = &self.scenario.destinations[server.kind];
         kind.service.draw(rng).mul_f64(server.time_factor * server.slowdown() / capacity_share)
     }
@@ -243,9 +252,9 @@
     /// Frees the worker of a completed call, and returns the queued call that the worker starts next, if any.
     pub fn end_call(&mut self, server_id: usize) -> Option<u64> {
         let server = &mut self.servers[server_id];
-        server.busy -= 1;
+        server.busy_workers -= 1;
         let next = server.queue.pop_front();
-        server.busy += usize::from(next.is_some());
+        server.busy_workers += usize::from(next.is_some());
         next
     }
 
@@ -260,8 +269,8 @@
     /// Returns the active faults that affect responses and idle connections of a server.
     pub fn response_faults(&self, server_id: usize) -> ResponseFaults {
         ResponseFaults {
-            lost: self.servers[server_id].response_loss(),
-            stale: self.servers[server_id].stale_share(),
+            lost_response_share: self.servers[server_id].lost_response_share(),
+            stale_connection_share: self.servers[server_id].stale_share(),
         }
     }
 
@@ -275,7 +284,7 @@
         self.scenario.network.idle_timeout
     }
 
-    /// Returns the number of times that a server began to refuse connections, which drops all calls that it holds.
+    /// Returns the number of times that a server began to refuse connections, which drops all its calls.
     pub fn reset_count(&self, server_id: usize) -> u32 {
         self.servers[server_id].reset_count
     }
@@ -299,14 +308,17 @@
     pub(crate) fn free_capacity(&self, server_id: usize, now: Duration) -> usize {
         let server = &self.servers[server_id];
         let route = &self.routes[server.route];
-        if server.is_out() || route.is_overloaded {
+        if server.has_outage() || route.is_overloaded {
             return 0;
         }
         let workers = self.scenario.destinations[server.kind].workers;
-        let free = workers.saturating_sub(server.busy + server.queue.len());
+        let free = workers.saturating_sub(server.busy_workers + server.queue.len());
         let slow_start = route.recovered_at.map_or(free, |recovered_at| {
             let warm = warm_share(&self.scenario.rules, now - recovered_at);
-            let allowed = (self.scenario.rules.overload_factor * route.per_s * warm * 0.9) as usize;
+            let allowed = (self.scenario.rules.overload_factor
+                * route.full_capacity_per_s
+                * warm
+                * ORACLE_OVERLOAD_SHARE) as usize;
             allowed
                 .saturating_sub(route.calls.iter().filter(|at| **at + Duration::from_secs(1) > now).count())
         });
@@ -316,8 +328,8 @@
 
     /// Chooses the servers that a fault affects, among those for which `is_eligible` returns `true`.
     ///
-    /// The random choice depends only on the seed and the fault's number, so deciders with different histories face
-    /// the same faults.
+    /// The random choice depends only on the seed and the fault's number, so runs of one seed with different
+    /// deciders have the same faults.
     pub fn affected_servers(
         &self,
         number: usize,
@@ -346,14 +358,14 @@
 
     /// Returns the component of the fakes that applies a fault of the scenario. Fakes cannot replace an endpoint by one
     /// at a new address.
-    pub fn socket_fault(&self, number: usize) -> SocketFault<'a> {
+    pub fn fault_handler(&self, number: usize) -> FaultHandler<'a> {
         let scheduled = &self.scenario.faults[number];
         match scheduled.fault.injection(scheduled) {
-            Injection::Servers(_) => SocketFault::Endpoints,
-            Injection::Discovery(None) => SocketFault::Discovery,
-            Injection::Drain(drain) if drain.same_address || !drain.replaced => SocketFault::Drain(drain),
-            Injection::TrafficSurge { .. } => SocketFault::Arrivals,
-            _ => SocketFault::Unsupported,
+            Injection::Servers(_) => FaultHandler::Endpoints,
+            Injection::Discovery(None) => FaultHandler::Discovery,
+            Injection::Drain(drain) if drain.same_address || !drain.replaced => FaultHandler::Drain(drain),
+            Injection::TrafficSurge { .. } => FaultHandler::Arrivals,
+            _ => FaultHandler::Unsupported,
         }
     }
 
@@ -382,9 +394,9 @@
             server.faults.push((number, fault));
         }
         if fault == ServerFault::Refuses {
-            server.idle.clear();
+            server.idle_since.clear();
             server.queue.clear();
-            server.busy = 0;
+            server.busy_workers = 0;
             server.reset_count += 1;
         }
     }
@@ -402,10 +414,10 @@
         affected
     }
 
-    /// Updates the availability of a route, and returns the change, if any. A route is down while all its servers are
-    /// out.
+    /// Updates the availability of a route, and returns the change, if any. A route is down while all its servers
+    /// have an outage.
     pub(crate) fn update_route(&mut self, route: usize, now: Duration) -> Option<RouteChange> {
-        let is_down = self.routes[route].servers.iter().all(|server| self.servers[*server].is_out());
+        let is_down = self.routes[route].servers.iter().all(|server| self.servers[*server].has_outage());
         let route = &mut self.routes[route];
         if is_down == route.is_down || route.is_overloaded {
             return None;
--- a/crates/quillhub-simulator/src/lib.rs
+++ b/crates/quillhub-simulator/src/lib.rs
@@ -1,7 +1,8 @@
 //! Discrete-event simulation, in virtual time, of the environment of gateway instances: destinations, the network,
 //! service discovery, clients, and faults in each of them.
 //!
-//! The simulation does no I/O and uses no threads, and the seed determines a run to the last bit.
+//! The simulation does no I/O and uses no threads, and a run is fully determined by its scenario,
+//! seed and deciders.
 //!
 //! A [`Scenario`] describes the environment and its faults. [`Simulation::run`] runs it: for each instance it creates
 //! one [`Decider`], which is the real [`dispatcher`] or an implementation to compare with it, reports events to it, and
@@ -42,10 +43,11 @@
 //! assert_eq!(first.hash, second.hash);
 //! ```
 
+mod active_faults;
 mod audit;
 mod clients;
-mod conditions;
 mod decider;
+mod destinations_state;
 mod fact;
 pub mod faults;
 mod network;
@@ -53,19 +55,21 @@
 mod scenario;
 mod server;
 mod simulation;
-mod site;
 mod tally;
 
 pub use audit::{Auditor, Breach, Rule};
 pub use clients::{Arrival, arrivals};
-pub use decider::{Decider, Input, Start, dispatcher};
+pub use decider::{Decider, DeciderParameters, Input, dispatcher};
+pub use destinations_state::{
+    Admission, AdmissionResult, ConnectionFaults, DestinationsState, FaultHandler, ResponseFaults,
+    ServerPlacement,
+};
 pub use fact::{Fact, FinalOutcome, line};
 pub use faults::Target;
 pub use scenario::{
-    Arrivals, Clients, Destinations, DiscoveryForm, DiscoverySpec, Instances, InvalidScenario, Law, Network,
-    Pattern, RateLimitSpec, Rates, RetrySafetyKind, RuleSettings, Scenario, Service, ServiceClassSpec,
-    Tenant,
+    Clients, DestinationKind, DiscoveryForm, DiscoverySpec, Instances, InvalidScenario, ListedRates, Network,
+    Pattern, RateLimitSpec, RetrySafetyKind, RuleSettings, Scenario, ServiceClassSpec, ServiceTime,
+    ServiceTimeDistribution, StreamSpec, Tenant,
 };
 pub use simulation::{Report, Simulation};
-pub use site::{Admission, AdmissionResult, ConnectionFaults, Owner, ResponseFaults, Site, SocketFault};
-pub use tally::{Second, Tally};
+pub use tally::{CourseRow, Tally};
--- a/crates/quillhub-simulator/src/simulation/discovery.rs
+++ b/crates/quillhub-simulator/src/simulation/discovery.rs
@@ -5,7 +5,7 @@
 use crate::decider::Input;
 use crate::fact::Fact;
 use crate::faults::{Drain, ScheduledFault, target_rng};
-use crate::scenario::{DiscoveryForm, Rates};
+use crate::scenario::{DiscoveryForm, ListedRates};
 use quillhub::{DestinationId, EndpointState, EndpointUpdate};
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,7 @@
     destination: DestinationId,
     pub(super) state: EndpointState,
     /// `true` once nothing listens at the endpoint's address any more.
-    pub(super) removed: bool,
+    pub(super) address_closed: bool,
     rate: Option<f64>,
 }
 
@@ -59,7 +59,7 @@
     }
 
     /// Returns `true` while a fault makes service discovery unreachable.
-    fn is_out_of_reach(&self) -> bool {
+    fn is_unreachable(&self) -> bool {
         self.faults.iter().any(|fault| fault.delay.is_none())
     }
 }
@@ -68,7 +68,7 @@
     /// Adds an entry for a server to the endpoint list, and returns its number.
     pub(super) fn list_server(&mut self, server: usize) -> usize {
         let name = format!("e{}", self.discovery.entries.len() + 1);
-        let server_state = &self.site.servers[server];
+        let server_state = &self.destinations_state.servers[server];
         let (route, destination) = (server_state.route, server_state.destination as u64 + 1);
         let zone = &self.scenario.instances.zones[server_state.zone];
         let rate = self.listed_rate(server);
@@ -79,19 +79,21 @@
             server,
             destination,
             state: EndpointState::Available,
-            removed: false,
+            address_closed: false,
             rate,
         })
     }
 
     /// Returns the rate that is listed for a server, in calls per second, if the scenario lists rates.
     fn listed_rate(&self, server: usize) -> Option<f64> {
-        let server_state = &self.site.servers[server];
-        let per_s = self.site.route_rate(server_state.route);
+        let server_state = &self.destinations_state.servers[server];
+        let per_s = self.destinations_state.route_rate(server_state.route);
         match self.scenario.discovery.rates {
-            Rates::Absent => None,
-            Rates::Exact => Some(per_s),
-            Rates::Rough => Some(per_s * self.site.rough_rate_factors[server_state.destination]),
+            ListedRates::Absent => None,
+            ListedRates::Exact => Some(per_s),
+            ListedRates::Approximate => {
+                Some(per_s * self.destinations_state.listed_rate_factors[server_state.destination])
+            }
         }
     }
 
@@ -158,7 +160,7 @@
         self.report_endpoints(instance, ListChange::Snapshot(entries), from_discovery);
         if from_discovery && !knows_no_endpoints {
             let wait = self.notification_delay();
-            if !self.discovery.is_out_of_reach() {
+            if !self.discovery.is_unreachable() {
                 let update = ListChange::Snapshot(self.discovery.snapshot());
                 self.send_update(instance, wait, update);
             }
@@ -174,7 +176,7 @@
     /// Starts an instance's watch for changes, and sends it the full list first. The request fails if service discovery
     /// is unreachable.
     pub(super) fn watch(&mut self, instance: usize) {
-        if self.discovery.is_out_of_reach() {
+        if self.discovery.is_unreachable() {
             let incarnation = self.instances[instance].incarnation;
             return self.schedule_after(UNREACHABLE_TIMEOUT, Event::DiscoveryFails { instance, incarnation });
         }
@@ -250,7 +252,7 @@
         'a: 's,
     {
         let entry = &self.discovery.entries[entry];
-        let server = &self.site.servers[entry.server];
+        let server = &self.destinations_state.servers[entry.server];
         Input::EndpointUpdated(EndpointUpdate {
             name: endpoint,
             zone: &self.scenario.instances.zones[server.zone],
@@ -264,7 +266,7 @@
     /// Changes the state of an entry, and sends the change to the instances.
     fn change_listing(&mut self, entry: usize, state: EndpointState) {
         self.discovery.entries[entry].state = state;
-        if !self.discovery.is_out_of_reach() {
+        if !self.discovery.is_unreachable() {
             self.send_to_all(|| ListChange::Changes(vec![(entry, state)]));
         }
     }
@@ -322,14 +324,15 @@
     pub(super) fn end_drain(&mut self, entry: usize, drain: &Drain) {
         self.change_listing(entry, EndpointState::Removed);
         // If the new endpoint uses the same address, calls to the old endpoint's name still arrive.
-        self.discovery.entries[entry].removed = !(drain.replaced && drain.same_address);
+        self.discovery.entries[entry].address_closed = !(drain.replaced && drain.same_address);
     }
 
     /// Lists a new endpoint that replaces a draining one.
     fn list_replacement(&mut self, entry: usize, same_address: bool) {
         let old = &self.discovery.entries[entry];
         let (old_server, rate) = (old.server, old.rate);
-        let server = if same_address { old_server } else { self.site.replace_server(old_server) };
+        let server =
+            if same_address { old_server } else { self.destinations_state.replace_server(old_server) };
         let new = self.list_server(server);
         self.discovery.entries[new].rate = rate;
         self.change_listing(new, EndpointState::Available);
--- a/crates/quillhub-simulator/src/simulation/mod.rs
+++ b/crates/quillhub-simulator/src/simulation/mod.rs
@@ -1,6 +1,6 @@
 //! Event loop of the simulation in virtual time, and the state that its parts share.
 //!
-//! Each submodule implements one part of [`Simulation`]: the hosts of the gateway instances, the clients, the two ends
+//! Each submodule implements one part of [`Simulation`]: the hosts of the gateway instances, the clients, the two sides
 //! of a call, service discovery, or faults. This module dispatches each event to the part that handles it.
 
 mod actions;
@@ -16,14 +16,14 @@
 mod restarts;
 mod servers;
 
-use crate::clients::{ClientRequest, Shares, Stream, stream_rng};
-use crate::decider::{Decider, Start};
+use crate::clients::{ArrivalGenerator, ClientRequest, DestinationShares, stream_rng};
+use crate::decider::{Decider, DeciderParameters};
+use crate::destinations_state::{DestinationsState, seeded_rng};
 use crate::fact::Fact;
 use crate::network::Paths;
 use crate::scenario::Scenario;
-use crate::site::{Site, seeded_rng};
 use calls::Call;
-use clients::HotSpot;
+use clients::ActiveHotDestinations;
 use clock::Clock;
 use discovery::Discovery;
 use effects::Effects;
@@ -36,12 +36,12 @@
 
 pub use recorder::Report;
 
-/// Time that a run may continue after the end of the scenario and the longest deadline, until the calls that nobody
-/// waits for any more are done.
+/// Time that a run may continue after the end of the scenario and the longest deadline, so that calls whose
+/// instance no longer waits for them can finish.
 const MAX_OVERRUN: Duration = Duration::from_secs(30);
 
 /// Function that creates the decider of a starting instance.
-type MakeDecider<'a> = &'a dyn Fn(&Start) -> Box<dyn Decider>;
+type MakeDecider<'a> = &'a dyn Fn(&DeciderParameters) -> Box<dyn Decider>;
 
 /// State of a run: the environment of the gateway instances, and the hosts that run them.
 pub struct Simulation<'a> {
@@ -55,11 +55,11 @@
     /// Random number generator for the load balancer that distributes messages over the instances.
     balancer_rng: Pcg64Mcg,
     paths: Paths,
-    site: Site<'a>,
+    destinations_state: DestinationsState<'a>,
     discovery: Discovery,
-    streams: Vec<Stream>,
-    shares: Shares,
-    hot_spots: Vec<HotSpot>,
+    streams: Vec<ArrivalGenerator>,
+    shares: DestinationShares,
+    hot_destinations: Vec<ActiveHotDestinations>,
     /// Messages without a final outcome, from their clients' point of view.
     requests: BTreeMap<u64, ClientRequest>,
     instances: Vec<InstanceHost>,
@@ -75,7 +75,7 @@
     pub fn run(
         scenario: &Scenario,
         seed: u64,
-        make_decider: &dyn Fn(&Start) -> Box<dyn Decider>,
+        make_decider: &dyn Fn(&DeciderParameters) -> Box<dyn Decider>,
         mut observer: impl FnMut(Duration, &Fact),
     ) -> Report {
         let mut simulation = Simulation::new(scenario, seed, make_decider, &mut observer);
@@ -103,11 +103,13 @@
             rng: seeded_rng(seed, 1),
             balancer_rng: seeded_rng(seed, 3),
             paths: Paths::new(scenario.network.clone()),
-            site: Site::new(scenario, seed),
+            destinations_state: DestinationsState::new(scenario, seed),
             discovery: Discovery::default(),
-            streams: (0..scenario.arrivals.len()).map(|nth| Stream::new(stream_rng(seed, nth))).collect(),
-            shares: Shares::new(scenario, |_| 1.0),
-            hot_spots: Vec::new(),
+            streams: (0..scenario.arrivals.len())
+                .map(|nth| ArrivalGenerator::new(stream_rng(seed, nth)))
+                .collect(),
+            shares: DestinationShares::new(scenario, |_| 1.0),
+            hot_destinations: Vec::new(),
             requests: BTreeMap::new(),
             instances: Vec::new(),
             gossip_faults: Vec::new(),
@@ -119,7 +121,7 @@
 
     /// Lists the servers, starts the instances, and schedules the first arrivals and all faults.
     fn set_up(&mut self) {
-        for server in 0..self.site.server_count() {
+        for server in 0..self.destinations_state.server_count() {
             self.list_server(server);
         }
         for instance in 0..self.scenario.instances.count as usize {
