--- a/crates/quillhub-scale/src/clients.rs
+++ b/crates/quillhub-scale/src/clients.rs
@@ -19,11 +19,11 @@
 /// Deadline of the load's messages, in milliseconds.
 const LOAD_DEADLINE_MS: u64 = 8_000;
 /// Maximum number of accepted messages of the load that are not delivered yet. No more are submitted until some are
-/// delivered, so that an instance that is too slow is measured at its adaptive rate and not under overload.
+/// delivered, so that an instance that is too slow is measured at the rate that it sustains and not under overload.
 const MAX_OUTSTANDING: u64 = 64;
 /// Time after which a client stops waiting for a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two checks if the next message is due.
+/// Time between two checks whether the next message is due.
 const DUE_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 /// Maximum number of messages that open connections before the measurement: as many as an instance keeps idle.
 const MAX_WARM_UP_MESSAGES: u64 = 1_000;
@@ -86,7 +86,7 @@
     let mut total = Submissions::default();
     while let Some(ended) = clients.join_next().await {
         let ended = ended.map_err(|e| format!("a client ended early: {e}"))?;
-        let submissions = ended.map_err(|e| format!("a client lost its connection to the instance: {e}"))?;
+        let submissions = ended.map_err(|e| format!("a submission failed: {e}"))?;
         total.accepted += submissions.accepted;
         total.not_accepted += submissions.not_accepted;
     }
@@ -112,14 +112,14 @@
 
 /// Submits `load` for its duration to the destinations 1 to `destinations`, at least 1, in turn.
 ///
-/// `delivered` is the number of deliveries so far, which the destinations increment. `first` is the number of the first
+/// `delivered` is the number of deliveries so far, which the destinations increment. `first_number` is the number of the first
 /// message, so that each id is used once.
 pub async fn submit_load(
     address: SocketAddr,
     load: &Load,
     destinations: u64,
     delivered: &Arc<AtomicU64>,
-    first: u64,
+    first_number: u64,
 ) -> Result<Submissions, String> {
     let (started, delivered_before) = (Instant::now(), delivered.load(Ordering::Relaxed));
     let (next, accepted) = (Rc::new(Cell::new(0u64)), Rc::new(Cell::new(0u64)));
@@ -138,7 +138,7 @@
                     sleep(DUE_CHECK_INTERVAL).await;
                     continue;
                 }
-                let number = first + next.replace(next.get() + 1);
+                let number = first_number + next.replace(next.get() + 1);
                 let command = submit_command("a", number, LOAD_DEADLINE_MS, 1 + number % destinations, &body);
                 if submit(&mut stream, &command).await? {
                     accepted.set(accepted.get() + 1);
