--- a/crates/quillhub-scale/src/control.rs
+++ b/crates/quillhub-scale/src/control.rs
@@ -1,7 +1,7 @@
 //! Discovery and platform on a separate thread. They have one address for real and one for lightweight instances, so
 //! that the traffic of each is counted separately; both addresses serve the same endpoint list.
 
-use crate::thread::Worker;
+use crate::thread::MeasuredThread;
 use quillhub_fakes::endpoints::ListedEndpoint;
 use quillhub_fakes::platform::{self, ControlTraffic, Discovery};
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
     pub lightweight_traffic: ControlTraffic,
     final_outcomes: Arc<AtomicU64>,
     commands: UnboundedSender<Command>,
-    worker: Worker,
+    worker: MeasuredThread,
 }
 
 /// Changes the phase of an endpoint from `up` to `draining` or back.
@@ -52,7 +52,7 @@
         let (commands, mut command_receiver) = unbounded_channel::<Command>();
         let final_outcomes = Arc::new(AtomicU64::new(0));
         let received = final_outcomes.clone();
-        let (worker, (real_address, lightweight_address)) = Worker::start(move || async move {
+        let (worker, (real_address, lightweight_address)) = MeasuredThread::start(move || async move {
             let discovery = Discovery::new(&endpoints);
             drop(endpoints);
             let (outcome_sender, mut outcomes) = unbounded_channel();
--- a/crates/quillhub-scale/src/destinations.rs
+++ b/crates/quillhub-scale/src/destinations.rs
@@ -2,7 +2,7 @@
 //! that never responds.
 
 use crate::settings;
-use crate::thread::Worker;
+use crate::thread::MeasuredThread;
 use quillhub_fakes::accept::accept_each;
 use quillhub_fakes::endpoints::ListedEndpoint;
 use quillhub_fakes::http::ServerConnection;
@@ -20,7 +20,7 @@
     responding: SocketAddr,
     unresponsive: SocketAddr,
     delivered: Arc<AtomicU64>,
-    _worker: Worker,
+    _worker: MeasuredThread,
 }
 
 async fn respond(stream: TcpStream, delivered: Arc<AtomicU64>) {
@@ -43,7 +43,7 @@
     pub fn start() -> Result<Self, String> {
         let delivered = Arc::new(AtomicU64::new(0));
         let counter = delivered.clone();
-        let (worker, (responding, unresponsive)) = Worker::start(move || async move {
+        let (worker, (responding, unresponsive)) = MeasuredThread::start(move || async move {
             let (responding, unresponsive) =
                 (TcpListener::bind("127.0.0.1:0").await?, TcpListener::bind("127.0.0.1:0").await?);
             let addresses = (responding.local_addr()?, unresponsive.local_addr()?);
--- a/crates/quillhub-scale/src/gossip.rs
+++ b/crates/quillhub-scale/src/gossip.rs
@@ -1,6 +1,6 @@
 //! Relay of gossip: passes each datagram on to all instances but its sender.
 
-use crate::thread::Worker;
+use crate::thread::MeasuredThread;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -38,7 +38,7 @@
     /// Address that instances send gossip to.
     pub address: SocketAddr,
     shared: Arc<Shared>,
-    _worker: Worker,
+    _worker: MeasuredThread,
 }
 
 fn add(counter: &AtomicU64, increment: u64) {
@@ -73,7 +73,7 @@
     pub fn start() -> Result<Self, String> {
         let shared = Arc::new(Shared::default());
         let relayed = shared.clone();
-        let (worker, address) = Worker::start(move || async move {
+        let (worker, address) = MeasuredThread::start(move || async move {
             let socket = UdpSocket::bind("127.0.0.1:0").await?;
             let address = socket.local_addr()?;
             spawn_local(pass_on(socket, relayed));
--- a/crates/quillhub-scale/src/lightweight.rs
+++ b/crates/quillhub-scale/src/lightweight.rs
@@ -2,7 +2,7 @@
 //! have no clients and no state directory and make no calls to endpoints. Many share one thread.
 
 use crate::settings;
-use crate::thread::Worker;
+use crate::thread::MeasuredThread;
 use quillhub::{
     AttemptOutcome, AttemptResult, Dispatcher, Driver, EndpointState, EndpointUpdate, LogEvent, MessageId,
     NewMessage,
@@ -437,7 +437,7 @@
     /// Address at which each instance receives gossip.
     pub addresses: Vec<SocketAddr>,
     restart: UnboundedSender<usize>,
-    _worker: Worker,
+    _worker: MeasuredThread,
 }
 
 impl Group {
@@ -446,7 +446,7 @@
         let statuses: Vec<Arc<Status>> = (0..count).map(|_| Arc::default()).collect();
         let (restart, mut restarts) = unbounded_channel::<usize>();
         let thread_statuses = statuses.clone();
-        let (worker, addresses) = Worker::start(move || async move {
+        let (worker, addresses) = MeasuredThread::start(move || async move {
             let mut sockets = Vec::new();
             for _ in &thread_statuses {
                 sockets.push(Rc::new(UdpSocket::bind("127.0.0.1:0").await?));
--- a/crates/quillhub-scale/src/thread.rs
+++ b/crates/quillhub-scale/src/thread.rs
@@ -8,14 +8,14 @@
 use tokio::sync::oneshot;
 
 /// Running thread, stopped with all its tasks when this is dropped.
-pub struct Worker {
+pub struct MeasuredThread {
     /// Directory of the thread in /proc.
     proc_directory: PathBuf,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Worker {
+impl MeasuredThread {
     /// Runs `make` on a new thread and returns its result; the local tasks that it spawned keep running there.
     pub fn start<T, F>(make: impl FnOnce() -> F + Send + 'static) -> Result<(Self, T), String>
     where
@@ -34,7 +34,8 @@
         });
         let made =
             result_receiver.recv().map_err(|_| "a thread of the test environment ended early".to_owned())?;
-        let (proc_directory, made) = made.map_err(|e| format!("a fake server cannot start: {e}"))?;
+        let (proc_directory, made) =
+            made.map_err(|e| format!("a thread of the test environment cannot start: {e}"))?;
         Ok((Self { proc_directory, stop: Some(stop), thread: Some(thread) }, made))
     }
 
@@ -44,7 +45,7 @@
     }
 }
 
-impl Drop for Worker {
+impl Drop for MeasuredThread {
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
