--- a/crates/quillhub-experiments/src/capacity/evidence.rs
+++ b/crates/quillhub-experiments/src/capacity/evidence.rs
@@ -15,7 +15,8 @@
     pub value: f64,
     /// Derivation of the value, as text for the page.
     pub steps: String,
-    /// `true` if the value was measured, interpolated, or extrapolated by a fit that predicts the held-out size.
+    /// `true` if the value was measured, interpolated, or extrapolated by a fit that predicts the held-out size, or is that
+    /// of the smallest measured size, for a smaller size.
     pub is_conclusive: bool,
     /// Name of the experiment that measured it; empty for arithmetic on the target alone.
     pub experiment: String,
@@ -78,7 +79,7 @@
             .map(|(rate, _)| *rate);
         let value = sustained
             .reduce(f64::max)
-            .ok_or(format!("{LOAD_TEST}: expected steps with messages on time, found none"))?;
+            .ok_or(format!("{LOAD_TEST}: expected a step with at least {}% of the messages delivered by their soft deadline, found none", MIN_ON_TIME_SHARE * 100.0))?;
         let steps = format!("{} sustained, {}% of it on time", short(value), MIN_ON_TIME_SHARE * 100.0);
         Ok(Figure { value, steps, is_conclusive: true, experiment: LOAD_TEST.into() })
     }
@@ -149,7 +150,7 @@
             .ok_or_else(|| format!("{experiment}: expected runs with '{name}', found none"))?;
         if fit.shape != fit::Shape::Linear {
             return Err(format!(
-                "{experiment}: expected '{name}' to be linear, found it {}",
+                "{experiment}: expected a linear fit of '{name}', found one of the shape {}",
                 fit.shape.name()
             ));
         }
