--- a/crates/quillhub-experiments/src/command.rs
+++ b/crates/quillhub-experiments/src/command.rs
@@ -36,7 +36,7 @@
     /// experiment file
     #[argh(positional)]
     experiment: PathBuf,
-    /// folder for results (default: found/NAME for experiment NAME)
+    /// directory for results (default: found/NAME for experiment NAME)
     #[argh(option)]
     out: Option<PathBuf>,
     /// number of parallel runs (default: one per core)
@@ -53,44 +53,44 @@
     experiments: Vec<PathBuf>,
 }
 
-/// Compare two folders of results, or two deciders in one, paired by variant and seed.
+/// Compare two directories of results, or two deciders in one, paired by variant and seed.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "compare")]
 struct Compare {
-    /// folder of results
+    /// directory of results
     #[argh(positional)]
     first: PathBuf,
-    /// folder of results
+    /// directory of results
     #[argh(positional)]
     second: PathBuf,
-    /// decider of the first folder (default: module)
+    /// decider of the first directory (default: module)
     #[argh(option, default = "String::from(\"module\")")]
     first_decider: String,
-    /// decider of the second folder (default: module)
+    /// decider of the second directory (default: module)
     #[argh(option, default = "String::from(\"module\")")]
     second_decider: String,
 }
 
-/// Write an HTML page with the tables and charts of a folder of results.
+/// Write an HTML page with the tables and charts of a directory of results.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "report")]
 struct Report {
-    /// folder of results
+    /// directory of results
     #[argh(positional)]
     results: PathBuf,
-    /// HTML file to write (default: report.html in that folder)
+    /// HTML file to write (default: report.html in that directory)
     #[argh(option)]
     out: Option<PathBuf>,
 }
 
-/// Print the events of one message in a kept run, which is repeated for this.
+/// Print the events of one message in a kept run, which is simulated again.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 struct Explain {
-    /// folder of results, optionally followed by a colon and a line number of its runs.jsonl (default: 1)
+    /// directory of results, optionally followed by a colon and a line number of its runs.jsonl (default: 1)
     #[argh(positional)]
     run: String,
-    /// id of the message, or number of the client's order
+    /// id of the message, or number of the client's request
     #[argh(positional)]
     message: u64,
 }
@@ -102,10 +102,10 @@
     /// experiment file; its first variant is used, which must have one instance
     #[argh(positional)]
     experiment: PathBuf,
-    /// folder for results (default: found/NAME for experiment NAME)
+    /// directory for results (default: found/NAME for experiment NAME)
     #[argh(option)]
     out: Option<PathBuf>,
-    /// comma-separated rates in messages per second (default: search for the knee by doubling)
+    /// comma-separated rates in messages per second (default: search for the highest sustained rate by doubling and bisection)
     #[argh(option)]
     rates: Option<String>,
     /// maximum number of client connections (default: 64)
@@ -132,15 +132,15 @@
 }
 
 /// Measure how the cost of a real instance grows with one size, among lightweight instances on loopback; not simulated.
-/// Limits (half of the memory, 300 processes, 20,000 descriptors, loopback, the time of a point) are checked before
-/// anything starts.
+/// Memory (at most half), processes (at most 300), file descriptors (at most 20,000) and the times of the file are
+/// checked before anything starts.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "scale")]
 struct Scale {
     /// experiment file (experiments/scale-*.toml)
     #[argh(positional)]
     experiment: PathBuf,
-    /// folder for results (default: found/NAME for experiment NAME)
+    /// directory for results (default: found/NAME for experiment NAME)
     #[argh(option)]
     out: Option<PathBuf>,
     /// program of the instance (default: quillhub in the directory of this program)
@@ -155,7 +155,7 @@
     /// capacity page (default: docs/CAPACITY.md)
     #[argh(option, default = "PathBuf::from(\"docs/CAPACITY.md\")")]
     page: PathBuf,
-    /// folder with the results of the scale tests (default: experiments/results)
+    /// directory with the results of the scale tests (default: experiments/results)
     #[argh(option, default = "PathBuf::from(\"experiments/results\")")]
     results: PathBuf,
     /// do not write; fail if the page differs from the kept results
@@ -172,13 +172,13 @@
     text.split(',').map(parse_rate).collect()
 }
 
-/// Reads the experiment and its runs from a folder of results; returns an error if there are no runs.
-fn read_results(folder: &Path) -> Result<(ExperimentPlan, Vec<RunRecord>), String> {
-    let runs = results::read(folder)?;
+/// Reads the experiment and its runs from a directory of results; returns an error if there are no runs.
+fn read_results(directory: &Path) -> Result<(ExperimentPlan, Vec<RunRecord>), String> {
+    let runs = results::read(directory)?;
     if runs.is_empty() {
-        return Err(format!("{}: expected runs in runs.jsonl, found none", folder.display()));
+        return Err(format!("{}: expected runs in runs.jsonl, found none", directory.display()));
     }
-    let mut plan = ExperimentPlan::read(&folder.join("experiment.toml"))?;
+    let mut plan = ExperimentPlan::read(&directory.join("experiment.toml"))?;
     plan.name = runs[0].experiment.clone();
     Ok((plan, runs))
 }
@@ -193,8 +193,8 @@
     Err(format!("--courier: expected a program, found none at {}", program.display()))
 }
 
-/// Returns the output folder; without `path`, the default folder for the experiment file `experiment`.
-fn output_folder(path: Option<PathBuf>, experiment: &Path) -> PathBuf {
+/// Returns the output directory; without `path`, the default directory for the experiment file `experiment`.
+fn output_directory(path: Option<PathBuf>, experiment: &Path) -> PathBuf {
     path.unwrap_or_else(|| Path::new("found").join(experiment.file_stem().unwrap_or_default()))
 }
 
@@ -293,7 +293,11 @@
         Command::Cost(arguments) => measure_cost(&arguments),
         Command::Scale(arguments) => {
             let program = instance_program(arguments.courier)?;
-            scale::run(&arguments.experiment, &program, &output_folder(arguments.out, &arguments.experiment))
+            scale::run(
+                &arguments.experiment,
+                &program,
+                &output_directory(arguments.out, &arguments.experiment),
+            )
         }
         Command::Capacity(arguments) if arguments.check => {
             capacity::check(&arguments.page, &arguments.results)
