--- a/crates/quillhub-experiments/src/cost.rs
+++ b/crates/quillhub-experiments/src/cost.rs
@@ -16,7 +16,7 @@
     pub report: Report,
     /// Wall time of the run.
     pub wall_time: Duration,
-    /// Part of the wall time spent in the deciders.
+    /// Part of the wall time spent in `handle`, `apply_rules` and `may_send_request` of the deciders.
     pub decider_time: Duration,
     /// Peak resident memory of this process so far, in MB; 0 if the system does not report it.
     pub peak_memory_mb: f64,
@@ -25,14 +25,14 @@
 /// Decider wrapped to measure the time spent in it.
 struct TimedDecider {
     inner: Box<dyn Decider>,
-    spent: Rc<Cell<Duration>>,
+    decider_time: Rc<Cell<Duration>>,
 }
 
 impl TimedDecider {
     fn measure<T>(&mut self, work: impl FnOnce(&mut dyn Decider) -> T) -> T {
         let started = Instant::now();
         let result = work(self.inner.as_mut());
-        self.spent.set(self.spent.get() + started.elapsed());
+        self.decider_time.set(self.decider_time.get() + started.elapsed());
         result
     }
 }
@@ -47,7 +47,7 @@
     fn may_send_request(&self, id: MessageId, attempt: u32, now: Duration) -> bool {
         let started = Instant::now();
         let may_send_request = self.inner.may_send_request(id, attempt, now);
-        self.spent.set(self.spent.get() + started.elapsed());
+        self.decider_time.set(self.decider_time.get() + started.elapsed());
         may_send_request
     }
     fn apply_rules(&mut self, driver: &mut dyn Driver) {
@@ -70,17 +70,17 @@
 
 /// Simulates one run on this thread and measures its cost.
 pub fn measure(plan: &ExperimentPlan, run: &Run) -> Cost {
-    let spent = Rc::new(Cell::new(Duration::ZERO));
+    let decider_time = Rc::new(Cell::new(Duration::ZERO));
     let create_decider = |start: &Start| {
         let inner = baselines::create_decider(run.decider, &plan.definition.baselines, start);
-        Box::new(TimedDecider { inner, spent: spent.clone() }) as Box<dyn Decider>
+        Box::new(TimedDecider { inner, decider_time: decider_time.clone() }) as Box<dyn Decider>
     };
     let started = Instant::now();
     let report = Simulation::run(&run.variant.scenario, run.seed, &create_decider, |_, _| {});
     Cost {
         report,
         wall_time: started.elapsed(),
-        decider_time: spent.get(),
+        decider_time: decider_time.get(),
         peak_memory_mb: read_peak_memory_mb(),
     }
 }
