--- a/crates/quillhub-experiments/src/capacity/evidence.rs
+++ b/crates/quillhub-experiments/src/capacity/evidence.rs
@@ -79,7 +79,11 @@
             .map(|(rate, _)| *rate);
         let value = sustained
             .reduce(f64::max)
-            .ok_or(format!("{LOAD_TEST}: expected a step with at least {}% of the messages delivered by their soft deadline, found none", MIN_ON_TIME_SHARE * 100.0))?;
+            .ok_or(format!(
+                "{LOAD_TEST}: expected a step with at least {}% of the messages delivered by their soft deadline, \
+                 found none",
+                MIN_ON_TIME_SHARE * 100.0
+            ))?;
         let steps = format!("{} sustained, {}% of it on time", short(value), MIN_ON_TIME_SHARE * 100.0);
         Ok(Figure { value, steps, is_conclusive: true, experiment: LOAD_TEST.into() })
     }
--- a/crates/quillhub-experiments/src/command.rs
+++ b/crates/quillhub-experiments/src/command.rs
@@ -105,7 +105,8 @@
     /// directory for results (default: found/NAME for experiment NAME)
     #[argh(option)]
     out: Option<PathBuf>,
-    /// comma-separated rates in messages per second (default: search for the highest sustained rate by doubling and bisection)
+    /// comma-separated rates in messages per second (default: search for the highest sustained rate by doubling
+    /// and bisection)
     #[argh(option)]
     rates: Option<String>,
     /// maximum number of client connections (default: 64)
