--- a/crates/quillhub-scale/src/bounds_tests.rs
+++ b/crates/quillhub-scale/src/bounds_tests.rs
@@ -10,7 +10,7 @@
     loaded: Duration::from_secs(1),
 };
 const SIZES: Sizes = Sizes { destinations: 20, backlog: 0, lightweight_instances: 0, changes: 0 };
-const LIMITS: Limits = Limits { descriptors: 20_000, memory: 24 * GB };
+const LIMITS: Limits = Limits { descriptors: 20_000, memory_bytes: 24 * GB };
 
 fn refusal(sizes: Sizes, limits: Limits) -> Option<String> {
     check("sizes", &need(&sizes, &LOAD), &limits).err().map(|refusal| refusal.to_string())
@@ -29,7 +29,8 @@
 
 #[test]
 fn a_need_of_more_than_half_of_the_memory_is_refused_with_both_figures() {
-    let found = refusal(Sizes { backlog: 1_000_000, ..SIZES }, Limits { memory: GB, ..LIMITS }).unwrap();
+    let found =
+        refusal(Sizes { backlog: 1_000_000, ..SIZES }, Limits { memory_bytes: GB, ..LIMITS }).unwrap();
     assert!(
         found.starts_with("sizes: expected at most 512 MB, half of the machine's memory, found a need of "),
         "{found}"
@@ -39,12 +40,12 @@
 #[test]
 fn descriptors_are_limited_by_the_constant_and_by_the_process() {
     let many = Sizes { lightweight_instances: 5_000, destinations: 2, ..SIZES };
-    assert!(refusal(many, LIMITS).unwrap().contains("under 20000 descriptors"));
+    assert!(refusal(many, LIMITS).unwrap().contains("fewer than 20000 file descriptors"));
     let few = Limits { descriptors: 1_024, ..LIMITS };
     assert!(
         refusal(Sizes { lightweight_instances: 100, ..SIZES }, few)
             .unwrap()
-            .contains("under 1024 descriptors")
+            .contains("fewer than 1024 file descriptors")
     );
 }
 
--- a/crates/quillhub-scale/src/fleet.rs
+++ b/crates/quillhub-scale/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Environment of the real instance of one point: discovery and platform, destinations, the relay of gossip, and the
 //! lightweight instances.
 
-use crate::bounds::LIGHTWEIGHT_PER_THREAD;
+use crate::bounds::MAX_LIGHTWEIGHT_PER_THREAD;
 use crate::control::Control;
 use crate::destinations::{self, Destinations, UNRESPONSIVE};
 use crate::gossip::Relay;
@@ -67,7 +67,7 @@
         let mut groups = Vec::new();
         let mut first = 0;
         while first < sizes.lightweight_instances {
-            let count = LIGHTWEIGHT_PER_THREAD.min(sizes.lightweight_instances - first);
+            let count = MAX_LIGHTWEIGHT_PER_THREAD.min(sizes.lightweight_instances - first);
             let group = Group::start(parameters, first, count)?;
             group.addresses.iter().for_each(|address| relay.add_member(*address));
             groups.push(group);
--- a/crates/quillhub-scale/src/machine.rs
+++ b/crates/quillhub-scale/src/machine.rs
@@ -43,7 +43,7 @@
 /// Returns the limits of this process and its machine.
 pub fn limits() -> Limits {
     let descriptors = field(&file("/proc/self/limits"), "Max open files").unwrap_or_default();
-    Limits { descriptors, memory: memory_kb() * 1024 }
+    Limits { descriptors, memory_bytes: memory_kb() * 1024 }
 }
 
 /// Returns the load average of the last minute, or 0 if it cannot be read.
