--- a/crates/quillhub-scale/src/control.rs
+++ b/crates/quillhub-scale/src/control.rs
@@ -15,9 +15,9 @@
 
 /// Command to the thread of discovery.
 enum Command {
-    /// Change the phase of an endpoint, and return the new revision and the time of the change.
+    /// Toggle the phase of an endpoint between `up` and `draining`, and return the new revision and the time of the change.
     Change(String, oneshot::Sender<(u64, Instant)>),
-    /// Change the phase of an endpoint periodically from now on.
+    /// Toggle the phase of an endpoint periodically from now on.
     ChangePeriodically(String, Duration),
     /// Return the text of the complete list.
     List(oneshot::Sender<Arc<str>>),
@@ -38,7 +38,7 @@
     worker: MeasuredThread,
 }
 
-/// Changes the phase of an endpoint from `up` to `draining` or back.
+/// Toggles the phase of an endpoint between `up` and `draining`.
 fn toggle(discovery: &mut Discovery, id: &str, is_draining: &mut bool) {
     *is_draining = !*is_draining;
     discovery.change(id, if *is_draining { "draining" } else { "up" });
@@ -104,15 +104,16 @@
         })
     }
 
-    /// Changes the phase of the endpoint `id`; returns the new revision and the time of the change.
-    pub async fn change(&self, id: &str) -> Result<(u64, Instant), String> {
+    /// Toggles the phase of the endpoint `id` between `up` and `draining`; returns the new revision and the time of the
+    /// change.
+    pub async fn toggle_phase(&self, id: &str) -> Result<(u64, Instant), String> {
         let (reply_sender, reply) = oneshot::channel();
         let _ = self.commands.send(Command::Change(id.into(), reply_sender));
         reply.await.map_err(|_| "discovery's thread ended".into())
     }
 
-    /// Changes the phase of the endpoint `id` at once and then once per `period`.
-    pub fn change_periodically(&self, id: &str, period: Duration) {
+    /// Toggles the phase of the endpoint `id` between `up` and `draining`, at once and then once per `period`.
+    pub fn toggle_phase_periodically(&self, id: &str, period: Duration) {
         let _ = self.commands.send(Command::ChangePeriodically(id.into(), period));
     }
 
--- a/crates/quillhub-scale/src/fleet.rs
+++ b/crates/quillhub-scale/src/fleet.rs
@@ -107,7 +107,7 @@
     ///
     /// Returns `None` if some have not by `deadline`.
     pub async fn change(&self, deadline: Instant) -> Result<Option<ApplyTime>, String> {
-        let (revision, changed) = self.control.change(&self.changing_endpoint()).await?;
+        let (revision, changed) = self.control.toggle_phase(&self.changing_endpoint()).await?;
         let changed = changed.saturating_duration_since(self.started);
         while !self.statuses().all(|status| status.applied_revision().0 >= revision) {
             if Instant::now() >= deadline {
--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -229,7 +229,7 @@
         .await?;
         if self.sizes.changes > 0 {
             let period = Duration::from_secs_f64(SECONDS_PER_HOUR / self.sizes.changes as f64);
-            self.fleet.control.change_periodically(&self.fleet.changing_endpoint(), period);
+            self.fleet.control.toggle_phase_periodically(&self.fleet.changing_endpoint(), period);
         }
         sleep(SETTLE_TIME).await;
         self.measure_idle(measurement).await?;
