--- a/crates/quillhub-scale/src/clients.rs
+++ b/crates/quillhub-scale/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients of a real instance: they submit a backlog for destinations that do not respond, and a steady load for
 //! destinations that do.
 
-use crate::destinations::UNRESPONSIVE;
+use crate::destinations::UNRESPONSIVE_COUNT;
 use crate::plan::Load;
 use crate::settings::{MAX_DEADLINE_MS, SERVICE_CLASS};
 use quillhub_fakes::clients::{command, open, send_command};
@@ -69,7 +69,7 @@
             let mut submissions = Submissions::default();
             while next.get() < count && Instant::now() < deadline {
                 let number = next.replace(next.get() + 1);
-                let destination = responding + 1 + number % UNRESPONSIVE;
+                let destination = responding + 1 + number % UNRESPONSIVE_COUNT;
                 let is_accepted =
                     submit(&mut stream, &submit_command("b", number, MAX_DEADLINE_MS, destination, &body))
                         .await?;
--- a/crates/quillhub-scale/src/destinations.rs
+++ b/crates/quillhub-scale/src/destinations.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 
 /// Number of destinations that do not respond, to which the messages of a backlog are submitted in turn.
-pub const UNRESPONSIVE: u64 = 20;
+pub const UNRESPONSIVE_COUNT: u64 = 20;
 
 /// Running listeners of all destinations, stopped when this is dropped.
 pub struct Destinations {
@@ -33,7 +33,7 @@
     }
 }
 
-async fn read_only(stream: TcpStream) {
+async fn read_without_response(stream: TcpStream) {
     let mut connection = ServerConnection::new(stream);
     while let Ok(Some(_)) = connection.next().await {}
 }
@@ -48,7 +48,7 @@
                 (TcpListener::bind("127.0.0.1:0").await?, TcpListener::bind("127.0.0.1:0").await?);
             let addresses = (responding.local_addr()?, unresponsive.local_addr()?);
             spawn_local(accept_each(responding, move |stream| respond(stream, counter.clone())));
-            spawn_local(accept_each(unresponsive, read_only));
+            spawn_local(accept_each(unresponsive, read_without_response));
             Ok(addresses)
         })?;
         Ok(Self { responding, unresponsive, delivered, _worker: worker })
--- a/crates/quillhub-scale/src/fleet.rs
+++ b/crates/quillhub-scale/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::bounds::MAX_LIGHTWEIGHT_PER_THREAD;
 use crate::control::Control;
-use crate::destinations::{self, Destinations, UNRESPONSIVE};
+use crate::destinations::{self, Destinations, UNRESPONSIVE_COUNT};
 use crate::gossip::Relay;
 use crate::lightweight::{FleetParameters, Group, Status};
 use crate::plan::Sizes;
@@ -53,7 +53,7 @@
     pub fn start(sizes: &Sizes, seed: u64, real: u64) -> Result<Self, String> {
         let started = Instant::now();
         let destinations = Destinations::start()?;
-        let unresponsive = if sizes.backlog > 0 { UNRESPONSIVE } else { 0 };
+        let unresponsive = if sizes.backlog > 0 { UNRESPONSIVE_COUNT } else { 0 };
         let control = Control::start(destinations.endpoints(sizes.destinations, unresponsive))?;
         let relay = Relay::start()?;
         let parameters = FleetParameters {
