--- a/crates/quillhub-scale/src/fit.rs
+++ b/crates/quillhub-scale/src/fit.rs
@@ -9,7 +9,7 @@
 /// Maximum ratio of a shape's prediction error to that of a simpler shape at which it replaces the simpler one.
 const MAX_ERROR_RATIO: f64 = 0.8;
 /// Maximum relative difference of an accurate prediction from the measured mean.
-const MAX_DIFFERENCE: f64 = 0.15;
+const MAX_RELATIVE_DIFFERENCE: f64 = 0.15;
 
 /// Growth of a figure with a size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -147,7 +147,8 @@
     root_mean_square(errors)
 }
 
-/// Returns the fit of the simplest shape whose prediction error no other shape lowers clearly.
+/// Returns the fit of the simplest shape whose prediction error no more complex shape reduces to less than
+/// `MAX_ERROR_RATIO` of it.
 ///
 /// Returns `None` without samples of at least two sizes.
 pub fn fit(samples: &[Sample]) -> Option<Fit> {
@@ -183,9 +184,9 @@
         if self.measured == 0.0 && self.predicted == 0.0 { 0.0 } else { self.predicted / self.measured - 1.0 }
     }
 
-    /// Returns `true` if the predicted value is within 15% of the measured one.
+    /// Returns `true` if the predicted value differs from the measured one by at most `MAX_RELATIVE_DIFFERENCE`.
     pub fn is_accurate(&self) -> bool {
-        self.difference().abs() <= MAX_DIFFERENCE
+        self.difference().abs() <= MAX_RELATIVE_DIFFERENCE
     }
 
     /// Returns `true` if `all`, the fit of all sizes, may be used beyond the largest one.
--- a/crates/quillhub-scale/src/fit_tests.rs
+++ b/crates/quillhub-scale/src/fit_tests.rs
@@ -57,9 +57,9 @@
     let held = held_out(&samples(|size| 70.0 + 0.02 * size)).unwrap();
     assert_eq!(held.size, 1e6);
     assert!(held.is_accurate(), "{held:?}");
-    let mut bent = samples(|size| 70.0 + 0.02 * size);
-    bent.iter_mut().filter(|sample| sample.size == 1e6).for_each(|sample| sample.value *= 3.0);
-    let held = held_out(&bent).unwrap();
+    let mut steeper_at_end = samples(|size| 70.0 + 0.02 * size);
+    steeper_at_end.iter_mut().filter(|sample| sample.size == 1e6).for_each(|sample| sample.value *= 3.0);
+    let held = held_out(&steeper_at_end).unwrap();
     assert!(!held.is_accurate() && (held.difference() + 0.667).abs() < 0.01, "{held:?}");
 }
 
