--- a/crates/quillhub-scale/src/fleet.rs
+++ b/crates/quillhub-scale/src/fleet.rs
@@ -30,7 +30,7 @@
     pub discovery: Counts,
     /// Traffic with the platform.
     pub platform: Counts,
-    /// Final outcomes that the platform has received, from real instances, too.
+    /// Final outcomes that the platform has received, including those of real instances.
     pub final_outcomes: u64,
     /// Open connections to discovery, most of which are watches.
     pub open_connections: u64,
@@ -48,18 +48,18 @@
 }
 
 impl Fleet {
-    /// Starts the environment for these sizes. `real` is the number of real instances to be started later, and `seed`
+    /// Starts the environment for these sizes. `real_instances` is the number of real instances to be started later, and `seed`
     /// determines the random draws of the lightweight ones.
-    pub fn start(sizes: &Sizes, seed: u64, real: u64) -> Result<Self, String> {
+    pub fn start(sizes: &Sizes, seed: u64, real_instances: u64) -> Result<Self, String> {
         let started = Instant::now();
         let destinations = Destinations::start()?;
         let unresponsive = if sizes.backlog > 0 { UNRESPONSIVE_COUNT } else { 0 };
         let control = Control::start(destinations.endpoints(sizes.destinations, unresponsive))?;
         let relay = Relay::start()?;
         let parameters = FleetParameters {
-            control: control.lightweight_address,
-            peers: relay.address,
-            instances: sizes.lightweight_instances + real,
+            control_address: control.lightweight_address,
+            relay_address: relay.address,
+            instances: sizes.lightweight_instances + real_instances,
             destinations: sizes.destinations,
             seed,
             fleet_started: started,
--- a/crates/quillhub-scale/src/lightweight.rs
+++ b/crates/quillhub-scale/src/lightweight.rs
@@ -1,5 +1,5 @@
-//! Lightweight instances: they have a real dispatcher and speak the real protocols to discovery, platform and peers, but
-//! have no clients and no state directory and make no calls to endpoints. Many share one thread.
+//! Lightweight instances: they have a dispatcher and use the protocols of an instance with discovery, platform and
+//! peers, but have no clients and no state directory and make no calls to endpoints. Many share one thread.
 
 use crate::settings;
 use crate::thread::MeasuredThread;
@@ -26,7 +26,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// Time between two messages that make an instance send gossip; each instance is assumed to send gossip so often.
+/// Time between two messages that make an instance send gossip; each instance sends gossip at this interval.
 const GOSSIP_INTERVAL: Duration = Duration::from_secs(60);
 /// Time without data after which a watch or a response has failed, as for a real instance.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -37,7 +37,7 @@
 /// Number of simulated attempts of a message that fail before one succeeds: after two failures in a row, an instance
 /// sends gossip of the destination's recovery.
 const FAILED_ATTEMPTS: u32 = 2;
-/// Maximum size of a datagram, in bytes.
+/// Maximum size of a datagram that a lightweight instance receives, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// Status of a lightweight instance, for other threads.
@@ -67,16 +67,16 @@
 #[derive(Clone, Copy)]
 pub struct FleetParameters {
     /// Address of discovery and platform.
-    pub control: SocketAddr,
+    pub control_address: SocketAddr,
     /// Address of the relay that passes gossip on to all other instances.
-    pub peers: SocketAddr,
+    pub relay_address: SocketAddr,
     /// Number of instances, with the real ones.
     pub instances: u64,
     /// Number of destinations that messages may be for; they are numbered from 1.
     pub destinations: u64,
     /// Seed of the instances' random draws, to which the number of the instance is added.
     pub seed: u64,
-    /// Start of the fleet, from which times of [`Status`] count.
+    /// Start of the fleet, from which the times of [`Status`] are measured.
     pub fleet_started: Instant,
 }
 
@@ -116,7 +116,7 @@
     dispatcher: Dispatcher,
     started: Instant,
     timers: BinaryHeap<Reverse<Instant>>,
-    /// Number of the last attempt of each pending message that was attempted, counted from 0.
+    /// Number of the last attempt, from 0, of each pending message with an attempt.
     attempts: std::collections::BTreeMap<MessageId, u32>,
     /// Final outcomes that the platform has not confirmed yet; `true` if the message was rejected.
     outcomes: VecDeque<(MessageId, bool)>,
@@ -252,7 +252,7 @@
 
     /// Fetches the complete list if no `revision` is known, then applies changes until the watch ends.
     async fn watch_once(&self, revision: &mut Option<u64>) -> io::Result<()> {
-        let address = self.parameters.control;
+        let address = self.parameters.control_address;
         let after = match *revision {
             Some(revision) => revision,
             None => {
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Keeps the endpoint list up to date, without end.
+    /// Keeps the endpoint list up to date, until the task is aborted.
     async fn follow_discovery(&self) {
         let mut revision = None;
         loop {
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Reports final outcomes to the platform until it confirms them, without end.
+    /// Reports final outcomes to the platform until it confirms them; runs until the task is aborted.
     async fn report_outcomes(&self) {
         let mut idle = None;
         loop {
@@ -325,7 +325,7 @@
 
     /// Reports `body` on an idle or a new connection; returns the connection if the platform confirms it.
     async fn post(&self, idle: Option<HttpConnection>, body: &[u8]) -> io::Result<HttpConnection> {
-        let address = self.parameters.control;
+        let address = self.parameters.control_address;
         let mut connection = match idle {
             Some(connection) => connection,
             None => HttpConnection::open(address).await?,
@@ -335,7 +335,7 @@
         if head.status == 204 { Ok(connection) } else { Err(io::ErrorKind::InvalidData.into()) }
     }
 
-    /// Reports timers to the dispatcher when they fire, without end.
+    /// Reports timers to the dispatcher when they fire, until the task is aborted.
     async fn run_timers(&self) {
         loop {
             let next = self.state.borrow().timers.peek().map(|Reverse(time)| *time);
@@ -353,7 +353,7 @@
         }
     }
 
-    /// Sends and receives gossip, without end.
+    /// Sends and receives gossip, until the task is aborted.
     async fn exchange_gossip(&self, socket: &UdpSocket) {
         let mut octets = [0; MAX_DATAGRAM_BYTES];
         loop {
@@ -364,14 +364,14 @@
                 () = self.gossip_added.notified() => {
                     let messages = std::mem::take(&mut self.state.borrow_mut().gossip);
                     for message in messages {
-                        let _ = socket.send_to(&message, self.parameters.peers).await;
+                        let _ = socket.send_to(&message, self.parameters.relay_address).await;
                     }
                 }
             }
         }
     }
 
-    /// Submits a message per [`GOSSIP_INTERVAL`], without end. Its first attempts fail, so that its delivery makes the
+    /// Submits a message per [`GOSSIP_INTERVAL`], until the task is aborted. Its first attempts fail, so that its delivery makes the
     /// instance send gossip of a recovery. The instances start at different times, spread evenly over the interval.
     async fn cause_gossip(&self) {
         let share = self.number as f64 / self.parameters.instances.max(1) as f64;
