--- a/crates/quillhub-scale/src/gossip.rs
+++ b/crates/quillhub-scale/src/gossip.rs
@@ -9,7 +9,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Maximum size of a datagram, in bytes.
+/// Maximum size of a datagram that the relay passes on, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 512;
 /// Delay after a failed read.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(5);
@@ -28,7 +28,7 @@
 #[derive(Default)]
 struct Shared {
     members: Mutex<Vec<SocketAddr>>,
-    measured: Mutex<Option<SocketAddr>>,
+    measured_address: Mutex<Option<SocketAddr>>,
     datagrams: AtomicU64,
     bytes: AtomicU64,
 }
@@ -57,10 +57,10 @@
             continue;
         };
         let members = locked(&shared.members).clone();
-        let measured = *locked(&shared.measured);
+        let measured_address = *locked(&shared.measured_address);
         for to in members.into_iter().filter(|to| *to != from) {
             // A datagram that cannot be sent at once is lost, as on a network.
-            if socket.try_send_to(&octets[..length], to).is_ok() && Some(to) == measured {
+            if socket.try_send_to(&octets[..length], to).is_ok() && Some(to) == measured_address {
                 add(&shared.datagrams, 1);
                 add(&shared.bytes, length as u64);
             }
@@ -72,11 +72,11 @@
     /// Starts the relay without any instances.
     pub fn start() -> Result<Self, String> {
         let shared = Arc::new(Shared::default());
-        let relayed = shared.clone();
+        let thread_shared = shared.clone();
         let (worker, address) = MeasuredThread::start(move || async move {
             let socket = UdpSocket::bind("127.0.0.1:0").await?;
             let address = socket.local_addr()?;
-            spawn_local(pass_on(socket, relayed));
+            spawn_local(pass_on(socket, thread_shared));
             Ok(address)
         })?;
         Ok(Self { address, shared, _worker: worker })
@@ -88,8 +88,8 @@
     }
 
     /// Counts the datagrams to `member` from now on, and no longer those to an earlier one.
-    pub fn measure(&self, member: SocketAddr) {
-        *locked(&self.shared.measured) = Some(member);
+    pub fn count_traffic_to(&self, member: SocketAddr) {
+        *locked(&self.shared.measured_address) = Some(member);
     }
 
     /// Returns the traffic to measured instances so far.
--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -446,7 +446,7 @@
 ) -> Result<PathBuf, String> {
     let gossip = free_datagram_port()?;
     fleet.relay.add_member(gossip);
-    fleet.relay.measure(gossip);
+    fleet.relay.count_traffic_to(gossip);
     let addresses =
         Addresses { listen, discovery: fleet.control.real_address, gossip, peers: fleet.relay.address };
     let path = directory.0.join(format!("{name}.json"));
