--- a/crates/quillhub-experiments/src/scale.rs
+++ b/crates/quillhub-experiments/src/scale.rs
@@ -56,7 +56,7 @@
 
 /// Measures all sizes of `plan`. Stops after a size that breaks before its load was measured.
 fn run_all(plan: &Plan, experiment: &str, program: &Path, folder: &Path) -> Result<Vec<Point>, String> {
-    let machine = machine::here();
+    let machine = machine::current_machine();
     let (mut points, total) = (Vec::new(), plan.sizes.len() * plan.plays as usize);
     for (size, sizes) in plan.points() {
         for number in 1..=plan.plays {
--- a/crates/quillhub-scale/src/lib.rs
+++ b/crates/quillhub-scale/src/lib.rs
@@ -1,9 +1,8 @@
 //! Many instances on loopback, for measuring how the cost of an instance grows with one size at a time.
 //!
-//! A *real* instance is a separate process (`quillhub serve`) under measured load. A *lightweight* instance speaks
-//! the real protocol to discovery, platform and peers and holds the real state of an instance, but shares its
-//! process with hundreds of others and carries next to no traffic. A lightweight destination is an id on a shared
-//! listener.
+//! A *real* instance is a separate process (`quillhub serve`) under measured load. A *lightweight* instance uses the
+//! protocols of an instance with discovery, platform and peers and has its dispatcher state, but runs in one process
+//! with hundreds of others and has almost no traffic. A lightweight destination is an id on a shared listener.
 //!
 //! The modules [`plan`], [`bounds`] and [`fit`] parse an experiment, check its resource needs, and fit its results
 //! without I/O but for [`plan::Plan::read`].
--- a/crates/quillhub-scale/src/machine.rs
+++ b/crates/quillhub-scale/src/machine.rs
@@ -15,7 +15,7 @@
 }
 
 /// Returns the text of a file, or an empty one if it cannot be read.
-fn file(path: &str) -> String {
+fn read_or_empty(path: &str) -> String {
     std::fs::read_to_string(path).unwrap_or_default()
 }
 
@@ -27,26 +27,30 @@
 
 /// Returns the total memory of the machine in kilobytes, or 0 if it is unknown.
 fn memory_kb() -> u64 {
-    field(&file("/proc/meminfo"), "MemTotal:").unwrap_or_default()
+    field(&read_or_empty("/proc/meminfo"), "MemTotal:").unwrap_or_default()
 }
 
 /// Returns the machine that this process runs on.
-pub fn here() -> Machine {
+pub fn current_machine() -> Machine {
     let cores = std::thread::available_parallelism().map_or(0, |cores| cores.get() as u64);
     let memory_mb = memory_kb() / 1024;
     // The part after the version numbers may contain a host name.
-    let release = file("/proc/sys/kernel/osrelease");
+    let release = read_or_empty("/proc/sys/kernel/osrelease");
     let kernel = release.split('-').next().unwrap_or_default().trim().to_owned();
     Machine { cores, memory_mb, kernel }
 }
 
 /// Returns the limits of this process and its machine.
 pub fn limits() -> Limits {
-    let descriptors = field(&file("/proc/self/limits"), "Max open files").unwrap_or_default();
+    let descriptors = field(&read_or_empty("/proc/self/limits"), "Max open files").unwrap_or_default();
     Limits { descriptors, memory_bytes: memory_kb() * 1024 }
 }
 
 /// Returns the load average of the last minute, or 0 if it cannot be read.
 pub fn load_average() -> f64 {
-    file("/proc/loadavg").split_whitespace().next().and_then(|word| word.parse().ok()).unwrap_or_default()
+    read_or_empty("/proc/loadavg")
+        .split_whitespace()
+        .next()
+        .and_then(|word| word.parse().ok())
+        .unwrap_or_default()
 }
