--- a/crates/quillhub-scale/src/clients.rs
+++ b/crates/quillhub-scale/src/clients.rs
@@ -3,7 +3,7 @@
 
 use crate::destinations::UNRESPONSIVE_COUNT;
 use crate::plan::Load;
-use crate::settings::{MAX_DEADLINE_MS, SERVICE_CLASS};
+use crate::settings::{BACKLOG_DEADLINE_MS, SERVICE_CLASS};
 use quillhub_fakes::clients::{command, open, send_command};
 use std::cell::Cell;
 use std::io;
@@ -70,9 +70,11 @@
             while next.get() < count && Instant::now() < deadline {
                 let number = next.replace(next.get() + 1);
                 let destination = responding + 1 + number % UNRESPONSIVE_COUNT;
-                let is_accepted =
-                    submit(&mut stream, &submit_command("b", number, MAX_DEADLINE_MS, destination, &body))
-                        .await?;
+                let is_accepted = submit(
+                    &mut stream,
+                    &submit_command("b", number, BACKLOG_DEADLINE_MS, destination, &body),
+                )
+                .await?;
                 *(if is_accepted { &mut submissions.accepted } else { &mut submissions.not_accepted }) += 1;
             }
             Ok::<_, io::Error>(submissions)
--- a/crates/quillhub-scale/src/lightweight.rs
+++ b/crates/quillhub-scale/src/lightweight.rs
@@ -387,7 +387,7 @@
 async fn run(parameters: FleetParameters, number: u64, status: Arc<Status>, socket: Rc<UdpSocket>) {
     let read = quillhub_settings::dispatcher_from_json(
         parameters.seed + number,
-        &settings::decisions(parameters.instances),
+        &settings::instance_settings(parameters.instances),
     );
     let (mut dispatcher, _) = read.expect("the settings of lightweight instances are valid");
     dispatcher.disable_batching();
--- a/crates/quillhub-scale/src/results.rs
+++ b/crates/quillhub-scale/src/results.rs
@@ -10,7 +10,7 @@
 /// Name of the file with the points in a directory of results.
 pub const FILE_NAME: &str = "points.jsonl";
 
-/// Measurement of one size, made once.
+/// Measurement of one size in one repetition.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Point {
--- a/crates/quillhub-scale/src/settings.rs
+++ b/crates/quillhub-scale/src/settings.rs
@@ -12,7 +12,7 @@
 /// Zone of all instances and endpoints.
 pub const ZONE: &str = "north";
 /// Deadline of the service class, in milliseconds: pending messages of a backlog must not expire during a measurement.
-pub const MAX_DEADLINE_MS: u64 = 3_600_000;
+pub const BACKLOG_DEADLINE_MS: u64 = 3_600_000;
 /// Maximum size of the state directory, in megabytes: a million messages of some hundred bytes each, and the space that
 /// compaction needs.
 const MAX_STATE_MB: u64 = 2_048;
@@ -21,8 +21,8 @@
 
 const SECOND_US: u64 = 1_000_000;
 
-/// Returns the settings of an instance that shares the work with others; `instances` is the number of all of them.
-pub fn decisions(instances: u64) -> Value {
+/// Returns the settings of one of `instances` instances.
+pub fn instance_settings(instances: u64) -> Value {
     json!({
         "nInstances": instances,
         "zone": ZONE,
@@ -31,7 +31,7 @@
             "connectTimeoutUs": SECOND_US, "peerMessages": true},
         "rules": {"overloadFactor": 2.0, "startCapacity": 0.2, "warmUpUs": 10 * SECOND_US, "keyRestUs": 0},
         "membershipMode": "push",
-        "classes": [{"name": SERVICE_CLASS, "effect": "free", "aimUs": SECOND_US, "giveUpUs": MAX_DEADLINE_MS * 1_000,
+        "classes": [{"name": SERVICE_CLASS, "effect": "free", "aimUs": SECOND_US, "giveUpUs": BACKLOG_DEADLINE_MS * 1_000,
             "importance": 1.0, "lateWorth": 0.5, "byArrival": false}],
         "skus": [KIND],
         "failureDomains": [ZONE],
@@ -62,7 +62,7 @@
         "limits": {"sockets": MAX_DESCRIPTORS, "disk_mb": MAX_STATE_MB},
         "peer_listen": addresses.gossip.to_string(),
         "peers_all": addresses.peers.to_string(),
-        "settings": decisions(instances),
+        "settings": instance_settings(instances),
     })
     .to_string();
     match known {
