--- a/crates/quillhub-scale/tests/counts.rs
+++ b/crates/quillhub-scale/tests/counts.rs
@@ -26,7 +26,7 @@
     });
 }
 
-// A restart that kept state would make a mass restart look cheaper than it is.
+// A restart that kept state would make the measured cost of a mass restart too low.
 #[test]
 fn restarted_lightweight_instances_fetch_the_complete_list_again() {
     on_one_thread(async {
