--- a/crates/quillhub-scale/src/bounds.rs
+++ b/crates/quillhub-scale/src/bounds.rs
@@ -53,7 +53,7 @@
     let Sizes { destinations, backlog, lightweight_instances, .. } = *sizes;
     let real = INSTANCE_MEMORY_BYTES
         .saturating_add(destinations.saturating_mul(MEMORY_PER_DESTINATION_BYTES))
-        .saturating_add(backlog.saturating_mul(MEMORY_PER_MESSAGE_BYTES + load.body as u64));
+        .saturating_add(backlog.saturating_mul(MEMORY_PER_MESSAGE_BYTES + load.body_bytes as u64));
     let lightweight = lightweight_instances.saturating_mul(
         destinations.saturating_mul(MEMORY_PER_DESTINATION_BYTES).saturating_add(LIGHTWEIGHT_MEMORY_BYTES),
     );
--- a/crates/quillhub-scale/src/bounds_tests.rs
+++ b/crates/quillhub-scale/src/bounds_tests.rs
@@ -5,9 +5,9 @@
 const LOAD: Load = Load {
     per_s: 400.0,
     connections: 16,
-    body: 200,
-    idle: Duration::from_secs(1),
-    loaded: Duration::from_secs(1),
+    body_bytes: 200,
+    idle_duration: Duration::from_secs(1),
+    loaded_duration: Duration::from_secs(1),
 };
 const SIZES: Sizes = Sizes { destinations: 20, backlog: 0, lightweight_instances: 0, changes: 0 };
 const LIMITS: Limits = Limits { descriptors: 20_000, memory_bytes: 24 * GB };
--- a/crates/quillhub-scale/src/clients.rs
+++ b/crates/quillhub-scale/src/clients.rs
@@ -63,7 +63,7 @@
     let next = Rc::new(Cell::new(0));
     let mut clients = JoinSet::new();
     for _ in 0..load.connections {
-        let (next, body) = (next.clone(), vec![b'.'; load.body]);
+        let (next, body) = (next.clone(), vec![b'.'; load.body_bytes]);
         clients.spawn_local(async move {
             let mut stream = open(address).await?;
             let mut submissions = Submissions::default();
@@ -107,7 +107,7 @@
 ) -> Result<u64, String> {
     let count = destinations.min(MAX_WARM_UP_MESSAGES);
     let per_s = load.per_s.max(count as f64);
-    let one_each = Load { per_s, loaded: Duration::from_secs_f64(count as f64 / per_s), ..*load };
+    let one_each = Load { per_s, loaded_duration: Duration::from_secs_f64(count as f64 / per_s), ..*load };
     let submissions = submit_load(address, &one_each, destinations, delivered, 0).await?;
     Ok(submissions.accepted + submissions.not_accepted)
 }
@@ -128,11 +128,11 @@
     let mut clients = JoinSet::new();
     for _ in 0..load.connections {
         let (next, accepted, delivered) = (next.clone(), accepted.clone(), delivered.clone());
-        let (body, load) = (vec![b'.'; load.body], *load);
+        let (body, load) = (vec![b'.'; load.body_bytes], *load);
         clients.spawn_local(async move {
             let mut stream = open(address).await?;
             let mut submissions = Submissions::default();
-            while started.elapsed() < load.loaded {
+            while started.elapsed() < load.loaded_duration {
                 let due = Duration::from_secs_f64(next.get() as f64 / load.per_s);
                 let outstanding =
                     accepted.get().saturating_sub(delivered.load(Ordering::Relaxed) - delivered_before);
--- a/crates/quillhub-scale/src/plan.rs
+++ b/crates/quillhub-scale/src/plan.rs
@@ -124,13 +124,14 @@
     /// Number of client connections that submit messages.
     pub connections: usize,
     /// Size of a message's body in bytes.
-    pub body: usize,
+    #[serde(rename = "body")]
+    pub body_bytes: usize,
     /// Time for which the instance is measured without load.
-    #[serde(with = "humantime_serde")]
-    pub idle: Duration,
+    #[serde(rename = "idle", with = "humantime_serde")]
+    pub idle_duration: Duration,
     /// Time for which the instance is measured under load.
-    #[serde(with = "humantime_serde")]
-    pub loaded: Duration,
+    #[serde(rename = "loaded", with = "humantime_serde")]
+    pub loaded_duration: Duration,
 }
 
 /// Scale experiment, as in its file.
@@ -202,7 +203,7 @@
             return refuse("question", "a text", "none");
         }
         if self.sizes.len() < MIN_SIZES {
-            return refuse("sizes", format!("at least {MIN_SIZES}"), self.sizes.len());
+            return refuse("sizes", format!("at least {MIN_SIZES} sizes"), self.sizes.len());
         }
         for (index, pair) in self.sizes.windows(2).enumerate() {
             if pair[0] == 0 || (pair[1] as f64) < pair[0] as f64 * MIN_SIZE_RATIO {
@@ -216,7 +217,7 @@
             }
         }
         if self.plays < MIN_REPETITIONS {
-            return refuse("plays", format!("at least {MIN_REPETITIONS}"), self.plays);
+            return refuse("plays", format!("at least {MIN_REPETITIONS} repetitions"), self.plays);
         }
         let points = self.sizes.len().saturating_mul(self.plays as usize);
         if points > MAX_POINTS {
@@ -244,13 +245,13 @@
         if load.connections == 0 {
             return refuse("load.connections", "at least 1", load.connections);
         }
-        if load.body > MAX_BODY_BYTES {
-            return refuse("load.body", format!("at most {MAX_BODY_BYTES}"), load.body);
+        if load.body_bytes > MAX_BODY_BYTES {
+            return refuse("load.body", format!("at most {MAX_BODY_BYTES} bytes"), load.body_bytes);
         }
-        for (place, span) in [("load.idle", load.idle), ("load.loaded", load.loaded)] {
-            if span.is_zero() || span > MAX_POINT_TIME {
+        for (place, duration) in [("load.idle", load.idle_duration), ("load.loaded", load.loaded_duration)] {
+            if duration.is_zero() || duration > MAX_POINT_TIME {
                 let expected = format!("over 0 s, at most {} s", MAX_POINT_TIME.as_secs());
-                return refuse(place, expected, format!("{} s", span.as_secs_f64()));
+                return refuse(place, expected, format!("{} s", duration.as_secs_f64()));
             }
         }
         Ok(())
--- a/crates/quillhub-scale/src/plan_tests.rs
+++ b/crates/quillhub-scale/src/plan_tests.rs
@@ -40,18 +40,18 @@
 fn an_error_names_line_column_key_expected_and_found_value() {
     for (old, new, message) in [
         ("format = 1", "format = 2", "2:1: format: expected 1, found 2"),
-        ("[10, 40, 160, 640]", "[10, 40, 160]", "5:1: sizes: expected at least 4, found 3"),
+        ("[10, 40, 160, 640]", "[10, 40, 160]", "5:1: sizes: expected at least 4 sizes, found 3"),
         (
             "[10, 40, 160, 640]",
             "[10, 40, 50, 640]",
             "5:1: sizes[2]: expected at least 60, 1.5 times the one before, found 50",
         ),
-        ("plays = 2", "plays = 1", "6:1: plays: expected at least 2, found 1"),
+        ("plays = 2", "plays = 1", "6:1: plays: expected at least 2 repetitions, found 1"),
         ("plays = 2", "plays = 900", "6:1: plays: expected at most 200 points in all, found 3600"),
         ("\"20 s\"", "\"20 h\"", "8:1: most_per_point: expected over 0 s, at most 600 s, found 72000 s"),
         ("per_s = 423.0", "per_s = -1.0", "17:1: load.per_s: expected a number over 0, found -1"),
         ("destinations = 20", "destinations = 1", "11:1: base.destinations: expected at least 2, found 1"),
-        ("body = 200", "body = 99999999", "19:1: load.body: expected at most 65536, found 99999999"),
+        ("body = 200", "body = 99999999", "19:1: load.body: expected at most 65536 bytes, found 99999999"),
         ("How does it grow?", " ", "3:1: question: expected a text, found none"),
     ] {
         assert_eq!(parse_error(old, new), message);
--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -276,7 +276,7 @@
     async fn measure_idle(&self, measurement: &mut Measurement) -> Result<(), Stop> {
         let (begun, time, control) = (Instant::now(), self.processor_time()?, self.control_counts());
         let (control_time, traffic_before) = (self.fleet.control_processor_time(), self.fleet.traffic());
-        sleep(self.plan.load.idle).await;
+        sleep(self.plan.load.idle_duration).await;
         let spent = (self.processor_time()? - time).as_secs_f64();
         let (now, span) = (self.control_counts(), begun.elapsed().as_secs_f64());
         measurement.put(figure::IDLE_PERCENT, 100.0 * spent / span);
@@ -416,7 +416,12 @@
         }
         let counter = self.fleet.destinations.delivered();
         let before = counter.load(Ordering::Relaxed);
-        let load = crate::plan::Load { connections: 1, per_s: 1.0, loaded: CHECK_INTERVAL, ..self.plan.load };
+        let load = crate::plan::Load {
+            connections: 1,
+            per_s: 1.0,
+            loaded_duration: CHECK_INTERVAL,
+            ..self.plan.load
+        };
         clients::submit_load(listen, &load, 1, &counter, 1 << 32).await?;
         let deadline = begun + FIRST_DELIVERY_TIMEOUT.min(time_left);
         while counter.load(Ordering::Relaxed) == before {
--- a/crates/quillhub-scale/tests/points.rs
+++ b/crates/quillhub-scale/tests/points.rs
@@ -14,8 +14,8 @@
 }
 
 fn plan(slope: Slope, point_time_limit: Duration) -> Plan {
-    let (idle, loaded) = (Duration::from_millis(100), Duration::from_millis(500));
-    let load = Load { per_s: 100.0, connections: 4, body: 50, idle, loaded };
+    let (idle_duration, loaded_duration) = (Duration::from_millis(100), Duration::from_millis(500));
+    let load = Load { per_s: 100.0, connections: 4, body_bytes: 50, idle_duration, loaded_duration };
     let (question, found) = ("What does it count?".to_owned(), String::new());
     let (sizes, plays, seed, base) = (vec![1, 2, 4, 8], 2, 1, BASE);
     Plan { format: 1, question, found, slope, sizes, plays, seed, point_time_limit, base, load }
