--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -107,19 +107,19 @@
 /// Reason why the measurement of a point ends early.
 enum Stop {
     /// Failure due to the size; this is a result.
-    Breaks(String),
+    MeasurementFailed(String),
     /// Failure of the test environment; there is no result.
-    Fails(String),
+    EnvironmentFailed(String),
 }
 
 impl From<String> for Stop {
     fn from(fault: String) -> Self {
-        Self::Fails(fault)
+        Self::EnvironmentFailed(fault)
     }
 }
 
-fn breaks<T>(what: impl Into<String>) -> Result<T, Stop> {
-    Err(Stop::Breaks(what.into()))
+fn fail_measurement<T>(what: impl Into<String>) -> Result<T, Stop> {
+    Err(Stop::MeasurementFailed(what.into()))
 }
 
 /// Measures a point with `sizes` once, with the instance's `program`.
@@ -134,8 +134,8 @@
     });
     match ended {
         Ok(()) => Ok(measurement),
-        Err(Stop::Breaks(what)) => Ok(Measurement { breaks: Some(what), ..measurement }),
-        Err(Stop::Fails(what)) => Err(what),
+        Err(Stop::MeasurementFailed(what)) => Ok(Measurement { breaks: Some(what), ..measurement }),
+        Err(Stop::EnvironmentFailed(what)) => Err(what),
     }
 }
 
@@ -186,7 +186,7 @@
     ) -> Result<Self, Stop> {
         let fleet = Fleet::start(sizes, seed, 1)?;
         if !fleet.wait_until_ready(deadline).await {
-            return breaks("lightweight instances are not ready within the time limit of a point");
+            return fail_measurement("lightweight instances are not ready within the time limit of a point");
         }
         let directory = ScratchDirectory::new();
         let known = fleet.control.list().await?;
@@ -196,7 +196,7 @@
         let begun = Instant::now();
         let instance = start(program, &directory, "real", &configured)?;
         if !wait_until_ready(listen, deadline.saturating_duration_since(begun)).await {
-            return breaks("the instance does not respond within the time limit of a point");
+            return fail_measurement("the instance does not respond within the time limit of a point");
         }
         let startup = begun.elapsed();
         Ok(Self {
@@ -243,7 +243,7 @@
     }
 
     fn processor_time(&self) -> Result<Duration, Stop> {
-        let lost = || Stop::Breaks("the instance's process ended".into());
+        let lost = || Stop::MeasurementFailed("the instance's process ended".into());
         self.instance.processor_time().ok_or_else(lost)
     }
 
@@ -265,7 +265,7 @@
         let seconds = begun.elapsed().as_secs_f64();
         if submissions.accepted < count {
             let Submissions { accepted, not_accepted } = submissions;
-            return breaks(format!(
+            return fail_measurement(format!(
                 "{accepted} messages are accepted and {not_accepted} are not after {seconds:.0} s"
             ));
         }
@@ -319,15 +319,17 @@
         }
         let (spent, span) = (self.processor_time()? - time, begun.elapsed().as_secs_f64());
         if delivered() == 0 {
-            return breaks(format!("none of {} messages is delivered", submissions.accepted));
+            return fail_measurement(format!("none of {} messages is delivered", submissions.accepted));
         }
         measurement
             .put(figure::MESSAGE_US, spent.as_secs_f64() * MICROSECONDS_PER_SECOND / delivered() as f64);
         measurement.put(figure::DELIVERED, delivered() as f64 / span);
         let all = (submissions.accepted + submissions.not_accepted).max(1);
         measurement.put(figure::REJECTED, submissions.not_accepted as f64 / all as f64);
-        let used =
-            self.instance.usage().ok_or_else(|| Stop::Breaks("the instance's process ended".into()))?;
+        let used = self
+            .instance
+            .usage()
+            .ok_or_else(|| Stop::MeasurementFailed("the instance's process ended".into()))?;
         measurement.put(figure::MEMORY_MB, used.memory_kb as f64 / 1_024.0);
         Ok(())
     }
@@ -351,7 +353,7 @@
             (Instant::now(), self.fleet.control_processor_time(), self.fleet.traffic());
         self.fleet.restart_every(1);
         if !self.fleet.wait_until_ready(self.deadline).await {
-            return breaks(
+            return fail_measurement(
                 "lightweight instances that restart at once are not ready within the time limit of a point",
             );
         }
@@ -373,12 +375,16 @@
         for _ in 0..TIMED_CHANGES {
             before_each();
             let Some(found) = self.fleet.change(self.deadline).await? else {
-                return breaks("a change is not applied by all instances within the time limit of a point");
+                return fail_measurement(
+                    "a change is not applied by all instances within the time limit of a point",
+                );
             };
             medians += found.median.as_secs_f64();
             worst = f64::max(worst, found.max.as_secs_f64());
             if !self.fleet.wait_until_ready(self.deadline).await {
-                return breaks("lightweight instances are not ready within the time limit of a point");
+                return fail_measurement(
+                    "lightweight instances are not ready within the time limit of a point",
+                );
             }
         }
         Ok((medians / f64::from(TIMED_CHANGES), worst))
@@ -388,13 +394,16 @@
     async fn measure_restart(&mut self, measurement: &mut Measurement) -> Result<(), Stop> {
         let state = size_on_disk(&state_directory(&self.directory, "real"));
         measurement.put(figure::STATE_MB, state as f64 / (1024.0 * 1024.0));
-        let fails = |e: std::io::Error| Stop::Fails(format!("the instance cannot be stopped: {e}"));
-        self.instance.signal("KILL").map_err(fails)?;
-        self.instance.wait_for_exit().await.map_err(fails)?;
+        let stop_failed =
+            |e: std::io::Error| Stop::EnvironmentFailed(format!("the instance cannot be stopped: {e}"));
+        self.instance.signal("KILL").map_err(stop_failed)?;
+        self.instance.wait_for_exit().await.map_err(stop_failed)?;
         let begun = Instant::now();
         self.instance = start(self.program, &self.directory, "real", &self.directory.0.join("real.json"))?;
         if !wait_until_ready(self.listen, self.deadline.saturating_duration_since(begun)).await {
-            return breaks("the restarted instance does not respond within the time limit of a point");
+            return fail_measurement(
+                "the restarted instance does not respond within the time limit of a point",
+            );
         }
         measurement.put(figure::READY_AGAIN_S, begun.elapsed().as_secs_f64());
         Ok(())
@@ -404,7 +413,7 @@
     async fn measure_first_delivery(&mut self, measurement: &mut Measurement) -> Result<(), Stop> {
         let list = self.fleet.control.list().await?;
         measurement.put(figure::LIST_BYTES, list.len() as f64);
-        self.instance.signal("KILL").map_err(|e| Stop::Fails(e.to_string()))?;
+        self.instance.signal("KILL").map_err(|e| Stop::EnvironmentFailed(e.to_string()))?;
         let listen = free_port()?;
         let configured =
             configure(&self.fleet, &self.directory, "bare", listen, &self.sizes, self.seed, None)?;
@@ -412,7 +421,7 @@
         let _instance = start(self.program, &self.directory, "bare", &configured)?;
         let time_left = self.deadline.saturating_duration_since(begun);
         if !wait_until_ready(listen, time_left).await {
-            return breaks("the instance does not respond within the time limit of a point");
+            return fail_measurement("the instance does not respond within the time limit of a point");
         }
         let counter = self.fleet.destinations.delivered();
         let before = counter.load(Ordering::Relaxed);
@@ -427,7 +436,7 @@
         while counter.load(Ordering::Relaxed) == before {
             if Instant::now() >= deadline {
                 let (bytes, limit) = (list.len(), FIRST_DELIVERY_TIMEOUT.as_secs());
-                return breaks(format!(
+                return fail_measurement(format!(
                     "a list of {bytes} bytes is not applied from discovery within {limit} s"
                 ));
             }
