--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -48,8 +48,8 @@
     pub const DELIVERED: &str = "delivered a second";
     /// Share of the load's messages that the instance did not accept.
     pub const REJECTED: &str = "rejected share";
-    /// Time to submit a backlog per message: if it grows with the size of the backlog, the growth is half of that of the
-    /// time for the last message.
+    /// Mean time to submit a message of the backlog. If the time per message grows linearly with the backlog, the mean
+    /// grows half as fast as the time of the last message.
     pub const FILL_US: &str = "us to hand in a message of the backlog";
     /// Time from the restart of an instance that was killed with a backlog to its first reply.
     pub const READY_AGAIN_S: &str = "ready after a kill s";
@@ -129,7 +129,7 @@
     let mut measurement = Measurement::default();
     let ended = on_one_thread(async {
         let deadline = Instant::now() + plan.point_time_limit;
-        let mut point = Point::start(plan, sizes, seed, program, deadline).await?;
+        let mut point = RunningPoint::start(plan, sizes, seed, program, deadline).await?;
         point.measure(&mut measurement).await
     });
     match ended {
@@ -160,7 +160,8 @@
     datagram_bytes: u64,
 }
 
-struct Point<'a> {
+/// Point that is being measured.
+struct RunningPoint<'a> {
     plan: &'a Plan,
     sizes: Sizes,
     seed: u64,
@@ -176,7 +177,7 @@
     warm_up_messages: u64,
 }
 
-impl<'a> Point<'a> {
+impl<'a> RunningPoint<'a> {
     async fn start(
         plan: &'a Plan,
         sizes: &Sizes,
@@ -193,12 +194,12 @@
         let listen = free_port()?;
         let configured = configure(&fleet, &directory, "real", listen, sizes, seed, Some(&known))?;
         drop(known);
-        let begun = Instant::now();
+        let started = Instant::now();
         let instance = start(program, &directory, "real", &configured)?;
-        if !wait_until_ready(listen, deadline.saturating_duration_since(begun)).await {
+        if !wait_until_ready(listen, deadline.saturating_duration_since(started)).await {
             return fail_measurement("the instance does not respond within the time limit of a point");
         }
-        let startup = begun.elapsed();
+        let startup = started.elapsed();
         Ok(Self {
             plan,
             sizes: *sizes,
@@ -258,11 +259,11 @@
     }
 
     async fn submit_backlog(&self, measurement: &mut Measurement) -> Result<(), Stop> {
-        let (begun, count) = (Instant::now(), self.sizes.backlog);
+        let (started, count) = (Instant::now(), self.sizes.backlog);
         let load = &self.plan.load;
         let submissions =
             clients::submit_backlog(self.listen, load, self.sizes.destinations, count, self.deadline).await?;
-        let seconds = begun.elapsed().as_secs_f64();
+        let seconds = started.elapsed().as_secs_f64();
         if submissions.accepted < count {
             let Submissions { accepted, not_accepted } = submissions;
             return fail_measurement(format!(
@@ -274,28 +275,31 @@
     }
 
     async fn measure_idle(&self, measurement: &mut Measurement) -> Result<(), Stop> {
-        let (begun, time, control) = (Instant::now(), self.processor_time()?, self.control_counts());
-        let (control_time, traffic_before) = (self.fleet.control_processor_time(), self.fleet.traffic());
+        let (started, processor_time_before, control) =
+            (Instant::now(), self.processor_time()?, self.control_counts());
+        let (control_time_before, traffic_before) =
+            (self.fleet.control_processor_time(), self.fleet.traffic());
         sleep(self.plan.load.idle_duration).await;
-        let spent = (self.processor_time()? - time).as_secs_f64();
-        let (now, span) = (self.control_counts(), begun.elapsed().as_secs_f64());
-        measurement.put(figure::IDLE_PERCENT, 100.0 * spent / span);
+        let spent = (self.processor_time()? - processor_time_before).as_secs_f64();
+        let (now, elapsed_s) = (self.control_counts(), started.elapsed().as_secs_f64());
+        measurement.put(figure::IDLE_PERCENT, 100.0 * spent / elapsed_s);
         let (discovery, platform) = (now.discovery - control.discovery, now.platform - control.platform);
         let datagrams = now.datagrams - control.datagrams;
         let gossip = now.datagram_bytes - control.datagram_bytes + datagrams * crate::gossip::HEADER_BYTES;
-        measurement.put(figure::CONTROL_BYTES, (discovery.bytes() + platform.bytes() + gossip) as f64 / span);
+        measurement
+            .put(figure::CONTROL_BYTES, (discovery.bytes() + platform.bytes() + gossip) as f64 / elapsed_s);
         measurement.put(
             figure::CONTROL_PACKETS,
-            (discovery.packets() + platform.packets() + datagrams) as f64 / span,
+            (discovery.packets() + platform.packets() + datagrams) as f64 / elapsed_s,
         );
         if self.plan.slope == Slope::Instances {
             let traffic = self.fleet.traffic();
-            let control_time = self.fleet.control_processor_time() - control_time;
+            let control_time = self.fleet.control_processor_time() - control_time_before;
             let bytes = (traffic.discovery - traffic_before.discovery).bytes();
             measurement.put(figure::CONNECTIONS, traffic.open_connections as f64);
-            measurement.put(figure::DISCOVERY_BYTES, bytes as f64 / span);
+            measurement.put(figure::DISCOVERY_BYTES, bytes as f64 / elapsed_s);
             measurement
-                .put(figure::DISCOVERY_US, control_time.as_secs_f64() * MICROSECONDS_PER_SECOND / span);
+                .put(figure::DISCOVERY_US, control_time.as_secs_f64() * MICROSECONDS_PER_SECOND / elapsed_s);
         }
         Ok(())
     }
@@ -307,7 +311,7 @@
 
     async fn measure_loaded(&self, measurement: &mut Measurement) -> Result<(), Stop> {
         let counter = self.fleet.destinations.delivered();
-        let (begun, time) = (Instant::now(), self.processor_time()?);
+        let (started, processor_time_before) = (Instant::now(), self.processor_time()?);
         let before = counter.load(Ordering::Relaxed);
         let (load, loaded) = (&self.plan.load, self.loaded_destinations());
         let submissions =
@@ -317,13 +321,14 @@
         while delivered() < submissions.accepted && Instant::now() < drain_deadline {
             sleep(CHECK_INTERVAL).await;
         }
-        let (spent, span) = (self.processor_time()? - time, begun.elapsed().as_secs_f64());
+        let (spent, elapsed_s) =
+            (self.processor_time()? - processor_time_before, started.elapsed().as_secs_f64());
         if delivered() == 0 {
             return fail_measurement(format!("none of {} messages is delivered", submissions.accepted));
         }
         measurement
             .put(figure::MESSAGE_US, spent.as_secs_f64() * MICROSECONDS_PER_SECOND / delivered() as f64);
-        measurement.put(figure::DELIVERED, delivered() as f64 / span);
+        measurement.put(figure::DELIVERED, delivered() as f64 / elapsed_s);
         let all = (submissions.accepted + submissions.not_accepted).max(1);
         measurement.put(figure::REJECTED, submissions.not_accepted as f64 / all as f64);
         let used = self
@@ -337,19 +342,19 @@
     /// Measures discovery and platform: changes of the list, first alone and then during restarts of a tenth of the
     /// lightweight instances, and a restart of all of them.
     async fn measure_control(&self, measurement: &mut Measurement) -> Result<(), Stop> {
-        let (time, before) = (self.fleet.control_processor_time(), self.fleet.traffic());
-        let calm = self.measure_changes(|| ()).await?;
+        let (control_time_before, before) = (self.fleet.control_processor_time(), self.fleet.traffic());
+        let without_restarts = self.measure_changes(|| ()).await?;
         let each = f64::from(TIMED_CHANGES);
-        let spent = (self.fleet.control_processor_time() - time).as_secs_f64();
+        let spent = (self.fleet.control_processor_time() - control_time_before).as_secs_f64();
         let bytes = (self.fleet.traffic().discovery - before.discovery).bytes();
         measurement.put(figure::CHANGE_MS, spent * 1e3 / each);
         measurement.put(figure::CHANGE_BYTES, bytes as f64 / each);
-        measurement.put(figure::CALM_MEDIAN_S, calm.0);
-        measurement.put(figure::CALM_WORST_S, calm.1);
+        measurement.put(figure::CALM_MEDIAN_S, without_restarts.0);
+        measurement.put(figure::CALM_WORST_S, without_restarts.1);
         let restarting = self.measure_changes(|| self.fleet.restart_every(RESTART_STEP)).await?;
         measurement.put(figure::RESTARTING_MEDIAN_S, restarting.0);
         measurement.put(figure::RESTARTING_WORST_S, restarting.1);
-        let (begun, time, before) =
+        let (started, control_time_before, before) =
             (Instant::now(), self.fleet.control_processor_time(), self.fleet.traffic());
         self.fleet.restart_every(1);
         if !self.fleet.wait_until_ready(self.deadline).await {
@@ -359,8 +364,11 @@
         }
         let now = self.fleet.traffic();
         let (discovery, platform) = (now.discovery - before.discovery, now.platform - before.platform);
-        measurement.put(figure::RESTART_S, begun.elapsed().as_secs_f64());
-        measurement.put(figure::RESTART_CPU_S, (self.fleet.control_processor_time() - time).as_secs_f64());
+        measurement.put(figure::RESTART_S, started.elapsed().as_secs_f64());
+        measurement.put(
+            figure::RESTART_CPU_S,
+            (self.fleet.control_processor_time() - control_time_before).as_secs_f64(),
+        );
         measurement.put(figure::RESTART_BYTES, discovery.bytes() as f64);
         measurement.put(figure::RESTART_CONNECTIONS, discovery.connections as f64);
         measurement.put(figure::RESTART_PLATFORM_BYTES, platform.bytes() as f64);
@@ -398,14 +406,14 @@
             |e: std::io::Error| Stop::EnvironmentFailed(format!("the instance cannot be stopped: {e}"));
         self.instance.signal("KILL").map_err(stop_failed)?;
         self.instance.wait_for_exit().await.map_err(stop_failed)?;
-        let begun = Instant::now();
+        let started = Instant::now();
         self.instance = start(self.program, &self.directory, "real", &self.directory.0.join("real.json"))?;
-        if !wait_until_ready(self.listen, self.deadline.saturating_duration_since(begun)).await {
+        if !wait_until_ready(self.listen, self.deadline.saturating_duration_since(started)).await {
             return fail_measurement(
                 "the restarted instance does not respond within the time limit of a point",
             );
         }
-        measurement.put(figure::READY_AGAIN_S, begun.elapsed().as_secs_f64());
+        measurement.put(figure::READY_AGAIN_S, started.elapsed().as_secs_f64());
         Ok(())
     }
 
@@ -417,9 +425,9 @@
         let listen = free_port()?;
         let configured =
             configure(&self.fleet, &self.directory, "bare", listen, &self.sizes, self.seed, None)?;
-        let begun = Instant::now();
+        let started = Instant::now();
         let _instance = start(self.program, &self.directory, "bare", &configured)?;
-        let time_left = self.deadline.saturating_duration_since(begun);
+        let time_left = self.deadline.saturating_duration_since(started);
         if !wait_until_ready(listen, time_left).await {
             return fail_measurement("the instance does not respond within the time limit of a point");
         }
@@ -432,7 +440,7 @@
             ..self.plan.load
         };
         clients::submit_load(listen, &load, 1, &counter, 1 << 32).await?;
-        let deadline = begun + FIRST_DELIVERY_TIMEOUT.min(time_left);
+        let deadline = started + FIRST_DELIVERY_TIMEOUT.min(time_left);
         while counter.load(Ordering::Relaxed) == before {
             if Instant::now() >= deadline {
                 let (bytes, limit) = (list.len(), FIRST_DELIVERY_TIMEOUT.as_secs());
@@ -442,7 +450,7 @@
             }
             sleep(CHECK_INTERVAL).await;
         }
-        measurement.put(figure::BY_DISCOVERY_S, begun.elapsed().as_secs_f64());
+        measurement.put(figure::BY_DISCOVERY_S, started.elapsed().as_secs_f64());
         Ok(())
     }
 }
