--- a/crates/quillhub-experiments/src/baselines.rs
+++ b/crates/quillhub-experiments/src/baselines.rs
@@ -15,7 +15,7 @@
 /// Period over which the budget compares retries with first attempts.
 const BUDGET_PERIOD: Duration = Duration::from_secs(10);
 /// Delay before a retry that the budget did not allow is considered again.
-const BUDGET_RECHECK: Duration = Duration::from_secs(1);
+const BUDGET_RECHECK_DELAY: Duration = Duration::from_secs(1);
 /// Time before its deadline at which a message is given up, so that its final outcome arrives by the deadline.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
 /// Maximum number of due messages considered in one step; the others are considered in later steps.
@@ -23,7 +23,7 @@
 /// Duration that the oracle assumes for a call.
 const ORACLE_CALL_DURATION: Duration = Duration::from_millis(200);
 /// Delay before a message without a usable endpoint is considered again.
-const ENDPOINT_RECHECK: Duration = Duration::from_millis(50);
+const ENDPOINT_RECHECK_DELAY: Duration = Duration::from_millis(50);
 
 /// Decider of a run, as named in experiment files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -75,10 +75,10 @@
     /// Maximum delay of `exponential` and `jitter`.
     #[serde(rename = "cap", with = "humantime_serde")]
     pub max_delay: Duration,
-    /// Attempt timeout of all baselines except `oracle`, whose attempts may last until the deadline.
+    /// Attempt timeout of all baselines except `oracle`, whose attempts time out at the deadline.
     #[serde(rename = "timeout", with = "humantime_serde")]
     pub attempt_timeout: Duration,
-    /// Maximum number of retries per first attempt of `budget`, over the last 10 seconds.
+    /// Maximum number of retries per first attempt of `budget`, over the last `BUDGET_PERIOD`.
     #[serde(rename = "share")]
     pub retry_share: f64,
 }
@@ -435,14 +435,14 @@
                 continue;
             }
             if attempts > 0 && self.kind == DeciderKind::Budget && !self.budget_allows_retry(destination) {
-                self.postpone(id, (now + BUDGET_RECHECK).min(deadline));
+                self.postpone(id, (now + BUDGET_RECHECK_DELAY).min(deadline));
                 continue;
             }
             if self.in_flight >= self.slots {
                 break;
             }
             let Some(name) = self.choose_endpoint(id) else {
-                self.postpone(id, (now + ENDPOINT_RECHECK).min(deadline));
+                self.postpone(id, (now + ENDPOINT_RECHECK_DELAY).min(deadline));
                 continue;
             };
             let timeout =
@@ -460,9 +460,9 @@
             self.due.remove(&(pending.due, id));
             (pending.attempts, pending.started, pending.endpoint) = (attempts + 1, now, name);
         }
-        // Wakes up for the next due time or deadline; messages that wait for a slot are started when a call ends.
+        // Sets a timer for the next due time or deadline; messages that wait for a slot are started when a call ends.
         let next = self.due.first().into_iter().chain(self.deadlines.first()).map(|(at, _)| *at).min();
-        let next = next.map(|at| at.max(now + ENDPOINT_RECHECK / 5));
+        let next = next.map(|at| at.max(now + ENDPOINT_RECHECK_DELAY / 5));
         if let Some(at) = next.filter(|at| self.timer.is_none_or(|timer| timer > *at || timer <= now)) {
             self.timer = Some(at);
             driver.set_timer(at - now);
--- a/crates/quillhub-experiments/src/compare.rs
+++ b/crates/quillhub-experiments/src/compare.rs
@@ -26,7 +26,7 @@
     pub second: f64,
     /// Mean of the differences, second minus first, over all pairs.
     pub difference: f64,
-    /// 95% confidence interval of the difference; `None` with fewer than 3 pairs.
+    /// Confidence interval of the difference at the level `CONFIDENCE`; `None` with fewer than `MIN_PAIRS` pairs.
     pub interval: Option<(f64, f64)>,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns the 95% confidence interval of the mean of `values`, by resampling with replacement.
+/// Returns the confidence interval, at the level [`CONFIDENCE`], of the mean of `values`, by resampling with replacement.
 fn bootstrap(values: &[f64]) -> (f64, f64) {
     let mut rng = Pcg64Mcg::seed_from_u64(BOOTSTRAP_SEED);
     let count = values.len();
