--- a/crates/quillhub-experiments/src/capacity/evidence.rs
+++ b/crates/quillhub-experiments/src/capacity/evidence.rs
@@ -31,7 +31,7 @@
 pub struct Evidence {
     slopes: BTreeMap<Slope, Vec<Point>>,
     /// Steps of the load test: offered messages per second, and the share delivered by the soft deadline.
-    steps: Vec<(f64, f64)>,
+    load_steps: Vec<(f64, f64)>,
 }
 
 /// Returns the name of the experiment that measures a slope.
@@ -46,7 +46,7 @@
         for point in points {
             slopes.entry(point.slope).or_default().push(point);
         }
-        Self { slopes, steps: Vec::new() }
+        Self { slopes, load_steps: Vec::new() }
     }
 
     /// Adds the steps of a load test from the text of its `load.jsonl`.
@@ -61,7 +61,7 @@
             let (Some(rate), Some(on_time_share)) = fields else {
                 return Err(format!("{}: expected a step of a load test as JSON, found '{line}'", index + 1));
             };
-            self.steps.push((rate, on_time_share));
+            self.load_steps.push((rate, on_time_share));
         }
         Ok(self)
     }
@@ -73,7 +73,7 @@
     /// Returns a message if no step was sustained.
     pub fn max_sustained_rate(&self) -> Result<Figure, String> {
         let sustained = self
-            .steps
+            .load_steps
             .iter()
             .filter(|(_, on_time_share)| *on_time_share >= MIN_ON_TIME_SHARE)
             .map(|(rate, _)| *rate);
--- a/crates/quillhub-experiments/src/capacity/target.rs
+++ b/crates/quillhub-experiments/src/capacity/target.rs
@@ -15,7 +15,7 @@
 pub const ZONES: f64 = 7.0;
 /// Number of configuration changes per day.
 pub const CHANGES_PER_DAY: f64 = 1_700.0;
-/// Maximum time until a change is in force at all instances, in seconds.
+/// Maximum time until all instances have applied a change, in seconds.
 pub const MAX_PROPAGATION_S: f64 = 16.0;
 /// Maximum processor time of an instance for control traffic, in percent of a core.
 pub const MAX_CONTROL_CPU_PERCENT: f64 = 4.7;
@@ -29,7 +29,7 @@
 pub const FAILED_MACHINES: f64 = 3.0;
 /// Maximum time until a restarted instance is ready, in seconds.
 pub const MAX_READY_S: f64 = 10.0;
-/// Number of destinations per instance, if destinations are divided among instances; the largest that the page assumes.
+/// Maximum number of destinations per instance that the page assumes, if destinations are divided among instances.
 pub const DESTINATIONS_EACH: f64 = 740.0;
 
 /// Number of seconds per day.
