--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -350,7 +350,7 @@
     }
 }
 
-/// Runs a step for each of `rates`, and writes table and charts into `folder`. Without rates, searches for the knee:
+/// Runs a step for each of `rates`, and writes table and charts into `directory`. Without rates, searches for the knee:
 /// doubles the scenario's rate until it is exceeded, then bisects.
 ///
 /// # Errors
@@ -360,14 +360,14 @@
     plan: &ExperimentPlan,
     rates: &[f64],
     options: &LoadOptions,
-    folder: &Path,
+    directory: &Path,
 ) -> Result<Vec<Step>, String> {
     let scenario = &plan.variants[0].scenario;
     endpoints::check_supported(scenario)?;
     if scenario.instances.count != 1 {
         return Err(format!("couriers.count: expected 1, found {}", scenario.instances.count));
     }
-    std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+    std::fs::create_dir_all(directory).map_err(|e| format!("{}: {e}", directory.display()))?;
     let scenario_rate: f64 = scenario.arrivals.iter().map(|stream| stream.per_s).sum();
     let mut steps = Vec::new();
     let mut measure = |rate: f64| -> Result<bool, String> {
@@ -396,7 +396,7 @@
         }
     }
     steps.sort_by(|a, b| a.rate.total_cmp(&b.rate));
-    write(folder, &steps)?;
+    write(directory, &steps)?;
     Ok(steps)
 }
 
@@ -420,9 +420,9 @@
     )
 }
 
-fn write(folder: &Path, steps: &[Step]) -> Result<(), String> {
+fn write(directory: &Path, steps: &[Step]) -> Result<(), String> {
     let write_file = |name: &str, text: String| {
-        let path = folder.join(name);
+        let path = directory.join(name);
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))
     };
     let lines: Result<Vec<_>, _> = steps.iter().map(serde_json::to_string).collect();
--- a/crates/quillhub-experiments/src/report.rs
+++ b/crates/quillhub-experiments/src/report.rs
@@ -223,12 +223,12 @@
 /// # Errors
 ///
 /// Returns a message if a chart cannot be drawn or a file cannot be written.
-pub fn write(folder: &Path, runs: &[RunRecord]) -> Result<(), String> {
+pub fn write(directory: &Path, runs: &[RunRecord]) -> Result<(), String> {
     let error_at = |path: &Path, error: std::io::Error| format!("{}: {error}", path.display());
-    let path = folder.join("table.csv");
+    let path = directory.join("table.csv");
     std::fs::write(&path, csv(runs)).map_err(|e| error_at(&path, e))?;
     for (name, svg) in charts(runs)? {
-        let path = folder.join(name);
+        let path = directory.join(name);
         std::fs::write(&path, svg).map_err(|e| error_at(&path, e))?;
     }
     Ok(())
--- a/crates/quillhub-experiments/src/results.rs
+++ b/crates/quillhub-experiments/src/results.rs
@@ -121,8 +121,8 @@
 /// # Errors
 ///
 /// Returns a message if the file cannot be read, or if a line other than an incomplete last one is invalid.
-pub fn read(folder: &Path) -> Result<Vec<RunRecord>, String> {
-    let path = folder.join("runs.jsonl");
+pub fn read(directory: &Path) -> Result<Vec<RunRecord>, String> {
+    let path = directory.join("runs.jsonl");
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(Vec::new()),
--- a/crates/quillhub-experiments/src/scale.rs
+++ b/crates/quillhub-experiments/src/scale.rs
@@ -55,7 +55,7 @@
 }
 
 /// Measures all sizes of `plan`. Stops after a size that breaks before its load was measured.
-fn run_all(plan: &Plan, experiment: &str, program: &Path, folder: &Path) -> Result<Vec<Point>, String> {
+fn run_all(plan: &Plan, experiment: &str, program: &Path, directory: &Path) -> Result<Vec<Point>, String> {
     let machine = machine::current_machine();
     let (mut points, total) = (Vec::new(), plan.sizes.len() * plan.plays as usize);
     for (size, sizes) in plan.points() {
@@ -78,7 +78,7 @@
                 load_average: [before, machine::load_average()],
                 machine: machine.clone(),
             });
-            write(folder, results::FILE_NAME, &results::to_text(&points)?)?;
+            write(directory, results::FILE_NAME, &results::to_text(&points)?)?;
             if points.last().is_some_and(|point| !point.figures.contains_key(figure::MESSAGE_US)) {
                 return Ok(points);
             }
@@ -87,29 +87,29 @@
     Ok(points)
 }
 
-fn write(folder: &Path, name: &str, text: &str) -> Result<(), String> {
-    let path = folder.join(name);
+fn write(directory: &Path, name: &str, text: &str) -> Result<(), String> {
+    let path = directory.join(name);
     std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Runs the scale test at `path` with the instance's `program`, writes the results into `folder`, and prints a table.
+/// Runs the scale test at `path` with the instance's `program`, writes the results into `directory`, and prints a table.
 ///
 /// # Errors
 ///
 /// Returns a message if the file is invalid, exceeds the limits of this machine, or the test or a write fails.
-pub fn run(path: &Path, program: &Path, folder: &Path) -> Result<(), String> {
+pub fn run(path: &Path, program: &Path, directory: &Path) -> Result<(), String> {
     let plan = Plan::read(path)?;
     check(&plan, path)?;
-    std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+    std::fs::create_dir_all(directory).map_err(|e| format!("{}: {e}", directory.display()))?;
     let experiment = path.file_stem().map_or(String::new(), |stem| stem.to_string_lossy().into());
-    let points = run_all(&plan, &experiment, program, folder)?;
-    write(folder, "points.csv", &csv(&points))?;
+    let points = run_all(&plan, &experiment, program, directory)?;
+    write(directory, "points.csv", &csv(&points))?;
     for row in rows(&points) {
         let name = format!("{}.svg", file_stem(&row.name));
-        write(folder, &name, &draw_chart(plan.slope, &row)?)?;
+        write(directory, &name, &draw_chart(plan.slope, &row)?)?;
     }
     println!("{experiment} (on sockets)\n\n{}", table(&points));
-    println!("results in {}", folder.display());
+    println!("results in {}", directory.display());
     Ok(())
 }
 
--- a/crates/quillhub-experiments/src/sweep.rs
+++ b/crates/quillhub-experiments/src/sweep.rs
@@ -85,16 +85,16 @@
     move |error| format!("{}: {error}", path.display())
 }
 
-/// Simulates the runs that have no result in `folder` yet, and returns the results of all runs in order. With
+/// Simulates the runs that have no result in `directory` yet, and returns the results of all runs in order. With
 /// `show_progress`, shows a progress bar.
 ///
 /// # Errors
 ///
 /// Returns a message if the results cannot be read or written.
-pub fn run(plan: &ExperimentPlan, folder: &Path, show_progress: bool) -> Result<Vec<RunRecord>, String> {
-    std::fs::create_dir_all(folder).map_err(error_at(folder))?;
+pub fn run(plan: &ExperimentPlan, directory: &Path, show_progress: bool) -> Result<Vec<RunRecord>, String> {
+    std::fs::create_dir_all(directory).map_err(error_at(directory))?;
     let text = plan.text_hash();
-    let mut records = results::read(folder)?;
+    let mut records = results::read(directory)?;
     records.retain(|run| run.text == text && run.version == VERSION);
     let runs = plan.runs();
     let finished: BTreeSet<_> =
@@ -102,9 +102,9 @@
     let key = |run: &Run| (run.variant.name.clone(), run.decider.name().to_owned(), run.seed);
     let remaining: Vec<_> = runs.iter().filter(|run| !finished.contains(&key(run))).collect();
     // Removes results of other experiments and versions before appending new ones.
-    let path = folder.join("runs.jsonl");
+    let path = directory.join("runs.jsonl");
     write_records(&path, &records)?;
-    std::fs::write(folder.join("experiment.toml"), &plan.text).map_err(error_at(folder))?;
+    std::fs::write(directory.join("experiment.toml"), &plan.text).map_err(error_at(directory))?;
     let file = OpenOptions::new().append(true).create(true).open(&path).map_err(error_at(&path))?;
     let output: Mutex<(File, Vec<RunRecord>)> = Mutex::new((file, Vec::new()));
     let style = ProgressStyle::with_template("{pos}/{len} runs  {elapsed}  {wide_bar} {eta}");
--- a/crates/quillhub-experiments/tests/digests.rs
+++ b/crates/quillhub-experiments/tests/digests.rs
@@ -29,12 +29,12 @@
 }
 
 fn run(name: &str, text: &str, threads: usize) -> String {
-    let folder = ScratchDirectory::new();
+    let directory = ScratchDirectory::new();
     let experiment = ExperimentPlan::parse(name, text).unwrap_or_else(|e| panic!("{name}: {e:?}"));
     let pool =
         rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("the thread pool can be created");
     let runs =
-        pool.install(|| sweep::run(&experiment, &folder.0, false)).expect("the results can be written");
+        pool.install(|| sweep::run(&experiment, &directory.0, false)).expect("the results can be written");
     record(&runs)
 }
 
--- a/crates/quillhub-experiments/tests/simulation.rs
+++ b/crates/quillhub-experiments/tests/simulation.rs
@@ -118,17 +118,17 @@
 whom = { endpoints = 1 }
 ";
 
-fn run_sweep(threads: usize, folder: &ScratchDirectory) -> Vec<RunRecord> {
+fn run_sweep(threads: usize, directory: &ScratchDirectory) -> Vec<RunRecord> {
     let plan = ExperimentPlan::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().unwrap();
-    pool.install(|| sweep::run(&plan, &folder.0, false)).unwrap()
+    pool.install(|| sweep::run(&plan, &directory.0, false)).unwrap()
 }
 
 /// Guards against results that depend on the order in which threads finish their runs.
 #[test]
 fn one_thread_and_four_give_the_same_runs() {
-    let (one_folder, four_folder) = (ScratchDirectory::new(), ScratchDirectory::new());
-    let (one, four) = (run_sweep(1, &one_folder), run_sweep(4, &four_folder));
+    let (one_directory, four_directory) = (ScratchDirectory::new(), ScratchDirectory::new());
+    let (one, four) = (run_sweep(1, &one_directory), run_sweep(4, &four_directory));
     assert_eq!(one, four);
     let mut hashes: Vec<_> = one.iter().map(|run| &run.hash).collect();
     hashes.sort();
@@ -152,21 +152,21 @@
 /// The program may be stopped while it writes a result, which leaves an incomplete last line.
 #[test]
 fn an_interrupted_sweep_is_resumed() {
-    let folder = ScratchDirectory::new();
-    let complete = run_sweep(2, &folder);
-    let path = folder.0.join("runs.jsonl");
+    let directory = ScratchDirectory::new();
+    let complete = run_sweep(2, &directory);
+    let path = directory.0.join("runs.jsonl");
     let text = std::fs::read_to_string(&path).unwrap();
     let cut_offset = text.match_indices('\n').nth(4).unwrap().0 + 40;
     std::fs::write(&path, &text[..cut_offset]).unwrap();
-    assert_eq!(run_sweep(2, &folder), complete);
+    assert_eq!(run_sweep(2, &directory), complete);
     assert_eq!(std::fs::read_to_string(&path).unwrap(), text);
 }
 
 /// The page must not refer to other files, so that it can be read without them.
 #[test]
 fn a_message_is_explained_up_to_its_final_outcome_and_the_page_is_self_contained() {
-    let folder = ScratchDirectory::new();
-    let runs = run_sweep(4, &folder);
+    let directory = ScratchDirectory::new();
+    let runs = run_sweep(4, &directory);
     let plan = ExperimentPlan::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
     let lines = explain::explain(&plan, &runs[0], 1).unwrap();
     assert!(
@@ -174,8 +174,8 @@
         "{lines:?}"
     );
     assert!(explain::explain(&plan, &runs[0], 99_999_999).is_err());
-    report::write(&folder.0, &runs).unwrap();
+    report::write(&directory.0, &runs).unwrap();
     let page = report::page("days", SCENARIOS, "why", "", &runs).unwrap();
     assert!(page.contains("<svg") && !page.contains("href=") && !page.contains("src="));
-    assert_eq!(std::fs::read_to_string(folder.0.join("table.csv")).unwrap().lines().count(), 5);
+    assert_eq!(std::fs::read_to_string(directory.0.join("table.csv")).unwrap().lines().count(), 5);
 }
