--- a/crates/quillhub-experiments/src/experiment.rs
+++ b/crates/quillhub-experiments/src/experiment.rs
@@ -25,7 +25,7 @@
     /// Findings, as text for the report; empty until there are any.
     #[serde(default)]
     pub found: String,
-    /// Seeds with which each variant is run; the first seed also records time series.
+    /// Seeds with which each variant is run; time series are recorded for the first seed only.
     pub seeds: Vec<u64>,
     /// Deciders to compare; each runs every variant with every seed.
     pub deciders: Vec<DeciderKind>,
@@ -38,7 +38,7 @@
     pub sweep: BTreeMap<String, Vec<Value>>,
     /// Named sets of values that are applied together; each is combined with every combination of the sweep.
     #[serde(default)]
-    pub points: Vec<Point>,
+    pub points: Vec<ScenarioPoint>,
     /// Scenario before points and sweep are applied.
     #[serde(rename = "day")]
     pub scenario: Value,
@@ -47,7 +47,7 @@
 /// Named set of changes to the scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Point {
+pub struct ScenarioPoint {
     /// Name of the point, with which the names of its variants start.
     pub name: String,
     /// Values to set, by path in the scenario.
@@ -217,7 +217,7 @@
     if definition.points.is_empty() {
         return Ok(vec![VariantDraft { name: String::new(), scenario: definition.scenario.clone() }]);
     }
-    let vary = |(index, point): (usize, &Point)| {
+    let vary = |(index, point): (usize, &ScenarioPoint)| {
         let place = format!("points[{index}]");
         let mut scenario = definition.scenario.clone();
         for (path, value) in &point.set {
@@ -236,7 +236,7 @@
     mut drafts: Vec<VariantDraft>,
 ) -> Result<Vec<VariantDraft>, ParseError> {
     for (path, values) in &definition.sweep {
-        let mut crossed = Vec::new();
+        let mut combined = Vec::new();
         for VariantDraft { name, scenario } in &drafts {
             for value in values {
                 let mut scenario = scenario.clone();
@@ -245,13 +245,13 @@
                 let last_key = path.rsplit('.').next().unwrap_or(path);
                 let value_text = value.as_str().map_or_else(|| value.to_string(), String::from);
                 let separator = if name.is_empty() { "" } else { " " };
-                crossed.push(VariantDraft {
+                combined.push(VariantDraft {
                     name: format!("{name}{separator}{last_key}={value_text}"),
                     scenario,
                 });
             }
         }
-        drafts = crossed;
+        drafts = combined;
     }
     Ok(drafts)
 }
@@ -261,7 +261,7 @@
 fn parse_variant(definition: &Experiment, text: &str, draft: VariantDraft) -> Result<Variant, ParseError> {
     let VariantDraft { name, scenario } = draft;
     let place = if definition.sweep.is_empty() { "points" } else { "sweep" };
-    let error = |message: String| (locate(text, place), format!("{place}: with {name}, {message}"));
+    let error = |message: String| (locate(text, place), format!("{place}: in variant '{name}': {message}"));
     let scenario: Scenario =
         scenario.try_into().map_err(|e: toml::de::Error| error(join_lines(e.message())))?;
     scenario.check().map_err(|e| error(e.to_string()))?;
