--- a/crates/quillhub-experiments/src/explain.rs
+++ b/crates/quillhub-experiments/src/explain.rs
@@ -41,7 +41,7 @@
     lines.extend(breaches.map(|breach| format!("breach: {breach}")));
     let is_same_run = format!("{:016x}", report.hash) == run.hash;
     if !is_same_run {
-        lines.push("this run differs from the kept one, which another build made".into());
+        lines.push("this run differs from the kept one: the kept one was made by another build".into());
     }
     Ok(lines)
 }
--- a/crates/quillhub-experiments/src/report.rs
+++ b/crates/quillhub-experiments/src/report.rs
@@ -209,7 +209,10 @@
         push_line(&svg);
     }
     let version = runs.first().map_or("", |run| &run.version);
-    push_line(&format!("<h2>The experiment, version {version}</h2><pre>{}</pre>", escape_html(text)));
+    push_line(&format!(
+        "<h2>Experiment file (run by version {version})</h2><pre>{}</pre>",
+        escape_html(text)
+    ));
     let style = "body{font:15px sans-serif;max-width:70em;margin:2em auto}td,th{padding:.2em .6em;text-align:right}\
                  td:nth-child(-n+2){text-align:left}tr:nth-child(even){background:#eee}svg{max-width:100%}";
     Ok(format!(
