--- a/crates/quillhub-experiments/src/compare_tests.rs
+++ b/crates/quillhub-experiments/src/compare_tests.rs
@@ -6,7 +6,7 @@
     let run = |seed| RunRecord {
         experiment: "x".into(),
         version: String::new(),
-        text: String::new(),
+        text_hash: String::new(),
         variant: String::new(),
         decider: "module".into(),
         seed,
--- a/crates/quillhub-experiments/src/results.rs
+++ b/crates/quillhub-experiments/src/results.rs
@@ -16,7 +16,8 @@
     /// Version of the program that ran it. Runs of another version are not reused.
     pub version: String,
     /// Hash of the experiment file without its findings, in hexadecimal digits. Runs with another hash are not reused.
-    pub text: String,
+    #[serde(rename = "text")]
+    pub text_hash: String,
     /// Name of the variant; empty if the experiment varies nothing.
     pub variant: String,
     /// Name of the decider, such as `module` or `oracle`.
--- a/crates/quillhub-experiments/src/sweep.rs
+++ b/crates/quillhub-experiments/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Runs all simulations of an experiment in parallel and writes each result as it ends, so that an interrupted sweep
+//! Runs all simulations of an experiment in parallel and writes each result as soon as its run ends, so that an interrupted sweep
 //! can be resumed.
 
 use crate::baselines::{self, DeciderKind};
@@ -62,13 +62,13 @@
         Simulation::run(&run.variant.scenario, run.seed, &create_decider, observe)
     }
 
-    fn record_run(&self, run: &Run, text: &str) -> RunRecord {
+    fn record_run(&self, run: &Run, text_hash: &str) -> RunRecord {
         let report = self.simulate(run, |_, _| {});
         let is_first_seed = self.definition.seeds.first() == Some(&run.seed);
         RunRecord {
             experiment: self.name.clone(),
             version: VERSION.into(),
-            text: text.into(),
+            text_hash: text_hash.into(),
             variant: run.variant.name.clone(),
             decider: run.decider.name().into(),
             seed: run.seed,
@@ -93,9 +93,9 @@
 /// Returns a message if the results cannot be read or written.
 pub fn run(plan: &ExperimentPlan, directory: &Path, show_progress: bool) -> Result<Vec<RunRecord>, String> {
     std::fs::create_dir_all(directory).map_err(error_at(directory))?;
-    let text = plan.text_hash();
+    let text_hash = plan.text_hash();
     let mut records = results::read(directory)?;
-    records.retain(|run| run.text == text && run.version == VERSION);
+    records.retain(|run| run.text_hash == text_hash && run.version == VERSION);
     let runs = plan.runs();
     let finished: BTreeSet<_> =
         records.iter().map(|run| (run.variant.clone(), run.decider.clone(), run.seed)).collect();
@@ -111,7 +111,7 @@
     let bar = if show_progress { ProgressBar::new(remaining.len() as u64) } else { ProgressBar::hidden() };
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     remaining.par_iter().try_for_each(|run| {
-        let record = plan.record_run(run, &text);
+        let record = plan.record_run(run, &text_hash);
         let line = serde_json::to_string(&record).map_err(|e| format!("a run cannot be serialized: {e}"))?;
         let mut locked = output.lock().map_err(|_| "another run panicked".to_string())?;
         writeln!(locked.0, "{line}").and_then(|()| locked.0.flush()).map_err(error_at(&path))?;
@@ -130,7 +130,7 @@
     Ok(records)
 }
 
-/// Replaces the file at `path` by way of a temporary file, so that no result is lost if the program is stopped.
+/// Replaces the file at `path` through a temporary file, so that no result is lost if the program is stopped.
 fn write_records(path: &Path, runs: &[RunRecord]) -> Result<(), String> {
     let temporary = path.with_extension("new");
     let lines: Result<Vec<_>, _> = runs.iter().map(serde_json::to_string).collect();
