--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -24,7 +24,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Time from the start of the fakes to the start of the scenario; an instance starts in far less.
+/// Time from the start of the fakes to the start of the scenario; the instance must respond within this time.
 const STARTUP_TIME: Duration = Duration::from_secs(2);
 /// Time after the last deadline during which late events are still counted.
 const GRACE_AFTER_DEADLINES: Duration = Duration::from_secs(1);
@@ -34,7 +34,7 @@
 const MIN_ON_TIME_SHARE: f64 = 0.99;
 /// Number of bisection steps between the highest sustained rate and the lowest exceeded one.
 const BISECTION_STEPS: usize = 3;
-/// Highest rate tried in the search for the knee, in messages per second.
+/// Highest rate tried in the search for the highest sustained rate by doubling, in messages per second.
 const MAX_RATE_PER_S: f64 = 50_000.0;
 
 /// Results of one step, as a line of `load.jsonl`.
@@ -46,7 +46,7 @@
     pub rate: f64,
     /// Figures by name.
     pub figures: BTreeMap<String, f64>,
-    /// CPU time of the instance between samples, in seconds. Samples are taken once a second; the first interval also
+    /// Processor time of the instance between samples, in seconds. Samples are taken once a second; the first interval also
     /// covers the start-up.
     pub cpu: Vec<f64>,
     /// Resident memory of the instance in kB, once before the scenario and then once a second.
@@ -78,7 +78,7 @@
 /// other.
 struct FakeServices {
     listed: Vec<ListedEndpoint>,
-    platform: SocketAddr,
+    control_address: SocketAddr,
     events: UnboundedReceiver<EndpointEvent>,
     outcomes: UnboundedReceiver<OutcomeNotification>,
     _stop: oneshot::Sender<()>,
@@ -104,9 +104,9 @@
             let _ = stopped.await;
         });
     });
-    let (listed, platform) =
+    let (listed, control_address) =
         started_receiver.recv().map_err(|_| "the thread of the fake services ended".to_string())??;
-    Ok(FakeServices { listed, platform, events, outcomes, _stop: stop })
+    Ok(FakeServices { listed, control_address, events, outcomes, _stop: stop })
 }
 
 /// Counts of the events that fake endpoints reported.
@@ -157,7 +157,7 @@
 }
 
 /// Returns the messages of the scenario, as clients submit them.
-fn scheduled(scenario: &Scenario, seed: u64) -> Result<Vec<ScheduledMessage>, String> {
+fn scheduled_messages(scenario: &Scenario, seed: u64) -> Result<Vec<ScheduledMessage>, String> {
     let messages: Vec<_> = arrivals(scenario, seed).into_iter().map(ScheduledMessage::from).collect();
     if messages.len() > MAX_MESSAGES {
         return Err(format!("expected at most {MAX_MESSAGES} messages in a step, found {}", messages.len()));
@@ -172,7 +172,7 @@
     let rate = scenario.arrivals.iter().map(|stream| stream.per_s).sum();
     // Leaked once per step, because tasks on the fakes' thread use it until they end.
     let scenario: &'static Scenario = Box::leak(Box::new(scenario));
-    let messages = scheduled(scenario, options.seed)?;
+    let messages = scheduled_messages(scenario, options.seed)?;
     let directory = scratch::ScratchDirectory::new();
     scratch::on_one_thread(async {
         let started = Instant::now() + STARTUP_TIME;
@@ -184,14 +184,14 @@
             clients::submit_scheduled(running.requests.clone(), running.listen, messages, connections, body);
         let clients = spawn_local(clients);
         running.collect_events(&mut fakes, || clients.is_finished()).await?;
-        let last = running.instance.usage().unwrap_or_default();
+        let final_usage = running.instance.usage().unwrap_or_default();
         let requests = running.requests.borrow();
         let step = FinishedStep {
             scenario,
             requests: &requests,
             endpoint_counts: &running.endpoint_counts,
             usage: &running.usage,
-            last,
+            final_usage,
             count,
         };
         Ok(step.figures(&plan.name, rate))
@@ -214,7 +214,7 @@
         scenario,
         options.seed,
         listen,
-        fakes.platform,
+        fakes.control_address,
         endpoint_list,
         options.sockets,
     );
@@ -291,7 +291,7 @@
     requests: &'a RequestLog,
     endpoint_counts: &'a EndpointCounts,
     usage: &'a [Usage],
-    last: Usage,
+    final_usage: Usage,
     count: usize,
 }
 
@@ -317,8 +317,9 @@
         let count = self.count.max(1) as f64;
         let quantile_s =
             |histogram: &Histogram<u64>, quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e6;
-        let cpu = (self.last.cpu.saturating_sub(self.usage[0].cpu)).as_secs_f64();
-        let memory = self.usage.iter().chain([&self.last]).map(|used| used.memory_kb).max().unwrap_or(0);
+        let cpu = (self.final_usage.cpu.saturating_sub(self.usage[0].cpu)).as_secs_f64();
+        let memory =
+            self.usage.iter().chain([&self.final_usage]).map(|used| used.memory_kb).max().unwrap_or(0);
         let figures = [
             ("notices", count),
             ("earned", earned / f64::max(value, f64::MIN_POSITIVE)),
@@ -350,8 +351,9 @@
     }
 }
 
-/// Runs a step for each of `rates`, and writes table and charts into `directory`. Without rates, searches for the knee:
-/// doubles the scenario's rate until it is exceeded, then bisects.
+/// Runs a step for each of `rates`, and writes table and charts into `directory`. Without rates, searches for the highest sustained
+/// rate:
+/// doubles the scenario's rate until a rate is exceeded or above `MAX_RATE_PER_S`, then bisects.
 ///
 /// # Errors
 ///
@@ -373,9 +375,9 @@
     let mut measure = |rate: f64| -> Result<bool, String> {
         let step = run_step(plan, rate / scenario_rate, options)?;
         println!("{}", summary(&step));
-        let is_on_time = step.figure("in contract") >= MIN_ON_TIME_SHARE;
+        let is_sustained = step.figure("in contract") >= MIN_ON_TIME_SHARE;
         steps.push(step);
-        Ok(is_on_time)
+        Ok(is_sustained)
     };
     if rates.is_empty() {
         let (mut sustained, mut exceeded) = (0.0, scenario_rate);
@@ -387,7 +389,7 @@
             *(if measure(middle)? { &mut sustained } else { &mut exceeded }) = middle;
         }
         println!(
-            "knee between {sustained:.0} and {exceeded:.0} messages per second, for a share of \
+            "highest sustained rate between {sustained:.0} and {exceeded:.0} messages per second, for a share of \
              {MIN_ON_TIME_SHARE} delivered by the soft deadline"
         );
     } else {
@@ -405,7 +407,7 @@
     let figure = |name| step.figure(name);
     format!(
         "{:8.0}/s offered {:8.0}/s delivered  on time {:.4}  first reply {:.4}/{:.4} s  delivery {:.4}/{:.4}/{:.4} s  \
-         rejected at once {:.0}  {:.0} us CPU per message  {:.1} MB",
+         rejected submissions {:.0}  {:.0} us CPU per message  {:.1} MB",
         step.rate,
         figure("delivered a second"),
         figure("in contract"),
--- a/crates/quillhub-experiments/src/scale.rs
+++ b/crates/quillhub-experiments/src/scale.rs
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-/// Measures all sizes of `plan`. Stops after a size that breaks before its load was measured.
+/// Measures all sizes of `plan`. Stops after a measurement that ended before the load was measured.
 fn run_all(plan: &Plan, experiment: &str, program: &Path, directory: &Path) -> Result<Vec<Point>, String> {
     let machine = machine::current_machine();
     let (mut points, total) = (Vec::new(), plan.sizes.len() * plan.plays as usize);
