--- a/crates/quillhub-experiments/tests/article.rs
+++ b/crates/quillhub-experiments/tests/article.rs
@@ -1,5 +1,5 @@
-//! Worked examples of the article on retries on which the design is based, simulated with the baselines. The article
-//! counts the first retry of a message in the minute after its first attempt, so messages arrive in the second half of
+//! Worked examples of the article on retry storms that docs/design.md names as the source of the design, simulated with
+//! the baselines. The article counts the first retry of a message in the minute after its first attempt, so messages arrive in the second half of
 //! each minute.
 
 use quillhub_experiments::baselines::{BaselineSettings, exponential_delay};
@@ -8,6 +8,9 @@
 use std::time::Duration;
 
 /// Parses an experiment with one destination, one instance without limits and a network without delay.
+///
+/// The maximum number of attempts per message is 14 if `more_toml` has the comment `# '14'`, and practically unlimited
+/// otherwise.
 fn parse_plan(
     decider: &str,
     [length, limit]: [&str; 2],
@@ -82,8 +85,8 @@
     counts
 }
 
-fn outage(what: &str, lasts: &str) -> String {
-    format!("[[day.faults]]\nat = '0 s'\nlasts = '{lasts}'\nwhat = '{what}'")
+fn outage(fault: &str, duration: &str) -> String {
+    format!("[[day.faults]]\nat = '0 s'\nlasts = '{duration}'\nwhat = '{fault}'")
 }
 
 /// Returns the attempts in each minute at a destination that hangs for ten minutes, then handles 30 per second again.
