--- a/crates/quillhub-experiments/tests/digests.rs
+++ b/crates/quillhub-experiments/tests/digests.rs
@@ -1,4 +1,4 @@
-//! Digests of all runs and the table of three short experiments, compared with recorded ones. Guards against changes of
+//! Hashes of all runs and the table of three short experiments, compared with recorded ones. Guards against changes of
 //! behaviour, and against results that depend on the number of threads.
 
 use quillhub_experiments::experiment::ExperimentPlan;
@@ -8,24 +8,24 @@
 
 const RETRY_STORM: &str = include_str!("experiments/short-retry-storm.toml");
 const ZONE_CUT: &str = include_str!("experiments/short-zone-cut.toml");
-const DISCOVERY_LOST: &str = include_str!("experiments/short-register-lost.toml");
+const DISCOVERY_OUTAGE: &str = include_str!("experiments/short-register-lost.toml");
 
 const RETRY_STORM_RECORD: &str = include_str!("experiments/short-retry-storm.txt");
 const ZONE_CUT_RECORD: &str = include_str!("experiments/short-zone-cut.txt");
-const DISCOVERY_LOST_RECORD: &str = include_str!("experiments/short-register-lost.txt");
+const DISCOVERY_OUTAGE_RECORD: &str = include_str!("experiments/short-register-lost.txt");
 
 /// Numbers of threads with which the runs must be equal.
 const THREADS: [usize; 2] = [1, 4];
 
-/// Returns a line with the digest of each run, an empty line, and the printed table.
+/// Returns a line with the hash of each run, an empty line, and the printed table.
 fn record(runs: &[RunRecord]) -> String {
     let line = |run: &RunRecord| {
         let (variant, decider, seed) = run.key();
         let variant = if variant.is_empty() { "-" } else { variant };
         format!("{variant} {decider} seed {seed}: {}, breaches {}\n", run.hash, run.breaches)
     };
-    let digests: String = runs.iter().map(line).collect();
-    format!("{digests}\n{}", report::table(runs))
+    let hashes: String = runs.iter().map(line).collect();
+    format!("{hashes}\n{}", report::table(runs))
 }
 
 fn run(name: &str, text: &str, threads: usize) -> String {
@@ -46,16 +46,16 @@
 }
 
 #[test]
-fn silent_destinations_give_the_recorded_digests_and_table() {
+fn silent_destinations_give_the_recorded_hashs_and_table() {
     assert_runs_as_recorded("short-retry-storm", RETRY_STORM, RETRY_STORM_RECORD);
 }
 
 #[test]
-fn a_cut_between_zones_gives_the_recorded_digests_and_table() {
+fn a_cut_between_zones_gives_the_recorded_hashs_and_table() {
     assert_runs_as_recorded("short-zone-cut", ZONE_CUT, ZONE_CUT_RECORD);
 }
 
 #[test]
-fn a_lost_service_discovery_gives_the_recorded_digests_and_table() {
-    assert_runs_as_recorded("short-register-lost", DISCOVERY_LOST, DISCOVERY_LOST_RECORD);
+fn an_unreachable_service_discovery_gives_the_recorded_hashs_and_table() {
+    assert_runs_as_recorded("short-register-lost", DISCOVERY_OUTAGE, DISCOVERY_OUTAGE_RECORD);
 }
--- a/crates/quillhub-experiments/tests/simulation.rs
+++ b/crates/quillhub-experiments/tests/simulation.rs
@@ -6,7 +6,7 @@
 use quillhub_experiments::{explain, report, sweep};
 use quillhub_fakes::scratch::ScratchDirectory;
 
-/// Returns an experiment with one queue of `workers`, calls of 20 ms on average and `rate` calls per second.
+/// Returns an experiment with one endpoint with one queue and `workers` workers, calls of 20 ms on average and `rate` calls per second.
 fn queue_plan(workers: usize, rate: f64) -> ExperimentPlan {
     let text = format!(
         "format = 1
@@ -139,15 +139,15 @@
 
 /// Guards against unintended changes of the simulation: a baseline's run does not depend on the dispatcher.
 #[test]
-fn a_baseline_run_has_the_recorded_digest() {
+fn a_baseline_run_has_the_recorded_hash() {
     let plan = ExperimentPlan::parse("days", SCENARIOS).unwrap_or_else(|e| panic!("{e:?}"));
     let runs = plan.runs();
     let run = runs.iter().find(|run| run.decider.name() == "single").unwrap();
-    assert_eq!(format!("{:016x}", plan.simulate(run, |_, _| {}).hash), RECORDED_DIGEST);
+    assert_eq!(format!("{:016x}", plan.simulate(run, |_, _| {}).hash), RECORDED_HASH);
 }
 
 /// Hash of the first run of the baseline `single`.
-const RECORDED_DIGEST: &str = "d52993388ef44c66";
+const RECORDED_HASH: &str = "d52993388ef44c66";
 
 /// The program may be stopped while it writes a result, which leaves an incomplete last line.
 #[test]
