--- a/crates/quillhub-experiments/src/capacity/evidence.rs
+++ b/crates/quillhub-experiments/src/capacity/evidence.rs
@@ -15,8 +15,8 @@
     pub value: f64,
     /// Derivation of the value, as text for the page.
     pub steps: String,
-    /// `true` if the value was measured, interpolated, or extrapolated by a fit that predicts the held-out size, or is that
-    /// of the smallest measured size, for a smaller size.
+    /// `true` if the value was measured, interpolated, or extrapolated by a fit that predicts the held-out size, or is
+    /// that of the smallest measured size, for a smaller size.
     pub is_conclusive: bool,
     /// Name of the experiment that measured it; empty for arithmetic on the target alone.
     pub experiment: String,
--- a/crates/quillhub-experiments/src/compare.rs
+++ b/crates/quillhub-experiments/src/compare.rs
@@ -37,7 +37,8 @@
     }
 }
 
-/// Returns the confidence interval, at the level [`CONFIDENCE`], of the mean of `values`, by resampling with replacement.
+/// Returns the confidence interval, at the level [`CONFIDENCE`], of the mean of `values`, by resampling with
+/// replacement.
 fn bootstrap(values: &[f64]) -> (f64, f64) {
     let mut rng = Pcg64Mcg::seed_from_u64(BOOTSTRAP_SEED);
     let count = values.len();
--- a/crates/quillhub-experiments/src/lib.rs
+++ b/crates/quillhub-experiments/src/lib.rs
@@ -2,8 +2,8 @@
 //! reports on the results.
 //!
 //! An [`experiment::Experiment`] holds the contents of a file with a question, a scenario and the values to vary.
-//! [`sweep::run`] simulates all its runs in parallel and writes each result as one JSON line as soon as it is available;
-//! [`report`] and [`compare`] read these lines.
+//! [`sweep::run`] simulates all its runs in parallel and writes each result as one JSON line as soon as it is
+//! available; [`report`] and [`compare`] read these lines.
 
 pub mod baselines;
 pub mod capacity;
--- a/crates/quillhub-experiments/src/load.rs
+++ b/crates/quillhub-experiments/src/load.rs
@@ -46,8 +46,8 @@
     pub rate: f64,
     /// Figures by name.
     pub figures: BTreeMap<String, f64>,
-    /// Processor time of the instance between samples, in seconds. Samples are taken once a second; the first interval also
-    /// covers the start-up.
+    /// Processor time of the instance between samples, in seconds. Samples are taken once a second; the first interval
+    /// also covers the start-up.
     pub cpu: Vec<f64>,
     /// Resident memory of the instance in kB, once before the scenario and then once a second.
     pub memory_kb: Vec<u64>,
@@ -351,9 +351,9 @@
     }
 }
 
-/// Runs a step for each of `rates`, and writes table and charts into `directory`. Without rates, searches for the highest sustained
-/// rate:
-/// doubles the scenario's rate until a rate is exceeded or above `MAX_RATE_PER_S`, then bisects.
+/// Runs a step for each of `rates`, and writes table and charts into `directory`. Without rates, searches for the
+/// highest sustained rate: doubles the scenario's rate until a rate is exceeded or above `MAX_RATE_PER_S`, then
+/// bisects.
 ///
 /// # Errors
 ///
--- a/crates/quillhub-experiments/src/scale.rs
+++ b/crates/quillhub-experiments/src/scale.rs
@@ -92,7 +92,8 @@
     std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Runs the scale test at `path` with the instance's `program`, writes the results into `directory`, and prints a table.
+/// Runs the scale test at `path` with the instance's `program`, writes the results into `directory`, and prints a
+/// table.
 ///
 /// # Errors
 ///
--- a/crates/quillhub-experiments/src/sweep.rs
+++ b/crates/quillhub-experiments/src/sweep.rs
@@ -1,5 +1,5 @@
-//! Runs all simulations of an experiment in parallel and writes each result as soon as its run ends, so that an interrupted sweep
-//! can be resumed.
+//! Runs all simulations of an experiment in parallel and writes each result as soon as its run ends, so that an
+//! interrupted sweep can be resumed.
 
 use crate::baselines::{self, DeciderKind};
 use crate::experiment::{ExperimentPlan, Variant};
--- a/crates/quillhub-experiments/tests/article.rs
+++ b/crates/quillhub-experiments/tests/article.rs
@@ -1,6 +1,6 @@
 //! Worked examples of the article on retry storms that docs/design.md names as the source of the design, simulated with
-//! the baselines. The article counts the first retry of a message in the minute after its first attempt, so messages arrive in the second half of
-//! each minute.
+//! the baselines. The article counts the first retry of a message in the minute after its first attempt, so messages
+//! arrive in the second half of each minute.
 
 use quillhub_experiments::baselines::{BaselineSettings, exponential_delay};
 use quillhub_experiments::experiment::ExperimentPlan;
--- a/crates/quillhub-experiments/tests/digests.rs
+++ b/crates/quillhub-experiments/tests/digests.rs
@@ -46,16 +46,16 @@
 }
 
 #[test]
-fn silent_destinations_give_the_recorded_hashs_and_table() {
+fn silent_destinations_give_the_recorded_hashes_and_table() {
     assert_runs_as_recorded("short-retry-storm", RETRY_STORM, RETRY_STORM_RECORD);
 }
 
 #[test]
-fn a_cut_between_zones_gives_the_recorded_hashs_and_table() {
+fn a_cut_between_zones_gives_the_recorded_hashes_and_table() {
     assert_runs_as_recorded("short-zone-cut", ZONE_CUT, ZONE_CUT_RECORD);
 }
 
 #[test]
-fn an_unreachable_service_discovery_gives_the_recorded_hashs_and_table() {
+fn an_unreachable_service_discovery_gives_the_recorded_hashes_and_table() {
     assert_runs_as_recorded("short-register-lost", DISCOVERY_OUTAGE, DISCOVERY_OUTAGE_RECORD);
 }
--- a/crates/quillhub-experiments/tests/simulation.rs
+++ b/crates/quillhub-experiments/tests/simulation.rs
@@ -6,7 +6,8 @@
 use quillhub_experiments::{explain, report, sweep};
 use quillhub_fakes::scratch::ScratchDirectory;
 
-/// Returns an experiment with one endpoint with one queue and `workers` workers, calls of 20 ms on average and `rate` calls per second.
+/// Returns an experiment with one endpoint with one queue and `workers` workers, calls of 20 ms on average and `rate`
+/// calls per second.
 fn queue_plan(workers: usize, rate: f64) -> ExperimentPlan {
     let text = format!(
         "format = 1
--- a/crates/quillhub-scale/src/clients.rs
+++ b/crates/quillhub-scale/src/clients.rs
@@ -114,8 +114,8 @@
 
 /// Submits `load` for its duration to the destinations 1 to `destinations`, at least 1, in turn.
 ///
-/// `delivered` is the number of deliveries so far, which the destinations increment. `first_number` is the number of the first
-/// message, so that each id is used once.
+/// `delivered` is the number of deliveries so far, which the destinations increment. `first_number` is the number of
+/// the first message, so that each id is used once.
 pub async fn submit_load(
     address: SocketAddr,
     load: &Load,
--- a/crates/quillhub-scale/src/control.rs
+++ b/crates/quillhub-scale/src/control.rs
@@ -15,7 +15,8 @@
 
 /// Command to the thread of discovery.
 enum Command {
-    /// Toggle the phase of an endpoint between `up` and `draining`, and return the new revision and the time of the change.
+    /// Toggle the phase of an endpoint between `up` and `draining`, and return the new revision and the time of the
+    /// change.
     Change(String, oneshot::Sender<(u64, Instant)>),
     /// Toggle the phase of an endpoint periodically from now on.
     ChangePeriodically(String, Duration),
--- a/crates/quillhub-scale/src/fleet.rs
+++ b/crates/quillhub-scale/src/fleet.rs
@@ -48,8 +48,8 @@
 }
 
 impl Fleet {
-    /// Starts the environment for these sizes. `real_instances` is the number of real instances to be started later, and `seed`
-    /// determines the random draws of the lightweight ones.
+    /// Starts the environment for these sizes. `real_instances` is the number of real instances to be started later,
+    /// and `seed` determines the random draws of the lightweight ones.
     pub fn start(sizes: &Sizes, seed: u64, real_instances: u64) -> Result<Self, String> {
         let started = Instant::now();
         let destinations = Destinations::start()?;
--- a/crates/quillhub-scale/src/lightweight.rs
+++ b/crates/quillhub-scale/src/lightweight.rs
@@ -371,8 +371,9 @@
         }
     }
 
-    /// Submits a message per [`GOSSIP_INTERVAL`], until the task is aborted. Its first attempts fail, so that its delivery makes the
-    /// instance send gossip of a recovery. The instances start at different times, spread evenly over the interval.
+    /// Submits a message per [`GOSSIP_INTERVAL`], until the task is aborted. Its first attempts fail, so that its
+    /// delivery makes the instance send gossip of a recovery. The instances start at different times, spread evenly
+    /// over the interval.
     async fn cause_gossip(&self) {
         let share = self.number as f64 / self.parameters.instances.max(1) as f64;
         sleep(GOSSIP_INTERVAL.mul_f64(share)).await;
--- a/crates/quillhub-scale/tests/points.rs
+++ b/crates/quillhub-scale/tests/points.rs
@@ -42,8 +42,8 @@
     assert!(point.figures.contains_key(figure::BY_DISCOVERY_S));
 }
 
-// An instance that cannot read the list of discovery never delivers; without an early end, the measurement would run until
-// its time limit, and its earlier figures would be lost.
+// An instance that cannot read the list of discovery never delivers; without an early end, the measurement would run
+// until its time limit, and its earlier figures would be lost.
 #[test]
 fn a_list_over_the_size_limit_ends_the_measurement_and_keeps_earlier_figures() {
     let point = measured(Slope::Destinations, 40_000, TEST_TIME_LIMIT);
