--- a/crates/quillhub-scale/src/plan.rs
+++ b/crates/quillhub-scale/src/plan.rs
@@ -217,7 +217,7 @@
             }
         }
         if self.plays < MIN_REPETITIONS {
-            return refuse("plays", format!("at least {MIN_REPETITIONS} repetitions"), self.plays);
+            return refuse("plays", format!("at least {MIN_REPETITIONS}"), self.plays);
         }
         let points = self.sizes.len().saturating_mul(self.plays as usize);
         if points > MAX_POINTS {
--- a/crates/quillhub-scale/src/plan_tests.rs
+++ b/crates/quillhub-scale/src/plan_tests.rs
@@ -46,7 +46,7 @@
             "[10, 40, 50, 640]",
             "5:1: sizes[2]: expected at least 60, 1.5 times the one before, found 50",
         ),
-        ("plays = 2", "plays = 1", "6:1: plays: expected at least 2 repetitions, found 1"),
+        ("plays = 2", "plays = 1", "6:1: plays: expected at least 2, found 1"),
         ("plays = 2", "plays = 900", "6:1: plays: expected at most 200 points in all, found 3600"),
         ("\"20 s\"", "\"20 h\"", "8:1: most_per_point: expected over 0 s, at most 600 s, found 72000 s"),
         ("per_s = 423.0", "per_s = -1.0", "17:1: load.per_s: expected a number over 0, found -1"),
