--- a/crates/quillhub-experiments/src/capacity/evidence.rs
+++ b/crates/quillhub-experiments/src/capacity/evidence.rs
@@ -15,7 +15,8 @@
     pub value: f64,
     /// Derivation of the value, as text for the page.
     pub steps: String,
-    /// `true` if the value was measured, interpolated, or extrapolated by a fit that predicts the held-out size.
+    /// `true` if the value was measured, interpolated, or extrapolated by a fit that predicts the held-out size, or is
+    /// that of the smallest measured size, for a smaller size.
     pub is_conclusive: bool,
     /// Name of the experiment that measured it; empty for arithmetic on the target alone.
     pub experiment: String,
@@ -30,7 +31,7 @@
 pub struct Evidence {
     slopes: BTreeMap<Slope, Vec<Point>>,
     /// Steps of the load test: offered messages per second, and the share delivered by the soft deadline.
-    steps: Vec<(f64, f64)>,
+    load_steps: Vec<(f64, f64)>,
 }
 
 /// Returns the name of the experiment that measures a slope.
@@ -45,7 +46,7 @@
         for point in points {
             slopes.entry(point.slope).or_default().push(point);
         }
-        Self { slopes, steps: Vec::new() }
+        Self { slopes, load_steps: Vec::new() }
     }
 
     /// Adds the steps of a load test from the text of its `load.jsonl`.
@@ -60,7 +61,7 @@
             let (Some(rate), Some(on_time_share)) = fields else {
                 return Err(format!("{}: expected a step of a load test as JSON, found '{line}'", index + 1));
             };
-            self.steps.push((rate, on_time_share));
+            self.load_steps.push((rate, on_time_share));
         }
         Ok(self)
     }
@@ -72,13 +73,17 @@
     /// Returns a message if no step was sustained.
     pub fn max_sustained_rate(&self) -> Result<Figure, String> {
         let sustained = self
-            .steps
+            .load_steps
             .iter()
             .filter(|(_, on_time_share)| *on_time_share >= MIN_ON_TIME_SHARE)
             .map(|(rate, _)| *rate);
         let value = sustained
             .reduce(f64::max)
-            .ok_or(format!("{LOAD_TEST}: expected steps with messages on time, found none"))?;
+            .ok_or(format!(
+                "{LOAD_TEST}: expected a step with at least {}% of the messages delivered by their soft deadline, \
+                 found none",
+                MIN_ON_TIME_SHARE * 100.0
+            ))?;
         let steps = format!("{} sustained with {}% on time", short(value), MIN_ON_TIME_SHARE * 100.0);
         Ok(Figure { value, steps, is_conclusive: true, experiment: LOAD_TEST.into() })
     }
@@ -149,7 +154,7 @@
             .ok_or_else(|| format!("{experiment}: expected runs with '{name}', found none"))?;
         if fit.shape != fit::Shape::Linear {
             return Err(format!(
-                "{experiment}: expected '{name}' to be linear, found it {}",
+                "{experiment}: expected a linear fit of '{name}', found one of the shape {}",
                 fit.shape.name()
             ));
         }
--- a/crates/quillhub-experiments/src/report.rs
+++ b/crates/quillhub-experiments/src/report.rs
@@ -209,7 +209,10 @@
         push_line(&svg);
     }
     let version = runs.first().map_or("", |run| &run.version);
-    push_line(&format!("<h2>The experiment, version {version}</h2><pre>{}</pre>", escape_html(text)));
+    push_line(&format!(
+        "<h2>Experiment file (run by version {version})</h2><pre>{}</pre>",
+        escape_html(text)
+    ));
     let style = "body{font:15px sans-serif;max-width:70em;margin:2em auto}td,th{padding:.2em .6em;text-align:right}\
                  td:nth-child(-n+2){text-align:left}tr:nth-child(even){background:#eee}svg{max-width:100%}";
     Ok(format!(
@@ -223,12 +226,12 @@
 /// # Errors
 ///
 /// Returns a message if a chart cannot be drawn or a file cannot be written.
-pub fn write(folder: &Path, runs: &[RunRecord]) -> Result<(), String> {
+pub fn write(directory: &Path, runs: &[RunRecord]) -> Result<(), String> {
     let error_at = |path: &Path, error: std::io::Error| format!("{}: {error}", path.display());
-    let path = folder.join("table.csv");
+    let path = directory.join("table.csv");
     std::fs::write(&path, csv(runs)).map_err(|e| error_at(&path, e))?;
     for (name, svg) in charts(runs)? {
-        let path = folder.join(name);
+        let path = directory.join(name);
         std::fs::write(&path, svg).map_err(|e| error_at(&path, e))?;
     }
     Ok(())
--- a/crates/quillhub-experiments/src/results.rs
+++ b/crates/quillhub-experiments/src/results.rs
@@ -16,7 +16,8 @@
     /// Version of the program that ran it. Runs of another version are not reused.
     pub version: String,
     /// Hash of the experiment file without its findings, in hexadecimal digits. Runs with another hash are not reused.
-    pub text: String,
+    #[serde(rename = "text")]
+    pub text_hash: String,
     /// Name of the variant; empty if the experiment varies nothing.
     pub variant: String,
     /// Name of the decider, such as `module` or `oracle`.
@@ -121,8 +122,8 @@
 /// # Errors
 ///
 /// Returns a message if the file cannot be read, or if a line other than an incomplete last one is invalid.
-pub fn read(folder: &Path) -> Result<Vec<RunRecord>, String> {
-    let path = folder.join("runs.jsonl");
+pub fn read(directory: &Path) -> Result<Vec<RunRecord>, String> {
+    let path = directory.join("runs.jsonl");
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(Vec::new()),
--- a/crates/quillhub-scale/src/control.rs
+++ b/crates/quillhub-scale/src/control.rs
@@ -1,7 +1,7 @@
 //! Discovery and platform on a separate thread. They have one address for real and one for lightweight instances, so
 //! that the traffic of each is counted separately; both addresses serve the same endpoint list.
 
-use crate::thread::Worker;
+use crate::thread::MeasuredThread;
 use quillhub_fakes::endpoints::ListedEndpoint;
 use quillhub_fakes::platform::{self, ControlTraffic, Discovery};
 use std::net::SocketAddr;
@@ -15,9 +15,10 @@
 
 /// Command to the thread of discovery.
 enum Command {
-    /// Change the phase of an endpoint, and return the new revision and the time of the change.
+    /// Toggle the phase of an endpoint between `up` and `draining`, and return the new revision and the time of the
+    /// change.
     Change(String, oneshot::Sender<(u64, Instant)>),
-    /// Change the phase of an endpoint periodically from now on.
+    /// Toggle the phase of an endpoint periodically from now on.
     ChangePeriodically(String, Duration),
     /// Return the text of the complete list.
     List(oneshot::Sender<Arc<str>>),
@@ -35,10 +36,10 @@
     pub lightweight_traffic: ControlTraffic,
     final_outcomes: Arc<AtomicU64>,
     commands: UnboundedSender<Command>,
-    worker: Worker,
+    worker: MeasuredThread,
 }
 
-/// Changes the phase of an endpoint from `up` to `draining` or back.
+/// Toggles the phase of an endpoint between `up` and `draining`.
 fn toggle(discovery: &mut Discovery, id: &str, is_draining: &mut bool) {
     *is_draining = !*is_draining;
     discovery.set_phase(id, if *is_draining { "draining" } else { "up" });
@@ -52,7 +53,7 @@
         let (commands, mut command_receiver) = unbounded_channel::<Command>();
         let final_outcomes = Arc::new(AtomicU64::new(0));
         let received = final_outcomes.clone();
-        let (worker, (real_address, lightweight_address)) = Worker::start(move || async move {
+        let (worker, (real_address, lightweight_address)) = MeasuredThread::start(move || async move {
             let discovery = Discovery::new(&endpoints);
             drop(endpoints);
             let (outcome_sender, mut outcomes) = unbounded_channel();
@@ -104,15 +105,16 @@
         })
     }
 
-    /// Changes the phase of the endpoint `id`; returns the new revision and the time of the change.
-    pub async fn change(&self, id: &str) -> Result<(u64, Instant), String> {
+    /// Toggles the phase of the endpoint `id` between `up` and `draining`; returns the new revision and the time of the
+    /// change.
+    pub async fn toggle_phase(&self, id: &str) -> Result<(u64, Instant), String> {
         let (reply_sender, reply) = oneshot::channel();
         let _ = self.commands.send(Command::Change(id.into(), reply_sender));
         reply.await.map_err(|_| "discovery's thread ended".into())
     }
 
-    /// Changes the phase of the endpoint `id` at once and then once per `period`.
-    pub fn change_periodically(&self, id: &str, period: Duration) {
+    /// Toggles the phase of the endpoint `id` between `up` and `draining`, at once and then once per `period`.
+    pub fn toggle_phase_periodically(&self, id: &str, period: Duration) {
         let _ = self.commands.send(Command::ChangePeriodically(id.into(), period));
     }
 
--- a/crates/quillhub-scale/src/destinations.rs
+++ b/crates/quillhub-scale/src/destinations.rs
@@ -2,7 +2,7 @@
 //! that never responds.
 
 use crate::settings;
-use crate::thread::Worker;
+use crate::thread::MeasuredThread;
 use quillhub_fakes::accept::accept_each;
 use quillhub_fakes::endpoints::ListedEndpoint;
 use quillhub_fakes::http::ServerConnection;
@@ -13,14 +13,14 @@
 use tokio::task::spawn_local;
 
 /// Number of destinations that do not respond, to which the messages of a backlog are submitted in turn.
-pub const UNRESPONSIVE: u64 = 20;
+pub const UNRESPONSIVE_COUNT: u64 = 20;
 
 /// Running listeners of all destinations, stopped when this is dropped.
 pub struct Destinations {
     responding: SocketAddr,
     unresponsive: SocketAddr,
     delivered: Arc<AtomicU64>,
-    _worker: Worker,
+    _worker: MeasuredThread,
 }
 
 async fn respond(stream: TcpStream, delivered: Arc<AtomicU64>) {
@@ -33,7 +33,7 @@
     }
 }
 
-async fn read_only(stream: TcpStream) {
+async fn read_without_response(stream: TcpStream) {
     let mut connection = ServerConnection::new(stream);
     while let Ok(Some(_)) = connection.next().await {}
 }
@@ -43,12 +43,12 @@
     pub fn start() -> Result<Self, String> {
         let delivered = Arc::new(AtomicU64::new(0));
         let counter = delivered.clone();
-        let (worker, (responding, unresponsive)) = Worker::start(move || async move {
+        let (worker, (responding, unresponsive)) = MeasuredThread::start(move || async move {
             let (responding, unresponsive) =
                 (TcpListener::bind("127.0.0.1:0").await?, TcpListener::bind("127.0.0.1:0").await?);
             let addresses = (responding.local_addr()?, unresponsive.local_addr()?);
             spawn_local(accept_each(responding, move |stream| respond(stream, counter.clone())));
-            spawn_local(accept_each(unresponsive, read_only));
+            spawn_local(accept_each(unresponsive, read_without_response));
             Ok(addresses)
         })?;
         Ok(Self { responding, unresponsive, delivered, _worker: worker })
--- a/crates/quillhub-scale/src/fleet.rs
+++ b/crates/quillhub-scale/src/fleet.rs
@@ -1,9 +1,9 @@
 //! Environment of the real instance of one point: discovery and platform, destinations, the relay of gossip, and the
 //! lightweight instances.
 
-use crate::bounds::LIGHTWEIGHT_PER_THREAD;
+use crate::bounds::MAX_LIGHTWEIGHT_PER_THREAD;
 use crate::control::Control;
-use crate::destinations::{self, Destinations, UNRESPONSIVE};
+use crate::destinations::{self, Destinations, UNRESPONSIVE_COUNT};
 use crate::gossip::Relay;
 use crate::lightweight::{FleetParameters, Group, Status};
 use crate::plan::Sizes;
@@ -30,7 +30,7 @@
     pub discovery: Counts,
     /// Traffic with the platform.
     pub platform: Counts,
-    /// Final outcomes that the platform has received, from real instances, too.
+    /// Final outcomes that the platform has received, including those of real instances.
     pub final_outcomes: u64,
     /// Open connections to discovery, most of which are watches.
     pub open_connections: u64,
@@ -48,18 +48,18 @@
 }
 
 impl Fleet {
-    /// Starts the environment for these sizes. `real` is the number of real instances to be started later, and `seed`
-    /// determines the random draws of the lightweight ones.
-    pub fn start(sizes: &Sizes, seed: u64, real: u64) -> Result<Self, String> {
+    /// Starts the environment for these sizes. `real_instances` is the number of real instances to be started later,
+    /// and `seed` determines the random draws of the lightweight ones.
+    pub fn start(sizes: &Sizes, seed: u64, real_instances: u64) -> Result<Self, String> {
         let started = Instant::now();
         let destinations = Destinations::start()?;
-        let unresponsive = if sizes.backlog > 0 { UNRESPONSIVE } else { 0 };
+        let unresponsive = if sizes.backlog > 0 { UNRESPONSIVE_COUNT } else { 0 };
         let control = Control::start(destinations.endpoints(sizes.destinations, unresponsive))?;
         let relay = Relay::start()?;
         let parameters = FleetParameters {
-            control: control.lightweight_address,
-            peers: relay.address,
-            instances: sizes.lightweight_instances + real,
+            control_address: control.lightweight_address,
+            relay_address: relay.address,
+            instances: sizes.lightweight_instances + real_instances,
             destinations: sizes.destinations,
             seed,
             fleet_started: started,
@@ -67,7 +67,7 @@
         let mut groups = Vec::new();
         let mut first = 0;
         while first < sizes.lightweight_instances {
-            let count = LIGHTWEIGHT_PER_THREAD.min(sizes.lightweight_instances - first);
+            let count = MAX_LIGHTWEIGHT_PER_THREAD.min(sizes.lightweight_instances - first);
             let group = Group::start(parameters, first, count)?;
             group.addresses.iter().for_each(|address| relay.add_member(*address));
             groups.push(group);
@@ -107,7 +107,7 @@
     ///
     /// Returns `None` if some have not by `deadline`.
     pub async fn change(&self, deadline: Instant) -> Result<Option<ApplyTime>, String> {
-        let (revision, changed) = self.control.change(&self.changing_endpoint()).await?;
+        let (revision, changed) = self.control.toggle_phase(&self.changing_endpoint()).await?;
         let changed = changed.saturating_duration_since(self.started);
         while !self.statuses().all(|status| status.applied_revision().0 >= revision) {
             if Instant::now() >= deadline {
--- a/crates/quillhub-scale/src/point.rs
+++ b/crates/quillhub-scale/src/point.rs
@@ -48,8 +48,8 @@
     pub const DELIVERED: &str = "delivered a second";
     /// Share of the load's messages that the instance did not accept.
     pub const REJECTED: &str = "rejected share";
-    /// Time to submit a backlog per message: if it grows with the size of the backlog, the growth is half of that of the
-    /// time for the last message.
+    /// Mean time to submit a message of the backlog. If the time per message grows linearly with the backlog, the mean
+    /// grows half as fast as the time of the last message.
     pub const FILL_US: &str = "us to hand in a message of the backlog";
     /// Time from the restart of an instance that was killed with a backlog to its first reply.
     pub const READY_AGAIN_S: &str = "ready after a kill s";
@@ -107,19 +107,19 @@
 /// Reason why the measurement of a point ends early.
 enum Stop {
     /// Failure due to the size; this is a result.
-    Breaks(String),
+    MeasurementFailed(String),
     /// Failure of the test environment; there is no result.
-    Fails(String),
+    EnvironmentFailed(String),
 }
 
 impl From<String> for Stop {
     fn from(fault: String) -> Self {
-        Self::Fails(fault)
+        Self::EnvironmentFailed(fault)
     }
 }
 
-fn breaks<T>(what: impl Into<String>) -> Result<T, Stop> {
-    Err(Stop::Breaks(what.into()))
+fn fail_measurement<T>(what: impl Into<String>) -> Result<T, Stop> {
+    Err(Stop::MeasurementFailed(what.into()))
 }
 
 /// Measures a point with `sizes` once, with the instance's `program`.
@@ -129,13 +129,13 @@
     let mut measurement = Measurement::default();
     let ended = on_one_thread(async {
         let deadline = Instant::now() + plan.point_time_limit;
-        let mut point = Point::start(plan, sizes, seed, program, deadline).await?;
+        let mut point = RunningPoint::start(plan, sizes, seed, program, deadline).await?;
         point.measure(&mut measurement).await
     });
     match ended {
         Ok(()) => Ok(measurement),
-        Err(Stop::Breaks(what)) => Ok(Measurement { breaks: Some(what), ..measurement }),
-        Err(Stop::Fails(what)) => Err(what),
+        Err(Stop::MeasurementFailed(what)) => Ok(Measurement { breaks: Some(what), ..measurement }),
+        Err(Stop::EnvironmentFailed(what)) => Err(what),
     }
 }
 
@@ -160,7 +160,8 @@
     datagram_bytes: u64,
 }
 
-struct Point<'a> {
+/// Point that is being measured.
+struct RunningPoint<'a> {
     plan: &'a Plan,
     sizes: Sizes,
     seed: u64,
@@ -176,7 +177,7 @@
     warm_up_messages: u64,
 }
 
-impl<'a> Point<'a> {
+impl<'a> RunningPoint<'a> {
     async fn start(
         plan: &'a Plan,
         sizes: &Sizes,
@@ -186,19 +187,19 @@
     ) -> Result<Self, Stop> {
         let fleet = Fleet::start(sizes, seed, 1)?;
         if !fleet.wait_until_ready(deadline).await {
-            return breaks("lightweight instances are not ready within the time limit of a point");
+            return fail_measurement("lightweight instances are not ready within the time limit of a point");
         }
         let directory = ScratchDirectory::new();
         let known = fleet.control.list().await?;
         let listen = free_port()?;
         let configured = configure(&fleet, &directory, "real", listen, sizes, seed, Some(&known))?;
         drop(known);
-        let begun = Instant::now();
+        let started = Instant::now();
         let instance = start(program, &directory, "real", &configured)?;
-        if !wait_until_ready(listen, deadline.saturating_duration_since(begun)).await {
-            return breaks("the instance does not respond within the time limit of a point");
+        if !wait_until_ready(listen, deadline.saturating_duration_since(started)).await {
+            return fail_measurement("the instance does not respond within the time limit of a point");
         }
-        let startup = begun.elapsed();
+        let startup = started.elapsed();
         Ok(Self {
             plan,
             sizes: *sizes,
@@ -229,7 +230,7 @@
         .await?;
         if self.sizes.changes > 0 {
             let period = Duration::from_secs_f64(SECONDS_PER_HOUR / self.sizes.changes as f64);
-            self.fleet.control.change_periodically(&self.fleet.changing_endpoint(), period);
+            self.fleet.control.toggle_phase_periodically(&self.fleet.changing_endpoint(), period);
         }
         sleep(SETTLE_TIME).await;
         self.measure_idle(measurement).await?;
@@ -243,7 +244,7 @@
     }
 
     fn processor_time(&self) -> Result<Duration, Stop> {
-        let lost = || Stop::Breaks("the instance's process ended".into());
+        let lost = || Stop::MeasurementFailed("the instance's process ended".into());
         self.instance.processor_time().ok_or_else(lost)
     }
 
@@ -258,14 +259,14 @@
     }
 
     async fn submit_backlog(&self, measurement: &mut Measurement) -> Result<(), Stop> {
-        let (begun, count) = (Instant::now(), self.sizes.backlog);
+        let (started, count) = (Instant::now(), self.sizes.backlog);
         let load = &self.plan.load;
         let submissions =
             clients::submit_backlog(self.listen, load, self.sizes.destinations, count, self.deadline).await?;
-        let seconds = begun.elapsed().as_secs_f64();
+        let seconds = started.elapsed().as_secs_f64();
         if submissions.accepted < count {
             let Submissions { accepted, not_accepted } = submissions;
-            return breaks(format!(
+            return fail_measurement(format!(
                 "{accepted} messages are accepted and {not_accepted} are not after {seconds:.0} s"
             ));
         }
@@ -274,28 +275,31 @@
     }
 
     async fn measure_idle(&self, measurement: &mut Measurement) -> Result<(), Stop> {
-        let (begun, time, control) = (Instant::now(), self.processor_time()?, self.control_counts());
-        let (control_time, traffic_before) = (self.fleet.control_processor_time(), self.fleet.traffic());
-        sleep(self.plan.load.idle).await;
-        let spent = (self.processor_time()? - time).as_secs_f64();
-        let (now, span) = (self.control_counts(), begun.elapsed().as_secs_f64());
-        measurement.put(figure::IDLE_PERCENT, 100.0 * spent / span);
+        let (started, processor_time_before, control) =
+            (Instant::now(), self.processor_time()?, self.control_counts());
+        let (control_time_before, traffic_before) =
+            (self.fleet.control_processor_time(), self.fleet.traffic());
+        sleep(self.plan.load.idle_duration).await;
+        let spent = (self.processor_time()? - processor_time_before).as_secs_f64();
+        let (now, elapsed_s) = (self.control_counts(), started.elapsed().as_secs_f64());
+        measurement.put(figure::IDLE_PERCENT, 100.0 * spent / elapsed_s);
         let (discovery, platform) = (now.discovery - control.discovery, now.platform - control.platform);
         let datagrams = now.datagrams - control.datagrams;
         let gossip = now.datagram_bytes - control.datagram_bytes + datagrams * crate::gossip::HEADER_BYTES;
-        measurement.put(figure::CONTROL_BYTES, (discovery.bytes() + platform.bytes() + gossip) as f64 / span);
+        measurement
+            .put(figure::CONTROL_BYTES, (discovery.bytes() + platform.bytes() + gossip) as f64 / elapsed_s);
         measurement.put(
             figure::CONTROL_PACKETS,
-            (discovery.packets() + platform.packets() + datagrams) as f64 / span,
+            (discovery.packets() + platform.packets() + datagrams) as f64 / elapsed_s,
         );
         if self.plan.slope == Slope::Instances {
             let traffic = self.fleet.traffic();
-            let control_time = self.fleet.control_processor_time() - control_time;
+            let control_time = self.fleet.control_processor_time() - control_time_before;
             let bytes = (traffic.discovery - traffic_before.discovery).bytes();
             measurement.put(figure::CONNECTIONS, traffic.open_connections as f64);
-            measurement.put(figure::DISCOVERY_BYTES, bytes as f64 / span);
+            measurement.put(figure::DISCOVERY_BYTES, bytes as f64 / elapsed_s);
             measurement
-                .put(figure::DISCOVERY_US, control_time.as_secs_f64() * MICROSECONDS_PER_SECOND / span);
+                .put(figure::DISCOVERY_US, control_time.as_secs_f64() * MICROSECONDS_PER_SECOND / elapsed_s);
         }
         Ok(())
     }
@@ -307,7 +311,7 @@
 
     async fn measure_loaded(&self, measurement: &mut Measurement) -> Result<(), Stop> {
         let counter = self.fleet.destinations.delivered();
-        let (begun, time) = (Instant::now(), self.processor_time()?);
+        let (started, processor_time_before) = (Instant::now(), self.processor_time()?);
         let before = counter.load(Ordering::Relaxed);
         let (load, loaded) = (&self.plan.load, self.loaded_destinations());
         let submissions =
@@ -317,17 +321,20 @@
         while delivered() < submissions.accepted && Instant::now() < drain_deadline {
             sleep(CHECK_INTERVAL).await;
         }
-        let (spent, span) = (self.processor_time()? - time, begun.elapsed().as_secs_f64());
+        let (spent, elapsed_s) =
+            (self.processor_time()? - processor_time_before, started.elapsed().as_secs_f64());
         if delivered() == 0 {
-            return breaks(format!("none of {} messages is delivered", submissions.accepted));
+            return fail_measurement(format!("none of {} messages is delivered", submissions.accepted));
         }
         measurement
             .put(figure::MESSAGE_US, spent.as_secs_f64() * MICROSECONDS_PER_SECOND / delivered() as f64);
-        measurement.put(figure::DELIVERED, delivered() as f64 / span);
+        measurement.put(figure::DELIVERED, delivered() as f64 / elapsed_s);
         let all = (submissions.accepted + submissions.not_accepted).max(1);
         measurement.put(figure::REJECTED, submissions.not_accepted as f64 / all as f64);
-        let used =
-            self.instance.usage().ok_or_else(|| Stop::Breaks("the instance's process ended".into()))?;
+        let used = self
+            .instance
+            .usage()
+            .ok_or_else(|| Stop::MeasurementFailed("the instance's process ended".into()))?;
         measurement.put(figure::MEMORY_MB, used.memory_kb as f64 / 1_024.0);
         Ok(())
     }
@@ -335,30 +342,33 @@
     /// Measures discovery and platform: changes of the list, first alone and then during restarts of a tenth of the
     /// lightweight instances, and a restart of all of them.
     async fn measure_control(&self, measurement: &mut Measurement) -> Result<(), Stop> {
-        let (time, before) = (self.fleet.control_processor_time(), self.fleet.traffic());
-        let calm = self.measure_changes(|| ()).await?;
+        let (control_time_before, before) = (self.fleet.control_processor_time(), self.fleet.traffic());
+        let without_restarts = self.measure_changes(|| ()).await?;
         let each = f64::from(TIMED_CHANGES);
-        let spent = (self.fleet.control_processor_time() - time).as_secs_f64();
+        let spent = (self.fleet.control_processor_time() - control_time_before).as_secs_f64();
         let bytes = (self.fleet.traffic().discovery - before.discovery).bytes();
         measurement.put(figure::CHANGE_MS, spent * 1e3 / each);
         measurement.put(figure::CHANGE_BYTES, bytes as f64 / each);
-        measurement.put(figure::CALM_MEDIAN_S, calm.0);
-        measurement.put(figure::CALM_WORST_S, calm.1);
+        measurement.put(figure::CALM_MEDIAN_S, without_restarts.0);
+        measurement.put(figure::CALM_WORST_S, without_restarts.1);
         let restarting = self.measure_changes(|| self.fleet.restart_every(RESTART_STEP)).await?;
         measurement.put(figure::RESTARTING_MEDIAN_S, restarting.0);
         measurement.put(figure::RESTARTING_WORST_S, restarting.1);
-        let (begun, time, before) =
+        let (started, control_time_before, before) =
             (Instant::now(), self.fleet.control_processor_time(), self.fleet.traffic());
         self.fleet.restart_every(1);
         if !self.fleet.wait_until_ready(self.deadline).await {
-            return breaks(
+            return fail_measurement(
                 "lightweight instances that restart at once are not ready within the time limit of a point",
             );
         }
         let now = self.fleet.traffic();
         let (discovery, platform) = (now.discovery - before.discovery, now.platform - before.platform);
-        measurement.put(figure::RESTART_S, begun.elapsed().as_secs_f64());
-        measurement.put(figure::RESTART_CPU_S, (self.fleet.control_processor_time() - time).as_secs_f64());
+        measurement.put(figure::RESTART_S, started.elapsed().as_secs_f64());
+        measurement.put(
+            figure::RESTART_CPU_S,
+            (self.fleet.control_processor_time() - control_time_before).as_secs_f64(),
+        );
         measurement.put(figure::RESTART_BYTES, discovery.bytes() as f64);
         measurement.put(figure::RESTART_CONNECTIONS, discovery.connections as f64);
         measurement.put(figure::RESTART_PLATFORM_BYTES, platform.bytes() as f64);
@@ -373,12 +383,16 @@
         for _ in 0..TIMED_CHANGES {
             before_each();
             let Some(found) = self.fleet.change(self.deadline).await? else {
-                return breaks("a change is not applied by all instances within the time limit of a point");
+                return fail_measurement(
+                    "a change is not applied by all instances within the time limit of a point",
+                );
             };
             medians += found.median.as_secs_f64();
             worst = f64::max(worst, found.max.as_secs_f64());
             if !self.fleet.wait_until_ready(self.deadline).await {
-                return breaks("lightweight instances are not ready within the time limit of a point");
+                return fail_measurement(
+                    "lightweight instances are not ready within the time limit of a point",
+                );
             }
         }
         Ok((medians / f64::from(TIMED_CHANGES), worst))
@@ -388,15 +402,18 @@
     async fn measure_restart(&mut self, measurement: &mut Measurement) -> Result<(), Stop> {
         let state = size_on_disk(&state_directory(&self.directory, "real"));
         measurement.put(figure::STATE_MB, state as f64 / (1024.0 * 1024.0));
-        let fails = |e: std::io::Error| Stop::Fails(format!("the instance cannot be stopped: {e}"));
-        self.instance.signal("KILL").map_err(fails)?;
-        self.instance.wait_for_exit().await.map_err(fails)?;
-        let begun = Instant::now();
+        let stop_failed =
+            |e: std::io::Error| Stop::EnvironmentFailed(format!("the instance cannot be stopped: {e}"));
+        self.instance.signal("KILL").map_err(stop_failed)?;
+        self.instance.wait_for_exit().await.map_err(stop_failed)?;
+        let started = Instant::now();
         self.instance = start(self.program, &self.directory, "real", &self.directory.0.join("real.json"))?;
-        if !wait_until_ready(self.listen, self.deadline.saturating_duration_since(begun)).await {
-            return breaks("the restarted instance does not respond within the time limit of a point");
+        if !wait_until_ready(self.listen, self.deadline.saturating_duration_since(started)).await {
+            return fail_measurement(
+                "the restarted instance does not respond within the time limit of a point",
+            );
         }
-        measurement.put(figure::READY_AGAIN_S, begun.elapsed().as_secs_f64());
+        measurement.put(figure::READY_AGAIN_S, started.elapsed().as_secs_f64());
         Ok(())
     }
 
@@ -404,31 +421,36 @@
     async fn measure_first_delivery(&mut self, measurement: &mut Measurement) -> Result<(), Stop> {
         let list = self.fleet.control.list().await?;
         measurement.put(figure::LIST_BYTES, list.len() as f64);
-        self.instance.signal("KILL").map_err(|e| Stop::Fails(e.to_string()))?;
+        self.instance.signal("KILL").map_err(|e| Stop::EnvironmentFailed(e.to_string()))?;
         let listen = free_port()?;
         let configured =
             configure(&self.fleet, &self.directory, "bare", listen, &self.sizes, self.seed, None)?;
-        let begun = Instant::now();
+        let started = Instant::now();
         let _instance = start(self.program, &self.directory, "bare", &configured)?;
-        let time_left = self.deadline.saturating_duration_since(begun);
+        let time_left = self.deadline.saturating_duration_since(started);
         if !wait_until_ready(listen, time_left).await {
-            return breaks("the instance does not respond within the time limit of a point");
+            return fail_measurement("the instance does not respond within the time limit of a point");
         }
         let counter = self.fleet.destinations.delivered();
         let before = counter.load(Ordering::Relaxed);
-        let load = crate::plan::Load { connections: 1, per_s: 1.0, loaded: CHECK_INTERVAL, ..self.plan.load };
+        let load = crate::plan::Load {
+            connections: 1,
+            per_s: 1.0,
+            loaded_duration: CHECK_INTERVAL,
+            ..self.plan.load
+        };
         clients::submit_load(listen, &load, 1, &counter, 1 << 32).await?;
-        let deadline = begun + FIRST_DELIVERY_TIMEOUT.min(time_left);
+        let deadline = started + FIRST_DELIVERY_TIMEOUT.min(time_left);
         while counter.load(Ordering::Relaxed) == before {
             if Instant::now() >= deadline {
                 let (bytes, limit) = (list.len(), FIRST_DELIVERY_TIMEOUT.as_secs());
-                return breaks(format!(
+                return fail_measurement(format!(
                     "a list of {bytes} bytes is not applied from discovery within {limit} s"
                 ));
             }
             sleep(CHECK_INTERVAL).await;
         }
-        measurement.put(figure::BY_DISCOVERY_S, begun.elapsed().as_secs_f64());
+        measurement.put(figure::BY_DISCOVERY_S, started.elapsed().as_secs_f64());
         Ok(())
     }
 }
@@ -446,7 +468,7 @@
 ) -> Result<PathBuf, String> {
     let gossip = free_datagram_port()?;
     fleet.relay.add_member(gossip);
-    fleet.relay.measure(gossip);
+    fleet.relay.count_traffic_to(gossip);
     let addresses =
         Addresses { listen, discovery: fleet.control.real_address, gossip, peers: fleet.relay.address };
     let path = directory.0.join(format!("{name}.json"));
--- a/crates/quillhub-scale/tests/points.rs
+++ b/crates/quillhub-scale/tests/points.rs
@@ -14,8 +14,8 @@
 }
 
 fn plan(slope: Slope, point_time_limit: Duration) -> Plan {
-    let (idle, loaded) = (Duration::from_millis(100), Duration::from_millis(500));
-    let load = Load { per_s: 100.0, connections: 4, body: 50, idle, loaded };
+    let (idle_duration, loaded_duration) = (Duration::from_millis(100), Duration::from_millis(500));
+    let load = Load { per_s: 100.0, connections: 4, body_bytes: 50, idle_duration, loaded_duration };
     let (question, found) = ("What does it count?".to_owned(), String::new());
     let (sizes, plays, seed, base) = (vec![1, 2, 4, 8], 2, 1, BASE);
     Plan { format: 1, question, found, slope, sizes, plays, seed, point_time_limit, base, load }
@@ -42,8 +42,8 @@
     assert!(point.figures.contains_key(figure::BY_DISCOVERY_S));
 }
 
-// An instance that cannot read the list of discovery never delivers; without an early end, the point would last until its
-// time limit, and its earlier figures would be lost.
+// An instance that cannot read the list of discovery never delivers; without an early end, the measurement would run
+// until its time limit, and its earlier figures would be lost.
 #[test]
 fn a_list_over_the_size_limit_ends_the_measurement_and_keeps_earlier_figures() {
     let point = measured(Slope::Destinations, 40_000, TEST_TIME_LIMIT);
