--- a/crates/quillhub-simulator/src/audit/attempts.rs
+++ b/crates/quillhub-simulator/src/audit/attempts.rs
@@ -6,17 +6,23 @@
 use quillhub::AttemptOutcome;
 use std::time::Duration;
 
+/// Returns a function that creates the breaches of an attempt found at `now`, each from its rule, the time since which the
+/// rule applies, and its description.
+fn breaches_at(now: Duration, id: AttemptId) -> impl Fn(Rule, Duration, &'static str) -> Breach {
+    move |rule, since, description| Breach {
+        rule,
+        message_id: Some(id.message_id),
+        since,
+        at: now,
+        description,
+    }
+}
+
 impl Auditor {
     /// Checks an attempt when its instance starts it, and records it.
     pub(super) fn attempt_started(&mut self, now: Duration, id: AttemptId, endpoint: &str) {
         let endpoint = self.endpoints.get(endpoint).copied();
-        let breach = |rule, since, description| Breach {
-            rule,
-            message_id: Some(id.message_id),
-            since,
-            at: now,
-            description,
-        };
+        let breach = breaches_at(now, id);
         let Some(message) = self.messages.get(&id.message_id) else {
             return self.report(breach(Rule::OneAnswer, now, "sent, though long over or never taken"));
         };
@@ -77,13 +83,7 @@
         let grace = self.rules.drain_grace;
         let drain = instance.drains.get(&number).copied().filter(|since| now > *since + grace);
         let retry_after = instance.retry_after.get(&route).copied().filter(|wait| now < wait.until);
-        let breach = |rule, since, description| Breach {
-            rule,
-            message_id: Some(id.message_id),
-            since,
-            at: now,
-            description,
-        };
+        let breach = breaches_at(now, id);
         if let Some(since) = drain {
             self.report(breach(Rule::Drains, since, "sent to an endpoint that drains or is gone"));
         }
