--- a/crates/quillhub-fakes/examples/mixed_versions/gossip.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/gossip.rs
@@ -4,9 +4,11 @@
 //! it. The destination goes down again: an instance that learned of the recovery logs the ejection of an endpoint that
 //! was warming up, and one that did not has nothing to log, as the endpoint is still ejected.
 
-use crate::instance::{Process, Server, endpoint_list, list_entry, service_class, write_endpoint_list};
+use crate::instance::{Server, listed_endpoint, service_class, write_configuration};
 use quillhub_fakes::clients::{command, open, send_command, wait_until_ready};
 use quillhub_fakes::http::ServerConnection;
+use quillhub_fakes::platform::{self, Discovery};
+use quillhub_fakes::process::InstanceProcess;
 use quillhub_fakes::scratch::ScratchDirectory;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -17,6 +19,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::UdpSocket;
+use tokio::sync::mpsc::unbounded_channel;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
@@ -67,7 +70,8 @@
 
 /// Instance with the address for its clients and the number of messages submitted to it.
 struct GossipInstance {
-    process: Process,
+    _process: InstanceProcess,
+    log: PathBuf,
     listen: SocketAddr,
     submitted: Cell<u64>,
     /// Requests that its endpoint received from it.
@@ -75,6 +79,12 @@
 }
 
 impl GossipInstance {
+    /// Returns the number of log lines that contain `text`.
+    fn count_log_lines(&self, text: &str) -> usize {
+        let log = std::fs::read_to_string(&self.log).unwrap_or_default();
+        log.lines().filter(|line| line.contains(text)).count()
+    }
+
     /// Submits a message and ignores whether it is rejected.
     async fn submit(&self, number: usize) -> io::Result<()> {
         let sequence = self.submitted.replace(self.submitted.get() + 1);
@@ -88,7 +98,7 @@
     /// [`LOG_TIMEOUT`].
     async fn submit_until_logged(&self, number: usize, text: &str, count: usize) -> io::Result<bool> {
         let started = Instant::now();
-        while self.process.count_log_lines(text) < count {
+        while self.count_log_lines(text) < count {
             if started.elapsed() > LOG_TIMEOUT {
                 return Ok(false);
             }
@@ -104,7 +114,6 @@
     endpoint: Server,
     relay: Rc<Relay>,
     requests: Vec<Rc<Cell<u32>>>,
-    _control: Server,
     _directories: Vec<ScratchDirectory>,
 }
 
@@ -123,18 +132,6 @@
     }
 }
 
-async fn serve_control(list: Value, mut stream: ServerConnection) {
-    while let Ok(Some(request)) = stream.next().await {
-        let served = match request.path.as_str() {
-            "/v2/finals" => stream.answer(204, "", b"").await,
-            _ => write_endpoint_list(&mut stream, &list).await,
-        };
-        if served.is_err() {
-            return;
-        }
-    }
-}
-
 fn configuration(
     listen: SocketAddr,
     control: SocketAddr,
@@ -174,26 +171,29 @@
     });
     spawn_local(relay.clone().run());
     let endpoint = Server::closed()?;
-    let list = endpoint_list(&[list_entry("e1", endpoint.address, DESTINATION)]);
-    let mut control = Server::closed()?;
-    let known = list.clone();
-    control.open(move |stream| serve_control(known.clone(), stream)).await?;
+    let discovery = Discovery::new(&[listed_endpoint("e1", endpoint.address, DESTINATION)]);
+    let list = discovery.borrow().list();
+    // Nothing reads the notifications of outcomes; the platform confirms them all the same.
+    let control = platform::start(discovery, unbounded_channel().0).await?;
     let (mut members, mut directories, mut requests) = (Vec::new(), Vec::new(), Vec::new());
     for (number, program) in programs.iter().enumerate() {
         let (state, directory) = (ScratchDirectory::new(), ScratchDirectory::new());
         let listen = Server::closed()?.address;
-        let configuration = configuration(listen, control.address, &list, &peers, number);
-        let process = Process::start(program, &configuration, &state.0, &directory.0, "instance")?;
+        let configuration = configuration(listen, control, &list, &peers, number);
+        let config = write_configuration(&directory, &configuration)?;
+        let log = directory.0.join("instance.log");
+        let process = InstanceProcess::start_with_log_level(program, "info", &config, &state.0, &log)?;
         requests.push(Rc::new(Cell::new(0)));
         members.push(GossipInstance {
-            process,
+            _process: process,
+            log,
             listen,
             submitted: Cell::new(0),
             requests: requests[number].clone(),
         });
         directories.extend([state, directory]);
     }
-    Ok(Fleet { members, endpoint, relay, requests, _control: control, _directories: directories })
+    Ok(Fleet { members, endpoint, relay, requests, _directories: directories })
 }
 
 impl Fleet {
@@ -224,7 +224,7 @@
         self.endpoint.open(serve).await.map_err(failed)?;
         let before: Vec<_> = self.members.iter().map(|member| member.requests.get()).collect();
         let sent = self.relay.sent_counts.borrow()[deliverer];
-        let recoveries = self.members[deliverer].process.count_log_lines(RECOVERY);
+        let recoveries = self.members[deliverer].count_log_lines(RECOVERY);
         let member = &self.members[deliverer];
         if !member.submit_until_logged(deliverer, RECOVERY, recoveries + 1).await.map_err(failed)? {
             return Err(format!("instance {deliverer} has not delivered to the recovered destination"));
@@ -247,6 +247,11 @@
         Ok(())
     }
 
+    /// Returns the number of ejections after a recovery in each log.
+    fn ejections_after_recovery(&self) -> Vec<usize> {
+        self.members.iter().map(|member| member.count_log_lines(EJECTION_AFTER_RECOVERY)).collect()
+    }
+
     /// Sends each instance datagrams that are not gossip of a recovery; none may change the health of the endpoint.
     async fn send_malformed(&self) -> Result<(), String> {
         let version_2 = [&[2][..], &DESTINATION.to_le_bytes()].concat();
@@ -257,8 +262,7 @@
                 self.relay.socket.send_to(datagram, member).await.map_err(|error| error.to_string())?;
             }
         }
-        let before: Vec<_> =
-            self.members.iter().map(|m| m.process.count_log_lines(EJECTION_AFTER_RECOVERY)).collect();
+        let before = self.ejections_after_recovery();
         let started = Instant::now();
         while started.elapsed() < NO_CHANGE_TIME {
             for (number, member) in self.members.iter().enumerate() {
@@ -266,8 +270,7 @@
             }
             sleep(MESSAGE_INTERVAL).await;
         }
-        let after: Vec<_> =
-            self.members.iter().map(|m| m.process.count_log_lines(EJECTION_AFTER_RECOVERY)).collect();
+        let after = self.ejections_after_recovery();
         if before != after {
             return Err("a malformed datagram was accepted as gossip of a recovery".into());
         }
--- a/crates/quillhub-fakes/examples/mixed_versions/instance.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/instance.rs
@@ -1,58 +1,16 @@
-//! Process of an instance, parts of its configuration, and the servers that it calls.
+//! Parts of an instance's configuration, and the servers that it calls.
 
 use quillhub_fakes::accept::accept_each;
+use quillhub_fakes::endpoints::ListedEndpoint;
 use quillhub_fakes::http::ServerConnection;
+use quillhub_fakes::scratch::ScratchDirectory;
 use serde_json::{Value, json};
 use std::io;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::path::PathBuf;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Running `quillhub serve`, killed when this is dropped.
-pub struct Process {
-    child: Child,
-    log: PathBuf,
-}
-
-impl Process {
-    /// Starts `program` on the state directory `state`; its configuration and log are written to `directory`.
-    pub fn start(
-        program: &Path,
-        configuration: &Value,
-        state: &Path,
-        directory: &Path,
-        name: &str,
-    ) -> io::Result<Self> {
-        let (config, log) = (directory.join(format!("{name}.json")), directory.join(format!("{name}.log")));
-        std::fs::write(&config, configuration.to_string())?;
-        std::fs::create_dir_all(state)?;
-        let mut command = Command::new(program);
-        command.args(["serve", "--config"]).arg(config).arg("--state").arg(state);
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(std::fs::File::create(&log)?);
-        Ok(Self { child: command.spawn()?, log })
-    }
-
-    /// Kills the process with SIGKILL and waits for its exit.
-    pub fn kill(&mut self) -> io::Result<()> {
-        self.child.kill()?;
-        self.child.wait().map(drop)
-    }
-
-    /// Returns the number of log lines that contain `text`.
-    pub fn count_log_lines(&self, text: &str) -> usize {
-        let log = std::fs::read_to_string(&self.log).unwrap_or_default();
-        log.lines().filter(|line| line.contains(text)).count()
-    }
-}
-
-impl Drop for Process {
-    fn drop(&mut self) {
-        let _ = self.kill();
-    }
-}
-
 /// Server with an address of its own that can be closed and opened again.
 pub struct Server {
     /// Address of the server, also while it is closed.
@@ -86,21 +44,16 @@
     }
 }
 
-/// Returns an entry of the endpoint list.
-pub fn list_entry(id: &str, address: SocketAddr, destination: u64) -> Value {
-    json!({"id": id, "host_port": address.to_string(), "cell": destination, "phase": "up"})
-}
-
-/// Returns a complete endpoint list.
-pub fn endpoint_list(members: &[Value]) -> Value {
-    json!({"revision": 1, "complete": true, "members": members})
+/// Returns an endpoint, as discovery lists it.
+pub fn listed_endpoint(id: &str, address: SocketAddr, destination: u64) -> ListedEndpoint {
+    ListedEndpoint { id: id.into(), address, zone: "north".into(), kind: "library".into(), destination }
 }
 
-/// Writes the chunked response to a request for the endpoint list or for its changes.
-pub async fn write_endpoint_list(stream: &mut ServerConnection, list: &Value) -> io::Result<()> {
-    let line = format!("{list}\n");
-    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    stream.write(format!("{head}{:x}\r\n{line}\r\n", line.len()).as_bytes()).await
+/// Writes `configuration` to a file of `directory` and returns its path.
+pub fn write_configuration(directory: &ScratchDirectory, configuration: &Value) -> io::Result<PathBuf> {
+    let path = directory.0.join("configuration.json");
+    std::fs::write(&path, configuration.to_string())?;
+    Ok(path)
 }
 
 /// Returns a service class of the settings; `deadline_ms` is also its soft deadline.
--- a/crates/quillhub-fakes/examples/mixed_versions/takeover.rs
+++ b/crates/quillhub-fakes/examples/mixed_versions/takeover.rs
@@ -1,8 +1,10 @@
 //! Takeover of a state directory: a killed instance is replaced by one of another build.
 
-use crate::instance::{Process, Server, endpoint_list, list_entry, service_class, write_endpoint_list};
+use crate::instance::{Server, listed_endpoint, service_class, write_configuration};
 use quillhub_fakes::clients::{command, open, send_command, wait_until_ready};
 use quillhub_fakes::http::{Request, ServerConnection};
+use quillhub_fakes::platform::Discovery;
+use quillhub_fakes::process::InstanceProcess;
 use quillhub_fakes::scratch::ScratchDirectory;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -12,7 +14,7 @@
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::task::{JoinSet, spawn_local};
+use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
 /// Time for which the first instance is under load before it is killed.
@@ -113,6 +115,7 @@
     }
 }
 
+/// Serves discovery and the platform, which confirms no outcome before the takeover, unlike the one of the fakes.
 async fn serve_control(run: Rc<Run>, list: Value, mut stream: ServerConnection) {
     while let Ok(Some(request)) = stream.next().await {
         let served = match request.path.as_str() {
@@ -125,6 +128,13 @@
     }
 }
 
+/// Writes the chunked response to a request for the endpoint list or for its changes.
+async fn write_endpoint_list(stream: &mut ServerConnection, list: &Value) -> io::Result<()> {
+    let line = format!("{list}\n");
+    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    stream.write(format!("{head}{:x}\r\n{line}\r\n", line.len()).as_bytes()).await
+}
+
 async fn confirm_outcomes(run: &Run, request: &Request, stream: &mut ServerConnection) -> io::Result<()> {
     let text = String::from_utf8_lossy(&request.body).into_owned();
     if !run.taken_over.get() {
@@ -186,17 +196,17 @@
 
 async fn start_servers(run: &Rc<Run>) -> io::Result<Environment> {
     let mut servers = Vec::new();
-    let mut members = Vec::new();
+    let mut endpoints = Vec::new();
     for destination in [DELIVERING, REJECTING, HANGING] {
         let mut server = Server::closed()?;
         let shared = run.clone();
         server.open(move |stream| serve_endpoint(shared.clone(), destination, stream)).await?;
-        members.push(list_entry(&format!("e{destination}"), server.address, destination));
+        endpoints.push(listed_endpoint(&format!("e{destination}"), server.address, destination));
         servers.push(server);
     }
     let refusing = Server::closed()?;
-    members.push(list_entry("e4", refusing.address, REFUSING));
-    let list = endpoint_list(&members);
+    endpoints.push(listed_endpoint("e4", refusing.address, REFUSING));
+    let list = Discovery::new(&endpoints).borrow().list();
     let mut control = Server::closed()?;
     let (shared, known) = (run.clone(), list.clone());
     control.open(move |stream| serve_control(shared.clone(), known.clone(), stream)).await?;
@@ -263,9 +273,9 @@
     let run = Rc::new(Run::default());
     let failed = |error: io::Error| error.to_string();
     let mut environment = start_servers(&run).await.map_err(failed)?;
-    let start =
-        |program, name| Process::start(program, &environment.configuration, &state.0, &directory.0, name);
-    let mut instance = start(first, "first").map_err(failed)?;
+    let config = write_configuration(&directory, &environment.configuration).map_err(failed)?;
+    let start = |program, log| InstanceProcess::start(program, &config, &state.0, &directory.0.join(log));
+    let mut instance = start(first, "first.log").map_err(failed)?;
     if !wait_until_ready(environment.listen, READY_TIMEOUT).await {
         return Err("the first instance is not ready".into());
     }
@@ -274,13 +284,16 @@
         clients.spawn_local(submit_messages(run.clone(), environment.listen, next.clone()));
     }
     sleep(LOAD_TIME).await;
-    instance.kill().map_err(failed)?;
+    if !instance.signal("KILL").map_err(failed)? {
+        return Err("the first instance cannot be killed".into());
+    }
+    instance.wait_for_exit().await.map_err(failed)?;
     let killed = Instant::now();
     while clients.join_next().await.is_some() {}
     let frames = frames_per_segment(&state.0).map_err(failed)?;
     println!("state directory at the kill: {} segments with {frames:?} records", frames.len());
     run.taken_over.set(true);
-    let _second = start(second, "second").map_err(failed)?;
+    let _second = start(second, "second.log").map_err(failed)?;
     if !wait_until_ready(environment.listen, READY_TIMEOUT).await {
         return Err("the second instance is not ready".into());
     }
@@ -292,7 +305,7 @@
         sleep(Duration::from_millis(50)).await;
     }
     println!("waiting for outcomes ended {:.3} s after the kill", killed.elapsed().as_secs_f64());
-    spawn_local(sleep(SETTLE_TIME)).await.map_err(|error| error.to_string())?;
+    sleep(SETTLE_TIME).await;
     report(&run, killed)
 }
 
--- a/crates/quillhub-fakes/src/process.rs
+++ b/crates/quillhub-fakes/src/process.rs
@@ -24,12 +24,23 @@
 }
 
 impl InstanceProcess {
-    /// Starts `program serve` with the configuration file `config` and the state directory `state`; its log goes to a
-    /// new file `log`.
+    /// Starts `program serve` with the configuration file `config` and the state directory `state`; its log, from level
+    /// `warn` on, goes to a new file `log`.
     pub fn start(program: &Path, config: &Path, state: &Path, log: &Path) -> io::Result<Self> {
+        Self::start_with_log_level(program, "warn", config, state, log)
+    }
+
+    /// Starts an instance as [`Self::start`] does, with the minimum log level `level`.
+    pub fn start_with_log_level(
+        program: &Path,
+        level: &str,
+        config: &Path,
+        state: &Path,
+        log: &Path,
+    ) -> io::Result<Self> {
         let log = std::fs::File::create(log)?;
         let mut command = Command::new(program);
-        command.args(["serve", "--log", "warn", "--config"]).arg(config).arg("--state").arg(state);
+        command.args(["serve", "--log", level, "--config"]).arg(config).arg("--state").arg(state);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         Ok(Self(command.spawn()?))
     }
